--- a/Libraries/LibFleet/Beliefs.cpp
+++ b/Libraries/LibFleet/Beliefs.cpp
@@ -7,9 +7,9 @@
 
 namespace Fleet {
 
-BeliefUpdate Beliefs::apply(const Declarations &declarations)
+FleetStateUpdate FleetState::apply(const Declarations &declarations)
 {
-    BeliefUpdate update;
+    FleetStateUpdate update;
     const bool isNewer = !m_index || declarations.m_configurationOffset > m_declarations.m_configurationOffset;
     if (declarations.m_configuration && isNewer) {
         m_declarations.m_configuration = declarations.m_configuration;
@@ -48,19 +48,19 @@
 
 }
 
-bool Beliefs::isReplaced(const Endpoint &endpoint) const
+bool FleetState::isReplaced(const Endpoint &endpoint) const
 {
     return std::any_of(m_endpoints.begin(), m_endpoints.end(), [&endpoint](const std::pair<const std::string, KnownEndpoint> &entry) {
         return replaces(entry.second.m_endpoint, endpoint);
     });
 }
 
-void Beliefs::dropReplacedBy(const Endpoint &endpoint)
+void FleetState::dropReplacedBy(const Endpoint &endpoint)
 {
     std::erase_if(m_endpoints, [&endpoint](const std::pair<const std::string, KnownEndpoint> &entry) { return replaces(endpoint, entry.second.m_endpoint); });
 }
 
-bool Beliefs::applyOne(const EndpointChange &change, std::optional<Core::Instant> regainedAt)
+bool FleetState::applyOne(const EndpointChange &change, std::optional<Core::Instant> regainedAt)
 {
     const std::map<std::string, KnownEndpoint>::iterator known = m_endpoints.find(change.m_id);
     if (known != m_endpoints.end() && change.m_offset <= known->second.m_offset) {
@@ -99,7 +99,7 @@
     return isChanged;
 }
 
-bool Beliefs::removeUnnamed(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt)
+bool FleetState::removeUnnamed(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt)
 {
     std::set<std::string> named;
     for (const EndpointChange &change : changes.m_changes) {
@@ -126,7 +126,7 @@
     return isChanged;
 }
 
-bool Beliefs::noteMissing(const EndpointChange &change, Core::Instant since)
+bool FleetState::noteMissing(const EndpointChange &change, Core::Instant since)
 {
     const std::map<std::string, KnownEndpoint>::iterator known = m_endpoints.find(change.m_id);
     if (!change.m_isMissing || known == m_endpoints.end() || known->second.m_offset > change.m_offset || known->second.m_missingSince) {
@@ -136,9 +136,9 @@
     return true;
 }
 
-BeliefUpdate Beliefs::apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now)
+FleetStateUpdate FleetState::apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now)
 {
-    BeliefUpdate update;
+    FleetStateUpdate update;
     if (changes.m_isSnapshot && changes.m_end >= m_endpointsEnd && removeUnnamed(changes, regainedAt)) {
         update.m_endpoints = true;
         m_endpointsMark = std::max(m_endpointsMark, changes.m_mark > 0 ? changes.m_mark : changes.m_end);
@@ -160,9 +160,9 @@
     return update;
 }
 
-BeliefUpdate Beliefs::forgetMissing(Core::Duration grace, Core::Instant now)
+FleetStateUpdate FleetState::removeMissing(Core::Duration grace, Core::Instant now)
 {
-    BeliefUpdate update;
+    FleetStateUpdate update;
     for (std::map<std::string, KnownEndpoint>::iterator it = m_endpoints.begin(); it != m_endpoints.end();) {
         if (it->second.m_missingSince && now - *it->second.m_missingSince > grace) {
             it = m_endpoints.erase(it);
@@ -174,7 +174,7 @@
     return update;
 }
 
-EndpointChanges Beliefs::endpointSnapshot() const
+EndpointChanges FleetState::endpointSnapshot() const
 {
     EndpointChanges snapshot;
     snapshot.m_end = m_endpointsEnd;
@@ -187,7 +187,7 @@
     return snapshot;
 }
 
-const DeclaredWeights *Beliefs::declaredWeights(const std::string &model) const
+const DeclaredWeights *FleetState::declaredWeights(const std::string &model) const
 {
     for (const DeclaredWeights &declared : m_declarations.m_weights) {
         if (declared.m_model == model) {
--- a/Libraries/LibFleet/Beliefs.h
+++ b/Libraries/LibFleet/Beliefs.h
@@ -41,7 +41,7 @@
     bool operator==(const Declarations &) const = default;
 
     /// Grows with each newer configuration, and is 0 only if there is none: the first record of a log has offset 0.
-    std::uint64_t configurationMark() const
+    std::uint64_t configurationRevisionOffset() const
     {
         return m_configuration ? m_configurationOffset + 1 : 0;
     }
@@ -70,15 +70,15 @@
     std::vector<EndpointChange> m_changes;
     Offset m_mark = 0; ///< From a peer: see Beliefs::endpointsMark().
     /// From a peer: the time for which the list has been within its reach again, if entries may still be missing since then although their endpoints live.
-    std::optional<std::uint64_t> m_regainedMilliseconds;
+    std::optional<std::uint64_t> m_millisecondsSinceRecovery;
 
     bool operator==(const EndpointChanges &) const = default;
 
-    MSGPACK_DEFINE_ARRAY(m_end, m_isSnapshot, m_changes, m_mark, m_regainedMilliseconds);
+    MSGPACK_DEFINE_ARRAY(m_end, m_isSnapshot, m_changes, m_mark, m_millisecondsSinceRecovery);
 };
 
 /// Which parts of the beliefs a record changed.
-struct BeliefUpdate
+struct FleetStateUpdate
 {
     bool m_configuration = false;
     bool m_weights = false;
@@ -105,20 +105,20 @@
  * Every record carries an offset, and an older one never replaces a newer one, whichever way it came. Without this rule an instance that was
  * cut off would bring its peers back to a configuration that the operators have replaced; callers would notice revoked keys that work again.
  */
-class Beliefs
+class FleetState
 {
 public:
     /// Takes declarations read from the log or told by a peer.
-    BeliefUpdate apply(const Declarations &declarations);
+    FleetStateUpdate apply(const Declarations &declarations);
 
     /**
      * Takes records of the list of endpoints. @p regainedAt: when the list came within reach again, if that is so short ago that entries may have
      * lapsed although their endpoints live; their time to come back counts from then.
      */
-    BeliefUpdate apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now);
+    FleetStateUpdate apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now);
 
     /// Lets go of endpoints whose entries have not come back within @p grace.
-    BeliefUpdate forgetMissing(Core::Duration grace, Core::Instant now);
+    FleetStateUpdate removeMissing(Core::Duration grace, Core::Instant now);
 
     const Declarations &declarations() const
     {
@@ -141,7 +141,7 @@
      * End of the newest record that changed more than the time of an endpoint's last sign of life. Who knows the list up to the same mark knows all
      * that matters of it, though the list grows by many records a second.
      */
-    Offset endpointsMark() const
+    Offset endpointsRevisionOffset() const
     {
         return m_endpointsMark;
     }
--- a/Libraries/LibFleet/Configuration.cpp
+++ b/Libraries/LibFleet/Configuration.cpp
@@ -6,7 +6,7 @@
 
 namespace Fleet {
 
-void noteMovableRequests(Configuration &configuration)
+void deriveMovableRequests(Configuration &configuration)
 {
     for (Service &service : configuration.m_services) {
         service.m_mayMoveRequests = std::all_of(configuration.m_routes.begin(), configuration.m_routes.end(), [&service](const Route &route) {
--- a/Libraries/LibFleet/Configuration.h
+++ b/Libraries/LibFleet/Configuration.h
@@ -159,7 +159,7 @@
 };
 
 /// Derives for each service whether its requests may move to another endpoint in the middle, from the routes that lead to it.
-void noteMovableRequests(Configuration &configuration);
+void deriveMovableRequests(Configuration &configuration);
 
 /// Look-ups over one configuration; holds what it was built from.
 class ConfigurationIndex
--- a/Libraries/LibFollow/Follower.cpp
+++ b/Libraries/LibFollow/Follower.cpp
@@ -30,7 +30,7 @@
     *m_isAlive = false;
 }
 
-void Follower::onUpdate(std::function<void(const Fleet::BeliefUpdate &)> callback)
+void Follower::onUpdate(std::function<void(const Fleet::FleetStateUpdate &)> callback)
 {
     m_onUpdate = std::move(callback);
 }
@@ -70,7 +70,7 @@
 void Follower::forgetMissing()
 {
     if (m_endpoints.m_failures == 0) {
-        tell(m_parts.m_beliefs.forgetMissing(m_settings.m_outageMemory, Core::Clock::now()));
+        tell(m_parts.m_beliefs.removeMissing(m_settings.m_outageMemory, Core::Clock::now()));
     }
     m_forgetTimer.expires_after(m_settings.m_forgetInterval);
     m_forgetTimer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
@@ -134,7 +134,7 @@
     }
 }
 
-void Follower::tell(const Fleet::BeliefUpdate &update)
+void Follower::tell(const Fleet::FleetStateUpdate &update)
 {
     if (update.any() && m_onUpdate) {
         m_onUpdate(update);
@@ -185,9 +185,9 @@
     const Core::Instant now = Core::Clock::now();
     for (const Fleet::DeclaredWeights &declared : declarations.m_weights) {
         if (isFirst) {
-            m_parts.m_versions.found(declared.m_model, declared.m_version, now);
+            m_parts.m_versions.recordFound(declared.m_model, declared.m_version, now);
         } else {
-            m_parts.m_versions.declared(declared.m_model, declared.m_version, Core::Duration(0), now);
+            m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, Core::Duration(0), now);
         }
     }
 }
--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -30,7 +30,7 @@
 struct FollowerParts
 {
     Http::EventLoop &m_loop;
-    Fleet::Beliefs &m_beliefs;
+    Fleet::FleetState &m_beliefs;
     Placement::VersionDeadlines &m_versions;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
@@ -48,7 +48,7 @@
     Follower &operator=(const Follower &) = delete;
 
     /// Called after every read that changed the beliefs.
-    void onUpdate(std::function<void(const Fleet::BeliefUpdate &update)> callback);
+    void onUpdate(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
     /// Called with each failed read, so that peers can be asked.
     void onUnreachable(std::function<void()> callback);
 
@@ -97,7 +97,7 @@
     /// Like doubtfulSince(), but a process that has only just started is no reason for doubt.
     std::optional<Core::Instant> outageEnd() const;
     Core::Duration retryPause(const Reading &reading);
-    void tell(const Fleet::BeliefUpdate &update);
+    void tell(const Fleet::FleetStateUpdate &update);
 
     const FollowerParts m_parts;
     const FollowerSettings m_settings;
@@ -106,7 +106,7 @@
     Reading m_endpoints;
     Http::Timer m_forgetTimer;
     bool m_isStarted = false;
-    std::function<void(const Fleet::BeliefUpdate &)> m_onUpdate;
+    std::function<void(const Fleet::FleetStateUpdate &)> m_onUpdate;
     std::function<void()> m_onUnreachable;
     std::function<void(Core::Instant asked)> m_onEndpointsRead;
     std::function<bool()> m_mayRest;
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -247,19 +247,19 @@
     Heartbeat heartbeat;
     heartbeat.m_sender = m_self;
     heartbeat.m_knownMembers = static_cast<std::uint32_t>(m_members.countAlive(now));
-    heartbeat.m_configurationMark = m_parts.m_beliefs.declarations().configurationMark();
-    heartbeat.m_endpointsMark = m_parts.m_beliefs.endpointsMark();
+    heartbeat.m_configurationMark = m_parts.m_beliefs.declarations().configurationRevisionOffset();
+    heartbeat.m_endpointsMark = m_parts.m_beliefs.endpointsRevisionOffset();
     const std::optional<Core::Duration> age = listAge();
     heartbeat.m_listAgeMilliseconds = age ? std::optional<std::uint64_t>(age->count()) : std::nullopt;
     for (const Fleet::DeclaredWeights &declared : m_parts.m_beliefs.declarations().m_weights) {
         // A process that has just started finds only the newest version in the log, yet the bound of the one before may be near.
-        for (const std::pair<std::uint64_t, Core::Duration> &recent : m_parts.m_versions.recent(declared.m_model, VersionHorizon, now)) {
+        for (const std::pair<std::uint64_t, Core::Duration> &recent : m_parts.m_versions.recentVersions(declared.m_model, VersionHorizon, now)) {
             if (recent.first != declared.m_version) {
                 const Fleet::DeclaredWeights older{declared.m_model, recent.first, 0};
                 heartbeat.m_weights.push_back(AgedWeights{older, static_cast<std::uint64_t>(recent.second.count())});
             }
         }
-        const std::optional<Core::Duration> stated = m_parts.m_versions.statedAge(declared.m_model, declared.m_version, now);
+        const std::optional<Core::Duration> stated = m_parts.m_versions.knownAge(declared.m_model, declared.m_version, now);
         const std::optional<std::uint64_t> milliseconds = stated ? std::optional<std::uint64_t>(stated->count()) : std::nullopt;
         heartbeat.m_weights.push_back(AgedWeights{declared, milliseconds});
     }
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -51,7 +51,7 @@
 {
     Http::EventLoop &m_loop;
     Wire::Node &m_node;
-    Fleet::Beliefs &m_beliefs;
+    Fleet::FleetState &m_beliefs;
     Placement::VersionDeadlines &m_versions;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
@@ -78,7 +78,7 @@
     Core::Result<void> start();
 
     /// Called after state from a peer has been applied.
-    void onStateApplied(std::function<void(const Fleet::BeliefUpdate &update)> callback);
+    void onStateApplied(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
     /// Called with the engine reports of a datagram that are newer than all before.
     void onEngineNews(std::function<void(const std::vector<EngineNews> &news)> callback);
     /// Called when the set of live members may have changed.
@@ -168,7 +168,7 @@
     Core::Instant m_nextPull;
     std::map<std::string, Core::Instant> m_newcomersAnswered; ///< When a newcomer was last sent a large sample; pruned with each heartbeat.
     bool m_isPulling = false;
-    std::function<void(const Fleet::BeliefUpdate &)> m_onStateApplied;
+    std::function<void(const Fleet::FleetStateUpdate &)> m_onStateApplied;
     LogKnowledge m_logKnowledge; ///< When what is known of the list was known to be its newest state.
     std::function<std::optional<Core::Instant>()> m_listDoubtfulSince;
     std::function<void(const std::vector<EngineNews> &)> m_onEngineNews;
--- a/Libraries/LibGossip/GossipState.cpp
+++ b/Libraries/LibGossip/GossipState.cpp
@@ -32,7 +32,7 @@
     });
 }
 
-void GossipService::onStateApplied(std::function<void(const Fleet::BeliefUpdate &)> callback)
+void GossipService::onStateApplied(std::function<void(const Fleet::FleetStateUpdate &)> callback)
 {
     m_onStateApplied = std::move(callback);
 }
@@ -42,8 +42,8 @@
     if (heartbeat.m_sender.m_role != Role::Entry) {
         return;
     }
-    const bool isConfigurationNewer = heartbeat.m_configurationMark > m_parts.m_beliefs.declarations().configurationMark();
-    const bool isListNewer = m_self.m_role == Role::Entry && heartbeat.m_endpointsMark > m_parts.m_beliefs.endpointsMark();
+    const bool isConfigurationNewer = heartbeat.m_configurationMark > m_parts.m_beliefs.declarations().configurationRevisionOffset();
+    const bool isListNewer = m_self.m_role == Role::Entry && heartbeat.m_endpointsMark > m_parts.m_beliefs.endpointsRevisionOffset();
     if (isConfigurationNewer || isListNewer) {
         pullFrom(heartbeat.m_sender.m_peers);
         return;
@@ -92,7 +92,7 @@
         noteAge(aged, now);
         declarations.m_weights.push_back(aged.m_declared);
     }
-    const Fleet::BeliefUpdate update = m_parts.m_beliefs.apply(declarations);
+    const Fleet::FleetStateUpdate update = m_parts.m_beliefs.apply(declarations);
     if (update.any() && m_onStateApplied) {
         m_onStateApplied(update);
     }
@@ -102,16 +102,16 @@
 {
     const Fleet::DeclaredWeights &declared = aged.m_declared;
     if (aged.m_ageMilliseconds) {
-        m_parts.m_versions.declared(declared.m_model, declared.m_version, Core::Duration(*aged.m_ageMilliseconds), now);
+        m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, Core::Duration(*aged.m_ageMilliseconds), now);
         return;
     }
     const Fleet::DeclaredWeights *known = m_parts.m_beliefs.declaredWeights(declared.m_model);
     const bool isNews = !known || known->m_version < declared.m_version;
     const std::optional<Core::Duration> age = isNews ? unstatedAge(m_logKnowledge, now) : std::nullopt;
     if (age) {
-        m_parts.m_versions.declared(declared.m_model, declared.m_version, *age, now);
+        m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, *age, now);
     } else {
-        m_parts.m_versions.found(declared.m_model, declared.m_version, now);
+        m_parts.m_versions.recordFound(declared.m_model, declared.m_version, now);
     }
 }
 
@@ -130,7 +130,7 @@
     StateAnswer answer;
     const Fleet::Declarations &declarations = m_parts.m_beliefs.declarations();
     answer.m_declarations.m_weights = declarations.m_weights;
-    if (declarations.configurationMark() > request.m_configurationMark) {
+    if (declarations.configurationRevisionOffset() > request.m_configurationMark) {
         answer.m_declarations.m_configuration = declarations.m_configuration;
         answer.m_declarations.m_configurationOffset = declarations.m_configurationOffset;
         if (request.m_forAgent) {
@@ -138,12 +138,12 @@
             answer.m_declarations.m_configuration->m_accounts.clear();
         }
     }
-    if (!request.m_forAgent && m_parts.m_beliefs.endpointsMark() > request.m_endpointsMark) {
+    if (!request.m_forAgent && m_parts.m_beliefs.endpointsRevisionOffset() > request.m_endpointsMark) {
         answer.m_endpoints = m_parts.m_beliefs.endpointSnapshot();
         const std::optional<Core::Instant> since = m_listDoubtfulSince ? m_listDoubtfulSince() : std::nullopt;
         if (since) {
             const Core::Duration regained = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *since);
-            answer.m_endpoints.m_regainedMilliseconds = static_cast<std::uint64_t>(regained.count());
+            answer.m_endpoints.m_millisecondsSinceRecovery = static_cast<std::uint64_t>(regained.count());
         }
     }
     return answer;
@@ -160,8 +160,8 @@
     m_pulls.add();
     StateRequest request;
     request.m_forAgent = m_self.m_role == Role::Agent;
-    request.m_configurationMark = m_parts.m_beliefs.declarations().configurationMark();
-    request.m_endpointsMark = m_parts.m_beliefs.endpointsMark();
+    request.m_configurationMark = m_parts.m_beliefs.declarations().configurationRevisionOffset();
+    request.m_endpointsMark = m_parts.m_beliefs.endpointsRevisionOffset();
     const std::shared_ptr<std::string> encoded = std::make_shared<std::string>();
     Wire::CallEvents events;
     events.m_onFrame = [encoded](std::string frame) { *encoded = std::move(frame); };
@@ -184,13 +184,13 @@
         m_parts.m_log.write(Telemetry::LogLine("state_pull_failed").text("error", answer.error().message()));
         return;
     }
-    Fleet::BeliefUpdate update = m_parts.m_beliefs.apply(answer.value().m_declarations);
+    Fleet::FleetStateUpdate update = m_parts.m_beliefs.apply(answer.value().m_declarations);
     if (answer.value().m_endpoints.m_isSnapshot) {
         const Fleet::EndpointChanges &endpoints = answer.value().m_endpoints;
         const Core::Instant now = Core::Clock::now();
         std::optional<Core::Instant> regainedAt;
-        if (endpoints.m_regainedMilliseconds) {
-            regainedAt = now - Core::Duration(*endpoints.m_regainedMilliseconds);
+        if (endpoints.m_millisecondsSinceRecovery) {
+            regainedAt = now - Core::Duration(*endpoints.m_millisecondsSinceRecovery);
         }
         update.m_endpoints = m_parts.m_beliefs.apply(endpoints, regainedAt, now).m_endpoints;
     }
--- a/Libraries/LibPlacement/Admission.cpp
+++ b/Libraries/LibPlacement/Admission.cpp
@@ -31,7 +31,7 @@
 
 }
 
-Core::Duration CallerPatience::lost(const std::string &route, Core::Duration patience, Core::Instant now)
+Core::Duration ElapsedTimeEstimator::lost(const std::string &route, Core::Duration patience, Core::Instant now)
 {
     Stated &stated = m_stated[route];
     if (patience >= stated.m_longest || now - stated.m_longestAt > Memory) {
@@ -49,7 +49,7 @@
     return patience >= shortest ? Core::Duration(0) : (stated.m_longest + shortest) / 2 - patience;
 }
 
-void CallerPatience::refused(Core::Instant now)
+void ElapsedTimeEstimator::refused(Core::Instant now)
 {
     m_refusedAt = now;
 }
@@ -79,9 +79,9 @@
     return Core::Duration(static_cast<std::int64_t>(milliseconds * waitedShare * (1 - spread * random.unit())));
 }
 
-ReportedPlaces reportedPlaces(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace)
+ReportedSlots reportedSlots(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace)
 {
-    ReportedPlaces places;
+    ReportedSlots places;
     places.m_most = engine.m_slots;
     places.m_free = places.m_most - running - waiting;
     places.m_perSecond = finishedPerSecond(engine) / std::max(pace, 1.0);
--- a/Libraries/LibPlacement/Admission.h
+++ b/Libraries/LibPlacement/Admission.h
@@ -19,7 +19,7 @@
  * A caller that comes back after a refusal sends a new request, which states only the time that is left. Fresh callers of a route do not all state the
  * same time either; how far they differ is learned while nobody was refused. Used by one thread.
  */
-class CallerPatience
+class ElapsedTimeEstimator
 {
 public:
     /// Notes what a caller of the route states, and returns the time that it has lost since its first try; zero for what may be a fresh one.
@@ -74,6 +74,6 @@
 Core::Duration returnTimeWithoutWeights(Core::Duration timeLeft, Core::Random &random);
 
 /// What a report says of an engine's places.
-ReportedPlaces reportedPlaces(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace);
+ReportedSlots reportedSlots(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace);
 
 }
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -32,8 +32,8 @@
 struct ChoiceView
 {
     const std::map<std::string, Fleet::KnownEndpoint> &m_endpoints;
-    const EndpointBook &m_book;
-    const PlaceLedger &m_ledger; ///< Of the engines' places.
+    const EndpointTracker &m_book;
+    const SlotTracker &m_ledger; ///< Of the engines' places.
     const Fleet::EngineModel &m_engine; ///< Of the service; without slots for plain services.
     std::string m_ownFailureDomain;
     Core::Instant m_now;
--- a/Libraries/LibPlacement/EndpointBook.cpp
+++ b/Libraries/LibPlacement/EndpointBook.cpp
@@ -21,12 +21,12 @@
 
 }
 
-EndpointBook::EndpointBook(AvoidanceSettings settings)
+EndpointTracker::EndpointTracker(AvoidanceSettings settings)
     : m_settings(settings)
 {
 }
 
-EndpointRecord &EndpointBook::record(const Fleet::Endpoint &endpoint)
+EndpointRecord &EndpointTracker::record(const Fleet::Endpoint &endpoint)
 {
     EndpointRecord &record = m_records[endpoint.m_id];
     if (record.m_startedMilliseconds != endpoint.m_startedMilliseconds) {
@@ -36,7 +36,7 @@
     return record;
 }
 
-const EndpointRecord &EndpointBook::look(const Fleet::Endpoint &endpoint) const
+const EndpointRecord &EndpointTracker::look(const Fleet::Endpoint &endpoint) const
 {
     static const EndpointRecord unknown{};
     const std::map<std::string, EndpointRecord>::const_iterator found = m_records.find(endpoint.m_id);
@@ -44,26 +44,26 @@
     return isCurrent ? found->second : unknown;
 }
 
-void EndpointBook::sent(const Fleet::Endpoint &endpoint)
+void EndpointTracker::sent(const Fleet::Endpoint &endpoint)
 {
     EndpointRecord &entry = record(endpoint);
     ++entry.m_load.m_sentSince;
     ++entry.m_load.m_open;
 }
 
-void EndpointBook::ended(const Fleet::Endpoint &endpoint)
+void EndpointTracker::ended(const Fleet::Endpoint &endpoint)
 {
     EndpointRecord &entry = record(endpoint);
     entry.m_load.m_open -= std::min(entry.m_load.m_open, 1U);
     entry.m_load.m_sentSince = std::min(entry.m_load.m_sentSince, entry.m_load.m_open);
 }
 
-void EndpointBook::loadReported(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
+void EndpointTracker::loadReported(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
 {
     noteLoad(record(endpoint), running, waiting, now);
 }
 
-void EndpointBook::engineReported(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now)
+void EndpointTracker::recordEngineReport(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now)
 {
     EndpointRecord &entry = record(endpoint);
     noteLoad(entry, report.m_running, report.m_waiting, now);
@@ -72,7 +72,7 @@
     entry.m_engineReportedAt = now;
 }
 
-void EndpointBook::succeeded(const Fleet::Endpoint &endpoint, double milliseconds)
+void EndpointTracker::succeeded(const Fleet::Endpoint &endpoint, double milliseconds)
 {
     EndpointRecord &entry = record(endpoint);
     entry.m_failuresInRow = 0;
@@ -80,7 +80,7 @@
         entry.m_usualMilliseconds == 0 ? milliseconds : entry.m_usualMilliseconds + AverageWeight * (milliseconds - entry.m_usualMilliseconds);
 }
 
-void EndpointBook::failed(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now)
+void EndpointTracker::failed(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now)
 {
     EndpointRecord &entry = record(endpoint);
     if (failure == EndpointFailure::Refused) {
@@ -93,7 +93,7 @@
     entry.m_avoidUntil = std::max(entry.m_avoidUntil, now + pause);
 }
 
-void EndpointBook::keepOnly(const std::map<std::string, Fleet::KnownEndpoint> &known)
+void EndpointTracker::retainKnown(const std::map<std::string, Fleet::KnownEndpoint> &known)
 {
     std::erase_if(m_records, [&known](const std::pair<const std::string, EndpointRecord> &entry) { return !known.contains(entry.first); });
 }
--- a/Libraries/LibPlacement/EndpointBook.h
+++ b/Libraries/LibPlacement/EndpointBook.h
@@ -57,10 +57,10 @@
 };
 
 /// Records by endpoint id. Used by one thread.
-class EndpointBook
+class EndpointTracker
 {
 public:
-    explicit EndpointBook(AvoidanceSettings settings = {});
+    explicit EndpointTracker(AvoidanceSettings settings = {});
 
     /// The record of an incarnation; one of an earlier incarnation is replaced.
     EndpointRecord &record(const Fleet::Endpoint &endpoint);
@@ -70,11 +70,11 @@
     void sent(const Fleet::Endpoint &endpoint);
     void ended(const Fleet::Endpoint &endpoint);
     void loadReported(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now);
-    void engineReported(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now);
+    void recordEngineReport(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now);
     void succeeded(const Fleet::Endpoint &endpoint, double milliseconds);
     void failed(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now);
     /// Drops the records of endpoints that are not known any more.
-    void keepOnly(const std::map<std::string, Fleet::KnownEndpoint> &known);
+    void retainKnown(const std::map<std::string, Fleet::KnownEndpoint> &known);
 
 private:
     const AvoidanceSettings m_settings;
--- a/Libraries/LibPlacement/PlaceLedger.cpp
+++ b/Libraries/LibPlacement/PlaceLedger.cpp
@@ -13,17 +13,17 @@
 
 }
 
-void PlaceLedger::setShare(double share)
+void SlotTracker::setShare(double share)
 {
     m_share = std::clamp(share, SmallestShare, 1.0);
 }
 
-void PlaceLedger::reported(const std::string &engine, const ReportedPlaces &places, Core::Instant now)
+void SlotTracker::recordReport(const std::string &engine, const ReportedSlots &places, Core::Instant now)
 {
     m_entries[engine] = Entry{places, now, 0};
 }
 
-void PlaceLedger::sent(const std::string &engine)
+void SlotTracker::sent(const std::string &engine)
 {
     const std::map<std::string, Entry>::iterator entry = m_entries.find(engine);
     if (entry != m_entries.end()) {
@@ -31,20 +31,20 @@
     }
 }
 
-double PlaceLedger::placesOf(const Entry &entry, Core::Instant now) const
+double SlotTracker::placesOf(const Entry &entry, Core::Instant now) const
 {
     // What ends between two reports makes room too.
     const double since = Core::secondsBetween(entry.m_at, now) * entry.m_places.m_perSecond;
     return m_share * std::min(entry.m_places.m_most, entry.m_places.m_free + since) - entry.m_sent;
 }
 
-double PlaceLedger::places(const std::string &engine, Core::Instant now) const
+double SlotTracker::places(const std::string &engine, Core::Instant now) const
 {
     const std::map<std::string, Entry>::const_iterator entry = m_entries.find(engine);
     return entry == m_entries.end() ? 0 : placesOf(entry->second, now);
 }
 
-std::optional<double> PlaceLedger::total(Core::Instant now) const
+std::optional<double> SlotTracker::total(Core::Instant now) const
 {
     std::optional<double> sum;
     for (const std::pair<const std::string, Entry> &entry : m_entries) {
@@ -55,7 +55,7 @@
     return sum;
 }
 
-double PlaceLedger::placesPerSecond(Core::Instant now) const
+double SlotTracker::placesPerSecond(Core::Instant now) const
 {
     double sum = 0;
     for (const std::pair<const std::string, Entry> &entry : m_entries) {
@@ -66,20 +66,20 @@
     return m_share * sum;
 }
 
-std::size_t PlaceLedger::enginesWithPlaces(Core::Instant now) const
+std::size_t SlotTracker::enginesWithPlaces(Core::Instant now) const
 {
     return static_cast<std::size_t>(std::count_if(m_entries.begin(), m_entries.end(), [now](const std::pair<const std::string, Entry> &entry) {
         return now - entry.second.m_at < ReportLifetime && entry.second.m_places.m_most > 0;
     }));
 }
 
-std::size_t PlaceLedger::engines(Core::Instant now) const
+std::size_t SlotTracker::engines(Core::Instant now) const
 {
     return static_cast<std::size_t>(std::count_if(
         m_entries.begin(), m_entries.end(), [now](const std::pair<const std::string, Entry> &entry) { return now - entry.second.m_at < ReportLifetime; }));
 }
 
-void PlaceLedger::keepOnly(const std::function<bool(const std::string &engine)> &isKnown)
+void SlotTracker::retainKnown(const std::function<bool(const std::string &engine)> &isKnown)
 {
     std::erase_if(m_entries, [&isKnown](const std::pair<const std::string, Entry> &entry) { return !isKnown(entry.first); });
 }
--- a/Libraries/LibPlacement/PlaceLedger.h
+++ b/Libraries/LibPlacement/PlaceLedger.h
@@ -12,13 +12,13 @@
 namespace Placement {
 
 /// What a report says of an engine's places.
-struct ReportedPlaces
+struct ReportedSlots
 {
     double m_free = 0; ///< Requests that it may take now, queue included; negative if it has more than that.
     double m_most = 0; ///< Requests that it may have at once.
     double m_perSecond = 0; ///< Requests that it finishes while it is full.
 
-    bool operator==(const ReportedPlaces &) const = default;
+    bool operator==(const ReportedSlots &) const = default;
 };
 
 /**
@@ -27,7 +27,7 @@
  * All processes hear the same reports. If each sent to whatever looked free, all would send to the same few engines until the next report. Each process
  * therefore counts only its own part of the places as free; the parts add up to the whole. Used by one thread.
  */
-class PlaceLedger
+class SlotTracker
 {
 public:
     /// Part of the traffic that this process has; over 0, at most 1.
@@ -37,7 +37,7 @@
         return m_share;
     }
 
-    void reported(const std::string &engine, const ReportedPlaces &places, Core::Instant now);
+    void recordReport(const std::string &engine, const ReportedSlots &places, Core::Instant now);
     /// A request of this process goes to the engine.
     void sent(const std::string &engine);
     /// This process's part of the engine's places. May be a fraction, or negative.
@@ -51,12 +51,12 @@
     /// Engines from which a report came lately.
     std::size_t engines(Core::Instant now) const;
     /// Drops the engines that are not known any more.
-    void keepOnly(const std::function<bool(const std::string &engine)> &isKnown);
+    void retainKnown(const std::function<bool(const std::string &engine)> &isKnown);
 
 private:
     struct Entry
     {
-        ReportedPlaces m_places;
+        ReportedSlots m_places;
         Core::Instant m_at;
         double m_sent = 0; ///< Requests of this process since the report.
     };
--- a/Libraries/LibPlacement/RepeatBudgets.cpp
+++ b/Libraries/LibPlacement/RepeatBudgets.cpp
@@ -6,17 +6,17 @@
 
 namespace Placement {
 
-RepeatBudgets::RepeatBudgets(RepeatBudgetSettings settings)
+RetryBudgets::RetryBudgets(RetryBudgetSettings settings)
     : m_settings(settings)
 {
 }
 
-double RepeatBudgets::burst() const
+double RetryBudgets::burst() const
 {
-    return std::max(1.0, m_settings.m_slack * m_settings.m_safety / static_cast<double>(m_sharers));
+    return std::max(1.0, m_settings.m_burst * m_settings.m_safety / static_cast<double>(m_sharers));
 }
 
-void RepeatBudgets::setSharers(std::size_t sharers)
+void RetryBudgets::setProcessCount(std::size_t sharers)
 {
     m_sharers = std::max<std::size_t>(sharers, 1);
     for (std::pair<const std::string, Routing::RetryBudget> &entry : m_budgets) {
@@ -25,21 +25,21 @@
     }
 }
 
-Routing::RetryBudget &RepeatBudgets::budget(const std::string &service)
+Routing::RetryBudget &RetryBudgets::budget(const std::string &service)
 {
     const std::map<std::string, Routing::RetryBudget>::iterator known = m_budgets.find(service);
     if (known != m_budgets.end()) {
         return known->second;
     }
-    return m_budgets.emplace(service, Routing::RetryBudget(m_settings.m_share * m_settings.m_safety, burst())).first->second;
+    return m_budgets.emplace(service, Routing::RetryBudget(m_settings.m_retriesPerRequest * m_settings.m_safety, burst())).first->second;
 }
 
-void RepeatBudgets::onRequest(const std::string &service)
+void RetryBudgets::onRequest(const std::string &service)
 {
     budget(service).onRequest();
 }
 
-bool RepeatBudgets::tryRepeat(const std::string &service)
+bool RetryBudgets::tryRepeat(const std::string &service)
 {
     return budget(service).tryRetry();
 }
--- a/Libraries/LibPlacement/RepeatBudgets.h
+++ b/Libraries/LibPlacement/RepeatBudgets.h
@@ -10,13 +10,13 @@
 namespace Placement {
 
 /// The budget that all processes share.
-struct RepeatBudgetSettings
+struct RetryBudgetSettings
 {
-    double m_share = 0.2; ///< Repeats for each request of a service.
-    double m_slack = 100; ///< Further repeats of a service within the window, summed over all processes.
+    double m_retriesPerRequest = 0.2; ///< Repeats for each request of a service.
+    double m_burst = 100; ///< Further repeats of a service within the window, summed over all processes.
     double m_safety = 0.85; ///< Part of the budget that is used: requests spread unevenly over processes, and windows begin at any time.
 
-    bool operator==(const RepeatBudgetSettings &) const = default;
+    bool operator==(const RetryBudgetSettings &) const = default;
 };
 
 /**
@@ -24,13 +24,13 @@
  *
  * The processes cannot count together without a round trip for each repeat, so each takes an equal part of the slack. Used by one thread.
  */
-class RepeatBudgets
+class RetryBudgets
 {
 public:
-    explicit RepeatBudgets(RepeatBudgetSettings settings);
+    explicit RetryBudgets(RetryBudgetSettings settings);
 
     /// Number of processes that share the budget; at least one.
-    void setSharers(std::size_t sharers);
+    void setProcessCount(std::size_t sharers);
     void onRequest(const std::string &service);
     /// Takes one repeat out of the budget; false if there is none.
     bool tryRepeat(const std::string &service);
@@ -39,7 +39,7 @@
     double burst() const;
     Routing::RetryBudget &budget(const std::string &service);
 
-    const RepeatBudgetSettings m_settings;
+    const RetryBudgetSettings m_settings;
     std::size_t m_sharers = 1;
     std::map<std::string, Routing::RetryBudget> m_budgets; ///< By service.
 };
--- a/Libraries/LibPlacement/VersionDeadlines.cpp
+++ b/Libraries/LibPlacement/VersionDeadlines.cpp
@@ -11,7 +11,7 @@
 {
 }
 
-void VersionDeadlines::declared(const std::string &model, std::uint64_t version, Core::Duration age, Core::Instant now)
+void VersionDeadlines::recordDeclared(const std::string &model, std::uint64_t version, Core::Duration age, Core::Instant now)
 {
     const Core::Instant acceptedAt = now - age;
     DeclarationTime &known = m_declared[model].try_emplace(version, DeclarationTime{acceptedAt, true}).first->second;
@@ -20,7 +20,7 @@
     dropOldest(model);
 }
 
-void VersionDeadlines::found(const std::string &model, std::uint64_t version, Core::Instant now)
+void VersionDeadlines::recordFound(const std::string &model, std::uint64_t version, Core::Instant now)
 {
     m_declared[model].try_emplace(version, DeclarationTime{now - m_bound, false});
     dropOldest(model);
@@ -35,7 +35,7 @@
     }
 }
 
-std::optional<std::uint64_t> VersionDeadlines::required(const std::string &model, Core::Instant now) const
+std::optional<std::uint64_t> VersionDeadlines::requiredVersion(const std::string &model, Core::Instant now) const
 {
     const std::map<std::string, std::map<std::uint64_t, DeclarationTime>>::const_iterator versions = m_declared.find(model);
     std::optional<std::uint64_t> newest;
@@ -50,7 +50,7 @@
     return newest;
 }
 
-std::optional<Core::Duration> VersionDeadlines::statedAge(const std::string &model, std::uint64_t version, Core::Instant now) const
+std::optional<Core::Duration> VersionDeadlines::knownAge(const std::string &model, std::uint64_t version, Core::Instant now) const
 {
     const std::map<std::string, std::map<std::uint64_t, DeclarationTime>>::const_iterator versions = m_declared.find(model);
     if (versions == m_declared.end()) {
@@ -63,7 +63,8 @@
     return std::chrono::duration_cast<Core::Duration>(now - known->second.m_acceptedAt);
 }
 
-std::vector<std::pair<std::uint64_t, Core::Duration>> VersionDeadlines::recent(const std::string &model, Core::Duration horizon, Core::Instant now) const
+std::vector<std::pair<std::uint64_t, Core::Duration>>
+VersionDeadlines::recentVersions(const std::string &model, Core::Duration horizon, Core::Instant now) const
 {
     std::vector<std::pair<std::uint64_t, Core::Duration>> versions;
     const std::map<std::string, std::map<std::uint64_t, DeclarationTime>>::const_iterator declared = m_declared.find(model);
@@ -79,7 +80,7 @@
     return versions;
 }
 
-std::optional<Core::Duration> VersionDeadlines::oldestAge(const std::string &model, std::uint64_t loaded, Core::Instant now) const
+std::optional<Core::Duration> VersionDeadlines::oldestAgeAfter(const std::string &model, std::uint64_t loaded, Core::Instant now) const
 {
     const std::map<std::string, std::map<std::uint64_t, DeclarationTime>>::const_iterator versions = m_declared.find(model);
     std::optional<Core::Duration> oldest;
--- a/Libraries/LibRelay/Dialect.h
+++ b/Libraries/LibRelay/Dialect.h
@@ -15,7 +15,7 @@
 struct RequestFacts
 {
     std::string m_attemptId; ///< New for each try of the caller; empty if it is missing.
-    std::optional<Core::Duration> m_patience; ///< How long the caller waits from now on.
+    std::optional<Core::Duration> m_timeout; ///< How long the caller waits from now on.
     std::string m_key; ///< Of a client account; empty if none was sent.
     std::string m_model; ///< Empty unless the request is for a model engine.
     std::uint32_t m_promptTokens = 0;
--- a/Libraries/LibRelay/Relay.cpp
+++ b/Libraries/LibRelay/Relay.cpp
@@ -33,7 +33,7 @@
 
 Relay::~Relay() = default;
 
-void Relay::configurationChanged()
+void Relay::onConfigurationChanged()
 {
     const std::vector<std::weak_ptr<RelayedRequest>> unconfigured = std::move(m_unconfigured);
     m_unconfigured.clear();
@@ -45,9 +45,9 @@
     }
 }
 
-void Relay::placesChanged()
+void Relay::onSlotsChanged()
 {
-    m_waiting.placesChanged();
+    m_waiting.onSlotsChanged();
 }
 
 std::size_t Relay::enginesListed(const std::string &service) const
@@ -68,7 +68,7 @@
         return forecast;
     }
     const Core::Instant now = Core::Clock::now();
-    const Placement::PlaceLedger &ledger = m_parts.m_ledger;
+    const Placement::SlotTracker &ledger = m_parts.m_ledger;
     forecast.m_placesPerSecond = ledger.placesPerSecond(now);
     forecast.m_freePlaces = std::max(0.0, ledger.total(now).value_or(0));
     const std::size_t listed = enginesListed(service);
--- a/Libraries/LibRelay/Relay.h
+++ b/Libraries/LibRelay/Relay.h
@@ -40,12 +40,12 @@
 struct RelayParts
 {
     Http::EventLoop &m_loop;
-    Fleet::Beliefs &m_beliefs;
-    Placement::EndpointBook &m_book;
-    Placement::RepeatBudgets &m_budgets;
+    Fleet::FleetState &m_beliefs;
+    Placement::EndpointTracker &m_book;
+    Placement::RetryBudgets &m_budgets;
     Placement::VersionDeadlines &m_versions;
-    Placement::CallerPatience &m_patience;
-    Placement::PlaceLedger &m_ledger;
+    Placement::ElapsedTimeEstimator &m_patience;
+    Placement::SlotTracker &m_ledger;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
     Core::Random &m_random;
@@ -80,9 +80,9 @@
     /// Takes a request over; it is answered on its connection.
     void handle(const std::shared_ptr<Http::ServerConnection> &connection, Http::ServerRequest request);
     /// Called when the configuration has changed.
-    void configurationChanged();
+    void onConfigurationChanged();
     /// Called when engines have reported: places may have become free.
-    void placesChanged();
+    void onSlotsChanged();
     /// Requests taken over since the start.
     std::uint64_t requests() const
     {
@@ -94,7 +94,7 @@
         return m_waiting.size();
     }
     /// Requests that have no whole answer yet.
-    std::size_t open() const
+    std::size_t openRequests() const
     {
         return m_open.size();
     }
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -126,8 +126,8 @@
 void RelayedRequest::setDeadline()
 {
     Core::Duration patience(m_route->m_timeoutMilliseconds);
-    if (m_facts.m_patience && (*m_facts.m_patience < patience || patience.count() == 0)) {
-        patience = *m_facts.m_patience;
+    if (m_facts.m_timeout && (*m_facts.m_timeout < patience || patience.count() == 0)) {
+        patience = *m_facts.m_timeout;
     }
     m_deadline = m_arrivedAt + patience;
     m_lost = m_relay.m_parts.m_patience.lost(m_route->m_name, patience, m_arrivedAt);
@@ -172,7 +172,7 @@
     request.m_neededPlaces = neededPlaces();
     if (m_service->m_engine.m_slots > 0) {
         request.m_model = m_facts.m_model;
-        request.m_requiredVersion = m_relay.m_parts.m_versions.required(m_facts.m_model, now);
+        request.m_requiredVersion = m_relay.m_parts.m_versions.requiredVersion(m_facts.m_model, now);
         const Fleet::DeclaredWeights *declared = m_relay.m_parts.m_beliefs.declaredWeights(m_facts.m_model);
         request.m_newestVersion = declared ? std::optional<std::uint64_t>(declared->m_version) : std::nullopt;
     }
@@ -240,7 +240,7 @@
 
 Placement::AdmissionView RelayedRequest::admissionView() const
 {
-    const Placement::PlaceLedger &ledger = m_relay.m_parts.m_ledger;
+    const Placement::SlotTracker &ledger = m_relay.m_parts.m_ledger;
     return Placement::AdmissionView{ledger.engines(Core::Clock::now()), ledger.share()};
 }
 
@@ -258,7 +258,7 @@
         // A caller is in the middle of this stream. Behind the requests that wait for their first event it would pause for longer than is on time.
         facts.m_priority = MostUrgent;
     }
-    const bool isBound = m_relay.m_parts.m_versions.required(m_facts.m_model, Core::Clock::now()).has_value();
+    const bool isBound = m_relay.m_parts.m_versions.requiredVersion(m_facts.m_model, Core::Clock::now()).has_value();
     if (isBound && m_service->m_engine.m_slots > 0) {
         // The engine compares for equality, so it is told the version that it was chosen with, which may be newer than the required one.
         facts.m_expectedVersion = choice.m_version;
--- a/Libraries/LibRelay/RelayedRequestQueueing.cpp
+++ b/Libraries/LibRelay/RelayedRequestQueueing.cpp
@@ -15,8 +15,8 @@
         return;
     }
     Core::Duration wait = m_relay.m_settings.m_configurationWait;
-    if (m_facts.m_patience) {
-        wait = std::min(wait, *m_facts.m_patience / patienceParts);
+    if (m_facts.m_timeout) {
+        wait = std::min(wait, *m_facts.m_timeout / patienceParts);
     }
     std::erase_if(m_relay.m_unconfigured, [](const std::weak_ptr<RelayedRequest> &other) { return other.expired(); });
     m_relay.m_unconfigured.push_back(weak_from_this());
@@ -92,7 +92,7 @@
 {
     const std::optional<double> needed = neededPlaces();
     const Core::Instant now = Core::Clock::now();
-    const Placement::PlaceLedger &ledger = m_relay.m_parts.m_ledger;
+    const Placement::SlotTracker &ledger = m_relay.m_parts.m_ledger;
     return needed && ledger.enginesWithPlaces(now) > 0 && ledger.total(now).value_or(0) < *needed;
 }
 
--- a/Libraries/LibRelay/WaitingRequests.cpp
+++ b/Libraries/LibRelay/WaitingRequests.cpp
@@ -101,7 +101,7 @@
     m_isServing = false;
 }
 
-void WaitingRequests::placesChanged()
+void WaitingRequests::onSlotsChanged()
 {
     if (Core::Clock::now() - m_servedAt >= LeastServePause) {
         serve();
--- a/Libraries/LibRelay/WaitingRequests.h
+++ b/Libraries/LibRelay/WaitingRequests.h
@@ -48,7 +48,7 @@
     /// Sends and gives up what can be decided now.
     void serve();
     /// Serves, since places may have become free, unless the queue was served a moment ago.
-    void placesChanged();
+    void onSlotsChanged();
 
 private:
     struct Waiting
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -83,7 +83,7 @@
     m_log.write(Telemetry::LogLine("started").text("callers", m_settings.m_callers.toString()).text("peers", m_settings.m_peers.toString()));
     m_loop.run();
     m_node.stop();
-    m_log.write(Telemetry::LogLine("stopped").number("open_requests", static_cast<std::int64_t>(m_relay.open())));
+    m_log.write(Telemetry::LogLine("stopped").number("open_requests", static_cast<std::int64_t>(m_relay.openRequests())));
     m_log.flush();
     return 0;
 }
@@ -118,10 +118,10 @@
     }
     addDump();
     m_gossip.registerMethods();
-    m_gossip.onStateApplied([this](const Fleet::BeliefUpdate &update) { beliefsChanged(update, false); });
+    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { beliefsChanged(update, false); });
     m_gossip.onEngineNews([this](const std::vector<Gossip::EngineNews> &news) { engineNews(news); });
     m_gossip.onMembers([this] { shareOut(); });
-    m_follower.onUpdate([this](const Fleet::BeliefUpdate &update) { beliefsChanged(update, true); });
+    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { beliefsChanged(update, true); });
     m_gossip.onListDoubt([this] { return m_follower.doubtfulSince(); });
     m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.listRead(asked); });
     m_follower.onMayRest([this] {
@@ -145,7 +145,7 @@
         object->set("endpoints", m_beliefs.endpoints().size());
         object->set("endpoints_end", m_beliefs.endpointsEnd());
         object->set("members", m_gossip.members().alive(Core::Clock::now()).size());
-        object->set("open_requests", m_relay.open());
+        object->set("open_requests", m_relay.openRequests());
         return object;
     });
 }
@@ -189,7 +189,7 @@
         return;
     }
     m_leavingSince = Core::Clock::now();
-    m_log.write(Telemetry::LogLine("leaving").number("open_requests", static_cast<std::int64_t>(m_relay.open())));
+    m_log.write(Telemetry::LogLine("leaving").number("open_requests", static_cast<std::int64_t>(m_relay.openRequests())));
     m_gossip.announceLeaving();
     continueLeaving();
 }
@@ -205,7 +205,7 @@
     if (!takesRequests) {
         m_listeners.front()->stop();
     }
-    const bool isIdle = m_relay.open() == 0 && m_listeners.front()->connections() == 0;
+    const bool isIdle = m_relay.openRequests() == 0 && m_listeners.front()->connections() == 0;
     if ((!takesRequests && isIdle) || since >= m_settings.m_leavingTime - LeavingReserve) {
         stop();
         return;
@@ -234,11 +234,11 @@
     server.m_bodyTimeout = Core::Duration(limits.m_idleTimeoutMilliseconds);
 }
 
-void EntryProcess::beliefsChanged(const Fleet::BeliefUpdate &update, bool isFromLog)
+void EntryProcess::beliefsChanged(const Fleet::FleetStateUpdate &update, bool isFromLog)
 {
     if (update.m_configuration) {
         applyLimits();
-        m_relay.configurationChanged();
+        m_relay.onConfigurationChanged();
         const Fleet::Configuration &configuration = m_beliefs.configuration()->configuration();
         Telemetry::LogLine line("configuration");
         line.number("version", static_cast<std::int64_t>(configuration.m_version)).text("source", isFromLog ? "log" : "peer");
@@ -254,8 +254,8 @@
     }
     if (update.m_endpoints) {
         m_endpointsByAddress.rebuild(m_beliefs.endpoints());
-        m_book.keepOnly(m_beliefs.endpoints());
-        m_ledger.keepOnly([this](const std::string &engine) { return m_beliefs.endpoints().contains(engine); });
+        m_book.retainKnown(m_beliefs.endpoints());
+        m_ledger.retainKnown([this](const std::string &engine) { return m_beliefs.endpoints().contains(engine); });
         std::int64_t leaving = 0;
         for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_beliefs.endpoints()) {
             leaving += entry.second.m_endpoint.m_isLeaving ? 1 : 0;
@@ -280,7 +280,7 @@
     for (const Gossip::EngineNews &one : news) {
         takeReport(one, now);
     }
-    m_relay.placesChanged();
+    m_relay.onSlotsChanged();
 }
 
 void EntryProcess::takeReport(const Gossip::EngineNews &news, Core::Instant now)
@@ -289,7 +289,7 @@
         const Fleet::Endpoint &endpoint = m_beliefs.endpoints().at(id).m_endpoint;
         // An engine that does not state its start in reports is told by its address alone.
         if (news.m_startedMilliseconds == 0 || endpoint.m_startedMilliseconds == news.m_startedMilliseconds) {
-            m_book.engineReported(endpoint, news.m_report, now);
+            m_book.recordEngineReport(endpoint, news.m_report, now);
             notePlaces(endpoint, news.m_report, now);
         }
     }
@@ -301,17 +301,17 @@
     if (!service || service->m_engine.m_slots == 0) {
         return;
     }
-    Placement::ReportedPlaces places = Placement::reportedPlaces(service->m_engine, report.m_running, report.m_waiting, report.m_pace);
+    Placement::ReportedSlots places = Placement::reportedSlots(service->m_engine, report.m_running, report.m_waiting, report.m_pace);
     if (report.m_isLoading || report.m_weights.empty() || endpoint.m_isLeaving) {
-        places = Placement::ReportedPlaces{};
+        places = Placement::ReportedSlots{};
     }
-    m_ledger.reported(endpoint.m_id, places, now);
+    m_ledger.recordReport(endpoint.m_id, places, now);
 }
 
 void EntryProcess::shareOut()
 {
     const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
-    m_budgets.setSharers(entries.size() + 1);
+    m_budgets.setProcessCount(entries.size() + 1);
     const double own = m_gossip.self().m_requestsPerSecond + 1.0;
     double all = own;
     for (const Gossip::Member &entry : entries) {
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -56,7 +56,7 @@
     void startLeaving();
     void continueLeaving();
     void stop();
-    void beliefsChanged(const Fleet::BeliefUpdate &update, bool isFromLog);
+    void beliefsChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
     void engineNews(const std::vector<Gossip::EngineNews> &news);
     void takeReport(const Gossip::EngineNews &news, Core::Instant now);
     void applyLimits();
@@ -77,13 +77,13 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log;
     Core::Random m_random;
-    Fleet::Beliefs m_beliefs;
+    Fleet::FleetState m_beliefs;
     Fleet::EndpointIndex m_endpointsByAddress; ///< Of the endpoints in m_beliefs.
-    Placement::EndpointBook m_book;
-    Placement::RepeatBudgets m_budgets;
+    Placement::EndpointTracker m_book;
+    Placement::RetryBudgets m_budgets;
     Placement::VersionDeadlines m_versions;
-    Placement::CallerPatience m_patience;
-    Placement::PlaceLedger m_ledger;
+    Placement::ElapsedTimeEstimator m_patience;
+    Placement::SlotTracker m_ledger;
     Wire::Node m_node;
     Gossip::GossipService m_gossip;
     Follow::Follower m_follower;
--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -119,9 +119,9 @@
     m_admin.addDumpSection("transfer", [this] { return m_transfer.dump(); });
     m_gossip.registerMethods();
     m_manifests.registerMethod();
-    m_gossip.onStateApplied([this](const Fleet::BeliefUpdate &) { m_keeper.beliefsChanged(); });
+    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &) { m_keeper.beliefsChanged(); });
     m_gossip.onMembers([this] { membersChanged(); });
-    m_follower.onUpdate([this](const Fleet::BeliefUpdate &) { m_keeper.beliefsChanged(); });
+    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &) { m_keeper.beliefsChanged(); });
     m_keeper.onStatus([this](const EngineStatus &status, bool isAway, bool isChange) { engineStatus(status, isAway, isChange); });
     BOOST_OUTCOME_TRYV(m_node.start());
     m_transfer.start();
--- a/Libraries/LibStaging/AgentProcess.h
+++ b/Libraries/LibStaging/AgentProcess.h
@@ -49,7 +49,7 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log;
     Core::Random m_random;
-    Fleet::Beliefs m_beliefs;
+    Fleet::FleetState m_beliefs;
     Placement::VersionDeadlines m_versions;
     Wire::Node m_node;
     Gossip::GossipService m_gossip;
--- a/Libraries/LibStaging/WeightsKeeper.cpp
+++ b/Libraries/LibStaging/WeightsKeeper.cpp
@@ -281,7 +281,7 @@
     if (!m_target || m_step == Step::Idle || m_step == Step::Loading || drawnShare() < m_settings.m_finishFromShare) {
         return false;
     }
-    const std::optional<Core::Duration> age = m_parts.m_versions.statedAge(m_target->m_model, m_target->m_version, Core::Clock::now());
+    const std::optional<Core::Duration> age = m_parts.m_versions.knownAge(m_target->m_model, m_target->m_version, Core::Clock::now());
     return age && *age < m_settings.m_finishWithin;
 }
 
@@ -513,7 +513,7 @@
         return true; // It serves nothing that a load could interrupt.
     }
     const Core::Instant now = Core::Clock::now();
-    const std::optional<Core::Duration> age = m_parts.m_versions.statedAge(m_target->m_model, m_target->m_version, now);
+    const std::optional<Core::Duration> age = m_parts.m_versions.knownAge(m_target->m_model, m_target->m_version, now);
     if (!age) {
         return true;
     }
@@ -526,7 +526,7 @@
     for (const Fleet::LoadedWeights &weights : m_status->m_weights) {
         loaded = std::max(loaded, weights.m_model == m_target->m_model ? weights.m_version : 0);
     }
-    const Core::Duration oldest = m_parts.m_versions.oldestAge(m_target->m_model, loaded, now).value_or(*age);
+    const Core::Duration oldest = m_parts.m_versions.oldestAgeAfter(m_target->m_model, loaded, now).value_or(*age);
     return *age >= turnAfter(rank, others.size() + 1, std::max(Core::Duration(0), oldest - *age), m_settings.m_turns);
 }
 
--- a/Libraries/LibStaging/WeightsKeeper.h
+++ b/Libraries/LibStaging/WeightsKeeper.h
@@ -48,7 +48,7 @@
 struct KeeperParts
 {
     Http::EventLoop &m_loop;
-    Fleet::Beliefs &m_beliefs;
+    Fleet::FleetState &m_beliefs;
     Placement::VersionDeadlines &m_versions;
     Transfer::TransferManager &m_transfer;
     Telemetry::Metrics &m_metrics;
--- a/Tests/LibFleet/TestBeliefs.cpp
+++ b/Tests/LibFleet/TestBeliefs.cpp
@@ -45,16 +45,16 @@
 {
     // A log numbers its records from 0. A process that took mark 0 for "none known" told nobody of a configuration at offset 0, so processes beside
     // engines never learned what to load and joining engines stayed empty.
-    Fleet::Beliefs beliefs;
-    CHECK(beliefs.declarations().configurationMark() == 0);
+    Fleet::FleetState beliefs;
+    CHECK(beliefs.declarations().configurationRevisionOffset() == 0);
     CHECK(beliefs.apply(configurationAt(0, 3)).m_configuration);
-    CHECK(beliefs.declarations().configurationMark() == 1);
+    CHECK(beliefs.declarations().configurationRevisionOffset() == 1);
 }
 
 TEST_CASE("an older configuration never replaces a newer one")
 {
     // A peer that was cut off comes back and hands out what it knew. Callers would see a revoked key work again.
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(configurationAt(7, 30));
     CHECK_FALSE(beliefs.apply(configurationAt(5, 20)).any());
     CHECK(beliefs.configuration()->configuration().m_version == 30);
@@ -63,7 +63,7 @@
 
 TEST_CASE("declared weights only rise")
 {
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     Fleet::Declarations declarations;
     declarations.m_weights = {Fleet::DeclaredWeights{"draft", 3, 9}};
     CHECK(beliefs.apply(declarations).m_weights);
@@ -76,7 +76,7 @@
 TEST_CASE("an endpoint that leaves stays leaving for its incarnation")
 {
     // A heartbeat that was under way when the endpoint announced its leaving arrives later. New requests would go to an endpoint that exits.
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     Fleet::Endpoint leaving = endpoint("a");
     leaving.m_isLeaving = true;
     beliefs.apply(entry(leaving, 4), std::nullopt, Start);
@@ -89,7 +89,7 @@
 
 TEST_CASE("a record of an earlier incarnation is ignored")
 {
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a", 9), 4), std::nullopt, Start);
     CHECK_FALSE(beliefs.apply(entry(endpoint("a", 8), 5), std::nullopt, Start).any());
     CHECK(beliefs.endpoints().at("a").m_endpoint.m_startedMilliseconds == 9);
@@ -99,7 +99,7 @@
 {
     // While the log is down engines cannot renew their entries, which lapse together. Taken for dead, the whole fleet would be refused to callers
     // at the moment at which the log comes back.
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     beliefs.apply(entry(endpoint("b"), 2), std::nullopt, Start);
     beliefs.apply(removal("a", 3), Start, Start);
@@ -107,7 +107,7 @@
     CHECK(beliefs.endpoints().size() == 2);
 
     beliefs.apply(entry(endpoint("a"), 5), std::nullopt, Start + Core::Duration(1500));
-    beliefs.forgetMissing(Core::Duration(2500), Start + Core::Duration(2600));
+    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
     CHECK(beliefs.endpoints().contains("a"));
     CHECK_FALSE(beliefs.endpoints().contains("b"));
 }
@@ -115,19 +115,19 @@
 TEST_CASE("an entry that is removed shortly after an outage has no more time to come back than those that lapsed in it")
 {
     // Guards against requests to an engine that left without a notice once the list was back: entries that live are back two seconds after that.
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     const Core::Instant removedAt = Start + Core::Duration(2000);
     beliefs.apply(removal("a", 2), Start, removedAt);
-    beliefs.forgetMissing(Core::Duration(2500), Start + Core::Duration(2400));
+    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2400));
     CHECK(beliefs.endpoints().contains("a"));
-    beliefs.forgetMissing(Core::Duration(2500), Start + Core::Duration(2600));
+    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
     CHECK_FALSE(beliefs.endpoints().contains("a"));
 }
 
 TEST_CASE("an entry that is removed while the list is well is gone at once")
 {
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     CHECK(beliefs.apply(removal("a", 2), std::nullopt, Start).m_endpoints);
     CHECK(beliefs.endpoints().empty());
@@ -135,7 +135,7 @@
 
 TEST_CASE("a snapshot drops what it does not name, but nothing that is newer")
 {
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("old"), 1), std::nullopt, Start);
     Fleet::EndpointChanges snapshot = entry(endpoint("kept"), 5);
     snapshot.m_isSnapshot = true;
@@ -152,11 +152,11 @@
 
 TEST_CASE("a peer's snapshot does not bring an endpoint back that has gone")
 {
-    Fleet::Beliefs source;
+    Fleet::FleetState source;
     source.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     const Fleet::EndpointChanges told = source.endpointSnapshot();
 
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     beliefs.apply(removal("a", 2), std::nullopt, Start);
     beliefs.apply(told, std::nullopt, Start);
@@ -166,27 +166,27 @@
 TEST_CASE("the mark of the list grows with what matters, and equally for everybody")
 {
     // The list grows by a record for each sign of life. If a peer's further reading counted as news, everybody would ask everybody for it all the time.
-    Fleet::Beliefs reader;
+    Fleet::FleetState reader;
     reader.apply(entry(endpoint("a"), 1), std::nullopt, Start);
-    CHECK(reader.endpointsMark() == 2);
+    CHECK(reader.endpointsRevisionOffset() == 2);
     reader.apply(entry(endpoint("a"), 5), std::nullopt, Start);
-    CHECK(reader.endpointsMark() == 2);
+    CHECK(reader.endpointsRevisionOffset() == 2);
     Fleet::Endpoint leaving = endpoint("a");
     leaving.m_isLeaving = true;
     reader.apply(entry(leaving, 7), std::nullopt, Start);
-    CHECK(reader.endpointsMark() == 8);
+    CHECK(reader.endpointsRevisionOffset() == 8);
 
-    Fleet::Beliefs peer;
+    Fleet::FleetState peer;
     peer.apply(reader.endpointSnapshot(), std::nullopt, Start);
-    CHECK(peer.endpointsMark() == reader.endpointsMark());
+    CHECK(peer.endpointsRevisionOffset() == reader.endpointsRevisionOffset());
     CHECK(peer.endpoints().at("a").m_endpoint.m_isLeaving);
 }
 
 TEST_CASE("a peer hands on that an endpoint is missing from the list")
 {
     // An engine leaves without a notice while the log is away. An entry that has its list from a peer must pass it over just as the peer does.
-    Fleet::Beliefs reader;
-    Fleet::Beliefs peer;
+    Fleet::FleetState reader;
+    Fleet::FleetState peer;
     reader.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     reader.apply(entry(endpoint("b"), 2), std::nullopt, Start);
     peer.apply(reader.endpointSnapshot(), std::nullopt, Start);
@@ -194,14 +194,14 @@
     CHECK(peer.apply(reader.endpointSnapshot(), std::nullopt, Start).m_endpoints);
     CHECK(peer.endpoints().at("a").m_missingSince);
     CHECK_FALSE(peer.endpoints().at("b").m_missingSince);
-    CHECK(peer.endpointsMark() == reader.endpointsMark());
+    CHECK(peer.endpointsRevisionOffset() == reader.endpointsRevisionOffset());
 }
 
 TEST_CASE("an engine that started again at its address replaces the one before, whichever entry is read first")
 {
     // All machines lose power. The engines are back under new ids within a second, but their old entries stand until they lapse; many requests went
     // to engines that are no more and were refused.
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("old", 100), 1), std::nullopt, Start);
     beliefs.apply(entry(endpoint("new", 200), 2), std::nullopt, Start);
     CHECK_FALSE(beliefs.endpoints().contains("old"));
@@ -219,7 +219,7 @@
 
 TEST_CASE("endpoints that state no time of their start replace nobody")
 {
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     beliefs.apply(entry(endpoint("a", 0), 1), std::nullopt, Start);
     beliefs.apply(entry(endpoint("b", 0), 2), std::nullopt, Start);
     CHECK(beliefs.endpoints().size() == 2);
--- a/Tests/LibFleet/TestConfiguration.cpp
+++ b/Tests/LibFleet/TestConfiguration.cpp
@@ -48,11 +48,11 @@
     configuration.m_services.resize(1);
     configuration.m_services[0].m_name = "plans";
     configuration.m_routes = {stream};
-    Fleet::noteMovableRequests(configuration);
+    Fleet::deriveMovableRequests(configuration);
     CHECK(configuration.m_services[0].m_mayMoveRequests);
 
     stream.m_isResumable = false;
     configuration.m_routes.push_back(stream);
-    Fleet::noteMovableRequests(configuration);
+    Fleet::deriveMovableRequests(configuration);
     CHECK_FALSE(configuration.m_services[0].m_mayMoveRequests);
 }
--- a/Tests/LibFollow/TestFollower.cpp
+++ b/Tests/LibFollow/TestFollower.cpp
@@ -18,7 +18,7 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log{STDOUT_FILENO, "test", m_metrics, Telemetry::EventLogLimits{0, 0, 0}};
     Core::Random m_random{3};
-    Fleet::Beliefs m_beliefs;
+    Fleet::FleetState m_beliefs;
     Placement::VersionDeadlines m_versions{Core::Duration(6500)};
     std::optional<Core::Error> m_error; ///< Every read fails with it.
     std::uint64_t m_version = 1; ///< Of the weights that the log declares.
@@ -94,11 +94,11 @@
     FollowerFixture fixture;
     fixture.m_follower->start();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_beliefs.declaredWeights("draft") != nullptr; }));
-    CHECK_FALSE(fixture.m_versions.statedAge("draft", 1, Core::Clock::now()));
+    CHECK_FALSE(fixture.m_versions.knownAge("draft", 1, Core::Clock::now()));
     fixture.m_version = 2;
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_beliefs.declaredWeights("draft")->m_version == 2; }));
-    CHECK(fixture.m_versions.statedAge("draft", 2, Core::Clock::now()));
-    CHECK_FALSE(fixture.m_versions.required("draft", Core::Clock::now()) == 2);
+    CHECK(fixture.m_versions.knownAge("draft", 2, Core::Clock::now()));
+    CHECK_FALSE(fixture.m_versions.requiredVersion("draft", Core::Clock::now()) == 2);
 }
 
 TEST_CASE("a process that peers keep up to date reads nothing, and reads again once they fall silent")
@@ -123,7 +123,7 @@
     Telemetry::Metrics metrics;
     Telemetry::EventLog log{STDOUT_FILENO, "test", metrics, Telemetry::EventLogLimits{0, 0, 0}};
     Core::Random random{3};
-    Fleet::Beliefs beliefs;
+    Fleet::FleetState beliefs;
     Placement::VersionDeadlines versions{Core::Duration(6500)};
     constexpr Core::Duration answersAfter{60};
     Http::Timer answer(loop);
--- a/Tests/LibPlacement/TestAdmission.cpp
+++ b/Tests/LibPlacement/TestAdmission.cpp
@@ -59,9 +59,9 @@
     const Placement::AdmissionSettings settings;
     Core::Random random(11);
     std::vector<ModelledEngine> engines(Engines);
-    std::vector<Placement::PlaceLedger> ledgers(Entries);
+    std::vector<Placement::SlotTracker> ledgers(Entries);
     std::vector<std::vector<int>> seen(Entries, std::vector<int>(Engines, 0)); ///< Load of each engine as each entry believes it.
-    for (Placement::PlaceLedger &ledger : ledgers) {
+    for (Placement::SlotTracker &ledger : ledgers) {
         ledger.setShare(1.0 / Entries);
     }
     Outcome outcome;
@@ -80,7 +80,7 @@
             for (std::size_t entry = 0; reportsNow && entry < Entries; ++entry) {
                 const std::uint32_t running = static_cast<std::uint32_t>(engine.m_endsAt.size());
                 const std::uint32_t waiting = static_cast<std::uint32_t>(engine.m_waitingSince.size());
-                ledgers[entry].reported(std::to_string(index), Placement::reportedPlaces(model, running, waiting, 1), now);
+                ledgers[entry].recordReport(std::to_string(index), Placement::reportedSlots(model, running, waiting, 1), now);
                 seen[entry][index] = engine.load();
             }
         }
@@ -129,12 +129,12 @@
 
 TEST_CASE("the parts of all processes add up to the places that were reported")
 {
-    std::vector<Placement::PlaceLedger> ledgers(3);
+    std::vector<Placement::SlotTracker> ledgers(3);
     const std::vector<double> shares{0.5, 0.3, 0.2};
     double sum = 0;
     for (std::size_t index = 0; index < ledgers.size(); ++index) {
         ledgers[index].setShare(shares[index]);
-        ledgers[index].reported("engine", Placement::ReportedPlaces{4, 18, 10}, Start);
+        ledgers[index].recordReport("engine", Placement::ReportedSlots{4, 18, 10}, Start);
         sum += ledgers[index].places("engine", Start);
     }
     CHECK(sum == Approx(4));
@@ -145,16 +145,16 @@
 
 TEST_CASE("without recent reports nobody is refused for want of places")
 {
-    Placement::PlaceLedger ledger;
+    Placement::SlotTracker ledger;
     CHECK_FALSE(ledger.total(Start));
-    ledger.reported("engine", Placement::ReportedPlaces{0, 18, 10}, Start);
+    ledger.recordReport("engine", Placement::ReportedSlots{0, 18, 10}, Start);
     CHECK(ledger.total(Start));
     CHECK_FALSE(ledger.total(Start + Core::Duration(5000)));
 }
 
 TEST_CASE("a caller that comes back is told from a fresh one by the time that it has left")
 {
-    Placement::CallerPatience patience;
+    Placement::ElapsedTimeEstimator patience;
     constexpr int fresh = 30;
     for (int caller = 0; caller < fresh; ++caller) {
         CHECK(patience.lost("route", Core::Duration(6000), Start) == Core::Duration(0));
@@ -166,7 +166,7 @@
 TEST_CASE("fresh callers that state different times are not taken for ones that come back")
 {
     // Guards against treating half of the fresh requests as late ones where callers state between 5.1 and 6 s.
-    Placement::CallerPatience patience;
+    Placement::ElapsedTimeEstimator patience;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
         patience.lost("route", Core::Duration(6000 - 15 * caller), Start + Core::Duration(100 * caller));
@@ -179,7 +179,7 @@
 TEST_CASE("callers that come back do not widen the range of what fresh ones state")
 {
     // Guards against learning from a spell of refusals that everybody is fresh.
-    Placement::CallerPatience patience;
+    Placement::ElapsedTimeEstimator patience;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
         patience.lost("route", Core::Duration(6000), Start + Core::Duration(100 * caller));
@@ -204,11 +204,11 @@
 {
     // Two processes ran slowly, so that their heartbeats came and went. Each return filled the buckets of all others, and together they repeated
     // more than the budget allows.
-    Placement::RepeatBudgets budgets(Placement::RepeatBudgetSettings{0.2, 26, 1});
-    budgets.setSharers(13);
+    Placement::RetryBudgets budgets(Placement::RetryBudgetSettings{0.2, 26, 1});
+    budgets.setProcessCount(13);
     int repeats = 0;
     for (std::size_t change = 0; change < 20; ++change) {
-        budgets.setSharers(12 + change % 2);
+        budgets.setProcessCount(12 + change % 2);
         while (budgets.tryRepeat("drafts")) {
             ++repeats;
         }
--- a/Tests/LibPlacement/TestChoice.cpp
+++ b/Tests/LibPlacement/TestChoice.cpp
@@ -28,8 +28,8 @@
 struct TestFleet
 {
     std::map<std::string, Fleet::KnownEndpoint> m_endpoints;
-    Placement::EndpointBook m_book;
-    Placement::PlaceLedger m_ledger;
+    Placement::EndpointTracker m_book;
+    Placement::SlotTracker m_ledger;
     Fleet::EngineModel m_engine = engineModel();
     Core::Random m_random{7};
 
@@ -70,7 +70,7 @@
     Placement::EngineReport loading;
     loading.m_isLoading = true;
     loading.m_weights = {Fleet::LoadedWeights{"draft", 1, {{0, 16}}}};
-    fleet.m_book.engineReported(fleet.add("loading"), loading, Start);
+    fleet.m_book.recordEngineReport(fleet.add("loading"), loading, Start);
     CHECK_FALSE(fleet.choose(request()).m_choice);
     CHECK(fleet.choose(request()).m_reason == Placement::NoChoice::NoWeights);
     fleet.add("good");
@@ -201,16 +201,16 @@
     std::vector<std::string> near;
     for (int index = 0; index < 10; ++index) {
         near.push_back(fleet.add("near-" + std::to_string(index)).m_id);
-        fleet.m_ledger.reported(near.back(), Placement::ReportedPlaces{2, 16, 8}, Start);
+        fleet.m_ledger.recordReport(near.back(), Placement::ReportedSlots{2, 16, 8}, Start);
         const std::string far = "far-" + std::to_string(index);
         fleet.add(far).m_failureDomain = "elsewhere";
-        fleet.m_ledger.reported(far, Placement::ReportedPlaces{16, 16, 8}, Start);
+        fleet.m_ledger.recordReport(far, Placement::ReportedSlots{16, 16, 8}, Start);
     }
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         REQUIRE(fleet.choose(request()).m_choice->m_endpoint.m_failureDomain == "here");
     }
     for (int index = 0; index < 5; ++index) {
-        fleet.m_ledger.reported(near[index], Placement::ReportedPlaces{-1, 16, 8}, Start);
+        fleet.m_ledger.recordReport(near[index], Placement::ReportedSlots{-1, 16, 8}, Start);
     }
     std::size_t far = 0;
     for (std::size_t draw = 0; draw < Draws; ++draw) {
@@ -230,10 +230,10 @@
     for (int index = 0; index < count; ++index) {
         const std::string near = "near-" + std::to_string(index);
         fleet.add(near);
-        fleet.m_ledger.reported(near, Placement::ReportedPlaces{index < freeNear ? 2.0 : -1.0, 16, 8}, Start);
+        fleet.m_ledger.recordReport(near, Placement::ReportedSlots{index < freeNear ? 2.0 : -1.0, 16, 8}, Start);
         const std::string far = "far-" + std::to_string(index);
         fleet.add(far).m_failureDomain = "elsewhere";
-        fleet.m_ledger.reported(far, Placement::ReportedPlaces{16, 16, 8}, Start);
+        fleet.m_ledger.recordReport(far, Placement::ReportedSlots{16, 16, 8}, Start);
     }
     std::size_t far = 0;
     for (std::size_t draw = 0; draw < Draws; ++draw) {
--- a/Tests/LibPlacement/TestNearEngines.cpp
+++ b/Tests/LibPlacement/TestNearEngines.cpp
@@ -49,8 +49,8 @@
 struct PlayedEntry
 {
     std::size_t m_domain = 0;
-    Placement::EndpointBook m_book;
-    Placement::PlaceLedger m_ledger;
+    Placement::EndpointTracker m_book;
+    Placement::SlotTracker m_ledger;
     Core::Random m_random{0};
 };
 
@@ -101,12 +101,12 @@
         report.m_waiting = static_cast<std::uint32_t>(engine.m_waiting.size());
         report.m_isLoading = engine.m_isAway;
         report.m_weights = {Fleet::LoadedWeights{"draft", 1, {}}};
-        Placement::ReportedPlaces places = Placement::reportedPlaces(m_model, report.m_running, report.m_waiting, report.m_pace);
-        places = engine.m_isAway ? Placement::ReportedPlaces{} : places;
+        Placement::ReportedSlots places = Placement::reportedSlots(m_model, report.m_running, report.m_waiting, report.m_pace);
+        places = engine.m_isAway ? Placement::ReportedSlots{} : places;
         for (PlayedEntry &entry : m_entries) {
             if ((entry.m_domain == engine.m_domain) == isNear) {
-                entry.m_book.engineReported(m_endpoints.at(engine.m_id).m_endpoint, report, now);
-                entry.m_ledger.reported(engine.m_id, places, now);
+                entry.m_book.recordEngineReport(m_endpoints.at(engine.m_id).m_endpoint, report, now);
+                entry.m_ledger.recordReport(engine.m_id, places, now);
             }
         }
     }
--- a/Tests/LibPlacement/TestRepeatBudgets.cpp
+++ b/Tests/LibPlacement/TestRepeatBudgets.cpp
@@ -9,11 +9,11 @@
     // When a service fails, every process sends its requests again. Each may use its part only, or together they would multiply the load on what is left.
     constexpr std::size_t processes = 13;
     constexpr int requestsEach = 140;
-    const Placement::RepeatBudgetSettings settings{0.2, 217, 0.85};
+    const Placement::RetryBudgetSettings settings{0.2, 217, 0.85};
     int repeats = 0;
     for (std::size_t process = 0; process < processes; ++process) {
-        Placement::RepeatBudgets budgets(settings);
-        budgets.setSharers(processes);
+        Placement::RetryBudgets budgets(settings);
+        budgets.setProcessCount(processes);
         for (int request = 0; request < requestsEach; ++request) {
             budgets.onRequest("drafts");
             repeats += budgets.tryRepeat("drafts") ? 1 : 0;
@@ -25,7 +25,7 @@
 
 TEST_CASE("services do not use each other's budget")
 {
-    Placement::RepeatBudgets budgets(Placement::RepeatBudgetSettings{0.2, 2, 1});
+    Placement::RetryBudgets budgets(Placement::RetryBudgetSettings{0.2, 2, 1});
     while (budgets.tryRepeat("one")) { }
     CHECK(budgets.tryRepeat("two"));
 }
--- a/Tests/LibPlacement/TestVersionDeadlines.cpp
+++ b/Tests/LibPlacement/TestVersionDeadlines.cpp
@@ -14,10 +14,10 @@
 TEST_CASE("a version is required once its bound has passed")
 {
     Placement::VersionDeadlines deadlines(Bound);
-    deadlines.declared("draft", 2, Core::Duration(0), Start);
-    CHECK_FALSE(deadlines.required("draft", Start + Core::Duration(6400)));
-    CHECK(deadlines.required("draft", Start + Core::Duration(6500)) == 2);
-    CHECK_FALSE(deadlines.required("other", Start + Core::Duration(9000)));
+    deadlines.recordDeclared("draft", 2, Core::Duration(0), Start);
+    CHECK_FALSE(deadlines.requiredVersion("draft", Start + Core::Duration(6400)));
+    CHECK(deadlines.requiredVersion("draft", Start + Core::Duration(6500)) == 2);
+    CHECK_FALSE(deadlines.requiredVersion("other", Start + Core::Duration(9000)));
 }
 
 TEST_CASE("the bound of the version before the newest still counts")
@@ -25,34 +25,34 @@
     // Two versions are declared three seconds apart, and a process starts after the second. If it knew only the newest it would let requests begin
     // on weights that two declarations have replaced.
     Placement::VersionDeadlines deadlines(Bound);
-    deadlines.declared("draft", 3, Core::Duration(3000), Start);
-    deadlines.declared("draft", 2, Core::Duration(6000), Start);
-    CHECK_FALSE(deadlines.required("draft", Start));
-    CHECK(deadlines.required("draft", Start + Core::Duration(500)) == 2);
-    CHECK(deadlines.required("draft", Start + Core::Duration(3500)) == 3);
-    CHECK(deadlines.recent("draft", Core::Duration(30000), Start).size() == 2);
-    CHECK(deadlines.oldestAge("draft", 1, Start) == Core::Duration(6000));
-    CHECK(deadlines.oldestAge("draft", 2, Start) == Core::Duration(3000));
+    deadlines.recordDeclared("draft", 3, Core::Duration(3000), Start);
+    deadlines.recordDeclared("draft", 2, Core::Duration(6000), Start);
+    CHECK_FALSE(deadlines.requiredVersion("draft", Start));
+    CHECK(deadlines.requiredVersion("draft", Start + Core::Duration(500)) == 2);
+    CHECK(deadlines.requiredVersion("draft", Start + Core::Duration(3500)) == 3);
+    CHECK(deadlines.recentVersions("draft", Core::Duration(30000), Start).size() == 2);
+    CHECK(deadlines.oldestAgeAfter("draft", 1, Start) == Core::Duration(6000));
+    CHECK(deadlines.oldestAgeAfter("draft", 2, Start) == Core::Duration(3000));
 }
 
 TEST_CASE("a version that was found declared is required at once, until somebody states its age")
 {
     Placement::VersionDeadlines deadlines(Bound);
-    deadlines.found("draft", 2, Start);
-    CHECK(deadlines.required("draft", Start) == 2);
-    CHECK_FALSE(deadlines.statedAge("draft", 2, Start));
-
-    deadlines.declared("draft", 2, Core::Duration(1000), Start);
-    CHECK_FALSE(deadlines.required("draft", Start));
-    deadlines.found("draft", 2, Start);
-    CHECK_FALSE(deadlines.required("draft", Start));
-    CHECK(deadlines.statedAge("draft", 2, Start) == Core::Duration(1000));
+    deadlines.recordFound("draft", 2, Start);
+    CHECK(deadlines.requiredVersion("draft", Start) == 2);
+    CHECK_FALSE(deadlines.knownAge("draft", 2, Start));
+
+    deadlines.recordDeclared("draft", 2, Core::Duration(1000), Start);
+    CHECK_FALSE(deadlines.requiredVersion("draft", Start));
+    deadlines.recordFound("draft", 2, Start);
+    CHECK_FALSE(deadlines.requiredVersion("draft", Start));
+    CHECK(deadlines.knownAge("draft", 2, Start) == Core::Duration(1000));
 }
 
 TEST_CASE("the oldest statement about a version counts")
 {
     Placement::VersionDeadlines deadlines(Bound);
-    deadlines.declared("draft", 2, Core::Duration(4000), Start);
-    deadlines.declared("draft", 2, Core::Duration(0), Start);
-    CHECK(deadlines.statedAge("draft", 2, Start) == Core::Duration(4000));
+    deadlines.recordDeclared("draft", 2, Core::Duration(4000), Start);
+    deadlines.recordDeclared("draft", 2, Core::Duration(0), Start);
+    CHECK(deadlines.knownAge("draft", 2, Start) == Core::Duration(4000));
 }
--- a/Tests/LibRelay/TestRelay.cpp
+++ b/Tests/LibRelay/TestRelay.cpp
@@ -28,7 +28,7 @@
         facts.m_key = key ? *key : "";
         facts.m_model = model ? *model : "";
         if (patience) {
-            facts.m_patience = Core::Duration(static_cast<std::int64_t>(*Http::parseNumber(*patience)));
+            facts.m_timeout = Core::Duration(static_cast<std::int64_t>(*Http::parseNumber(*patience)));
         }
         return facts;
     };
@@ -79,12 +79,12 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log{STDOUT_FILENO, "test", m_metrics, Telemetry::EventLogLimits{0, 0, 0}};
     Core::Random m_random{5};
-    Fleet::Beliefs m_beliefs;
-    Placement::EndpointBook m_book;
-    Placement::RepeatBudgets m_budgets{Placement::RepeatBudgetSettings{}};
+    Fleet::FleetState m_beliefs;
+    Placement::EndpointTracker m_book;
+    Placement::RetryBudgets m_budgets{Placement::RetryBudgetSettings{}};
     Placement::VersionDeadlines m_versions{Core::Duration(6500)};
-    Placement::CallerPatience m_patience;
-    Placement::PlaceLedger m_ledger;
+    Placement::ElapsedTimeEstimator m_patience;
+    Placement::SlotTracker m_ledger;
     std::vector<std::unique_ptr<ScriptedServer>> m_servers;
     std::vector<std::string> m_requests; ///< As endpoints got them.
     std::shared_ptr<Http::ServerContext> m_context = std::make_shared<Http::ServerContext>();
@@ -152,8 +152,8 @@
         loaded.m_model = "m";
         loaded.m_version = 1;
         for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_beliefs.endpoints()) {
-            m_book.engineReported(entry.second.m_endpoint, Placement::EngineReport{0, 0, 1, false, {loaded}}, now);
-            m_ledger.reported(entry.first, Placement::ReportedPlaces{4, 4, 4}, now);
+            m_book.recordEngineReport(entry.second.m_endpoint, Placement::EngineReport{0, 0, 1, false, {loaded}}, now);
+            m_ledger.recordReport(entry.first, Placement::ReportedSlots{4, 4, 4}, now);
         }
     }
 
@@ -342,7 +342,7 @@
         caller.close();
         CHECK(runUntil(fixture.m_loop, [&upstream] { return upstream->isGone(); }));
     }
-    CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->open() == 0; }));
+    CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->openRequests() == 0; }));
 }
 
 TEST_CASE("a request is given up when the caller's patience ends")
@@ -383,9 +383,9 @@
     fixture.addEndpoint(answering(Good));
     RawCaller caller(fixture.m_loop, fixture.m_listener->port());
     caller.send("GET /read/x HTTP/1.1\r\nHost: a\r\nAttempt: 1\r\nKey: k\r\n\r\n");
-    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->open() == 1; }));
+    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->openRequests() == 1; }));
     fixture.configure();
-    fixture.m_relay->configurationChanged();
+    fixture.m_relay->onConfigurationChanged();
     REQUIRE(runUntil(fixture.m_loop, [&caller] { return caller.received().ends_with("done"); }));
     CHECK(caller.received().substr(9, 3) == "200");
 }
@@ -400,7 +400,7 @@
     fixture.letWait(caller);
     CHECK(fixture.m_requests.empty());
     fixture.reportWeights();
-    fixture.m_relay->placesChanged();
+    fixture.m_relay->onSlotsChanged();
     REQUIRE(runUntil(fixture.m_loop, [&caller] { return caller.received().ends_with("done"); }));
     CHECK(fixture.m_requests.size() == 1);
     CHECK(fixture.m_relay->waiting() == 0);
@@ -418,9 +418,9 @@
         caller.close();
         CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->waiting() == 0; }));
     }
-    CHECK(fixture.m_relay->open() == 0);
+    CHECK(fixture.m_relay->openRequests() == 0);
     fixture.reportWeights();
-    fixture.m_relay->placesChanged();
+    fixture.m_relay->onSlotsChanged();
     CHECK(fixture.m_requests.empty());
 }
 
--- a/Tests/LibRelay/TestWaitingRequests.cpp
+++ b/Tests/LibRelay/TestWaitingRequests.cpp
@@ -42,7 +42,7 @@
     REQUIRE(queue.join("models", Placement::QueuedRequest{}, 0, {}));
     const Core::Instant begun = Core::Clock::now();
     for (std::size_t report = 0; report < reports; ++report) {
-        queue.placesChanged();
+        queue.onSlotsChanged();
     }
     const std::int64_t spans = (Core::Clock::now() - begun) / Core::Duration(10);
     CHECK(looks >= 1);
--- a/Tests/LibStaging/TestWeightsKeeper.cpp
+++ b/Tests/LibStaging/TestWeightsKeeper.cpp
@@ -103,7 +103,7 @@
     Http::EventLoop m_loop;
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log{STDOUT_FILENO, "test", m_metrics, Telemetry::EventLogLimits{0, 0, 0}};
-    Fleet::Beliefs m_beliefs;
+    Fleet::FleetState m_beliefs;
     Placement::VersionDeadlines m_versions{Core::Duration(8000)};
     Wire::Node m_node{Wire::NodeSettings{}, m_metrics};
     Transfer::TransferManager m_transfer{transferParts()};
@@ -157,7 +157,7 @@
     {
         Fleet::Declarations declarations;
         declarations.m_weights = {Fleet::DeclaredWeights{Model, version, 10 + version}};
-        m_versions.declared(Model, version, Core::Duration(0), Core::Clock::now());
+        m_versions.recordDeclared(Model, version, Core::Duration(0), Core::Clock::now());
         m_beliefs.apply(declarations);
         m_keeper.beliefsChanged();
     }
