--- a/Libraries/LibFleet/Beliefs.cpp
+++ b/Libraries/LibFleet/Beliefs.cpp
@@ -10,11 +10,11 @@
 FleetStateUpdate FleetState::apply(const Declarations &declarations)
 {
     FleetStateUpdate update;
-    const bool isNewer = !m_index || declarations.m_configurationOffset > m_declarations.m_configurationOffset;
+    const bool isNewer = !m_configurationIndex || declarations.m_configurationOffset > m_declarations.m_configurationOffset;
     if (declarations.m_configuration && isNewer) {
         m_declarations.m_configuration = declarations.m_configuration;
         m_declarations.m_configurationOffset = declarations.m_configurationOffset;
-        m_index = std::make_shared<const ConfigurationIndex>(*declarations.m_configuration);
+        m_configurationIndex = std::make_shared<const ConfigurationIndex>(*declarations.m_configuration);
         update.m_configuration = true;
     }
     for (const DeclaredWeights &declared : declarations.m_weights) {
@@ -55,12 +55,12 @@
     });
 }
 
-void FleetState::dropReplacedBy(const Endpoint &endpoint)
+void FleetState::removeReplacedBy(const Endpoint &endpoint)
 {
     std::erase_if(m_endpoints, [&endpoint](const std::pair<const std::string, KnownEndpoint> &entry) { return replaces(endpoint, entry.second.m_endpoint); });
 }
 
-bool FleetState::applyOne(const EndpointChange &change, std::optional<Core::Instant> regainedAt)
+bool FleetState::applyChange(const EndpointChange &change, std::optional<Core::Instant> regainedAt)
 {
     const std::map<std::string, KnownEndpoint>::iterator known = m_endpoints.find(change.m_id);
     if (known != m_endpoints.end() && change.m_offset <= known->second.m_offset) {
@@ -83,7 +83,7 @@
         if (isReplaced(*change.m_endpoint)) {
             return false;
         }
-        dropReplacedBy(*change.m_endpoint);
+        removeReplacedBy(*change.m_endpoint);
         m_endpoints[change.m_id] = KnownEndpoint{*change.m_endpoint, change.m_offset, std::nullopt};
         return true;
     }
@@ -99,7 +99,7 @@
     return isChanged;
 }
 
-bool FleetState::removeUnnamed(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt)
+bool FleetState::removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt)
 {
     std::set<std::string> named;
     for (const EndpointChange &change : changes.m_changes) {
@@ -126,7 +126,7 @@
     return isChanged;
 }
 
-bool FleetState::noteMissing(const EndpointChange &change, Core::Instant since)
+bool FleetState::markMissing(const EndpointChange &change, Core::Instant since)
 {
     const std::map<std::string, KnownEndpoint>::iterator known = m_endpoints.find(change.m_id);
     if (!change.m_isMissing || known == m_endpoints.end() || known->second.m_offset > change.m_offset || known->second.m_missingSince) {
@@ -139,9 +139,9 @@
 FleetStateUpdate FleetState::apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now)
 {
     FleetStateUpdate update;
-    if (changes.m_isSnapshot && changes.m_end >= m_endpointsEnd && removeUnnamed(changes, regainedAt)) {
+    if (changes.m_isSnapshot && changes.m_end >= m_endpointsEnd && removeUnlisted(changes, regainedAt)) {
         update.m_endpoints = true;
-        m_endpointsMark = std::max(m_endpointsMark, changes.m_mark > 0 ? changes.m_mark : changes.m_end);
+        m_endpointsRevisionOffset = std::max(m_endpointsRevisionOffset, changes.m_revisionOffset > 0 ? changes.m_revisionOffset : changes.m_end);
     }
     for (const EndpointChange &change : changes.m_changes) {
         // Records before the end were taken already, so one about an endpoint that is not here is about one that has gone.
@@ -149,13 +149,13 @@
         if (isOld) {
             continue;
         }
-        const bool isChanged = applyOne(change, regainedAt);
-        if (noteMissing(change, regainedAt.value_or(now)) || isChanged) {
+        const bool isChanged = applyChange(change, regainedAt);
+        if (markMissing(change, regainedAt.value_or(now)) || isChanged) {
             update.m_endpoints = true;
-            m_endpointsMark = std::max(m_endpointsMark, changes.m_mark > 0 ? changes.m_mark : change.m_offset + 1);
+            m_endpointsRevisionOffset = std::max(m_endpointsRevisionOffset, changes.m_revisionOffset > 0 ? changes.m_revisionOffset : change.m_offset + 1);
         }
     }
-    m_endpointsMark = std::max(m_endpointsMark, changes.m_mark);
+    m_endpointsRevisionOffset = std::max(m_endpointsRevisionOffset, changes.m_revisionOffset);
     m_endpointsEnd = std::max(m_endpointsEnd, changes.m_end);
     return update;
 }
@@ -179,7 +179,7 @@
     EndpointChanges snapshot;
     snapshot.m_end = m_endpointsEnd;
     snapshot.m_isSnapshot = true;
-    snapshot.m_mark = m_endpointsMark;
+    snapshot.m_revisionOffset = m_endpointsRevisionOffset;
     for (const std::pair<const std::string, KnownEndpoint> &entry : m_endpoints) {
         const bool isMissing = entry.second.m_missingSince.has_value();
         snapshot.m_changes.push_back(EndpointChange{entry.first, entry.second.m_offset, entry.second.m_endpoint, isMissing});
--- a/Libraries/LibFleet/Beliefs.h
+++ b/Libraries/LibFleet/Beliefs.h
@@ -68,13 +68,13 @@
     Offset m_end = 0; ///< Where the next read begins.
     bool m_isSnapshot = false; ///< The newest record of every endpoint; one that is not named is gone.
     std::vector<EndpointChange> m_changes;
-    Offset m_mark = 0; ///< From a peer: see Beliefs::endpointsMark().
+    Offset m_revisionOffset = 0; ///< From a peer: see Beliefs::endpointsMark().
     /// From a peer: the time for which the list has been within its reach again, if entries may still be missing since then although their endpoints live.
     std::optional<std::uint64_t> m_millisecondsSinceRecovery;
 
     bool operator==(const EndpointChanges &) const = default;
 
-    MSGPACK_DEFINE_ARRAY(m_end, m_isSnapshot, m_changes, m_mark, m_millisecondsSinceRecovery);
+    MSGPACK_DEFINE_ARRAY(m_end, m_isSnapshot, m_changes, m_revisionOffset, m_millisecondsSinceRecovery);
 };
 
 /// Which parts of the beliefs a record changed.
@@ -127,7 +127,7 @@
     /// Null until a configuration is known.
     const std::shared_ptr<const ConfigurationIndex> &configuration() const
     {
-        return m_index;
+        return m_configurationIndex;
     }
     const std::map<std::string, KnownEndpoint> &endpoints() const
     {
@@ -143,25 +143,25 @@
      */
     Offset endpointsRevisionOffset() const
     {
-        return m_endpointsMark;
+        return m_endpointsRevisionOffset;
     }
     /// All endpoints as changes that a peer can apply.
     EndpointChanges endpointSnapshot() const;
     const DeclaredWeights *declaredWeights(const std::string &model) const;
 
 private:
-    bool applyOne(const EndpointChange &change, std::optional<Core::Instant> regainedAt);
+    bool applyChange(const EndpointChange &change, std::optional<Core::Instant> regainedAt);
     /// Whether another endpoint of the service has started later at the same address: this one is no more, though its entry still stands.
     bool isReplaced(const Endpoint &endpoint) const;
-    void dropReplacedBy(const Endpoint &endpoint);
-    bool removeUnnamed(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt);
+    void removeReplacedBy(const Endpoint &endpoint);
+    bool removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt);
 
     Declarations m_declarations;
-    std::shared_ptr<const ConfigurationIndex> m_index;
-    bool noteMissing(const EndpointChange &change, Core::Instant since);
+    std::shared_ptr<const ConfigurationIndex> m_configurationIndex;
+    bool markMissing(const EndpointChange &change, Core::Instant since);
 
     Offset m_endpointsEnd = 0;
-    Offset m_endpointsMark = 0; ///< At most m_endpointsEnd.
+    Offset m_endpointsRevisionOffset = 0; ///< At most m_endpointsEnd.
     std::map<std::string, KnownEndpoint> m_endpoints; ///< By id.
 };
 
--- a/Libraries/LibFollow/Follower.cpp
+++ b/Libraries/LibFollow/Follower.cpp
@@ -70,7 +70,7 @@
 void Follower::forgetMissing()
 {
     if (m_endpoints.m_failures == 0) {
-        tell(m_parts.m_beliefs.removeMissing(m_settings.m_outageMemory, Core::Clock::now()));
+        tell(m_parts.m_fleetState.removeMissing(m_settings.m_outageMemory, Core::Clock::now()));
     }
     m_forgetTimer.expires_after(m_settings.m_forgetInterval);
     m_forgetTimer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
@@ -174,7 +174,7 @@
     const Fleet::Declarations &declarations = result.value();
     m_declarations.m_next = declarations.m_end;
     noteAcceptance(declarations, isFirst);
-    tell(m_parts.m_beliefs.apply(declarations));
+    tell(m_parts.m_fleetState.apply(declarations));
     const bool isEmpty = declarations.m_end == 0; // Nothing was ever declared: look again soon.
     constexpr Core::Duration emptyPause{300};
     again(m_declarations, isEmpty ? emptyPause : Core::Duration(0), &Follower::readDeclarations);
@@ -205,7 +205,7 @@
         return;
     }
     // Peers may have brought this process further while it rested.
-    m_source.m_readEndpoints(std::max(m_endpoints.m_next, m_parts.m_beliefs.endpointsEnd()), std::move(done));
+    m_source.m_readEndpoints(std::max(m_endpoints.m_next, m_parts.m_fleetState.endpointsEnd()), std::move(done));
 }
 
 void Follower::endpointsCame(Core::Result<Fleet::EndpointChanges> result, Core::Instant asked)
@@ -225,7 +225,7 @@
     }
     m_endpoints.m_failures = 0;
     m_endpoints.m_next = result.value().m_end;
-    tell(m_parts.m_beliefs.apply(result.value(), outageEnd(), now));
+    tell(m_parts.m_fleetState.apply(result.value(), outageEnd(), now));
     if (m_onEndpointsRead) {
         m_onEndpointsRead(asked);
     }
--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -30,7 +30,7 @@
 struct FollowerParts
 {
     Http::EventLoop &m_loop;
-    Fleet::FleetState &m_beliefs;
+    Fleet::FleetState &m_fleetState;
     Placement::VersionDeadlines &m_versions;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -247,11 +247,11 @@
     Heartbeat heartbeat;
     heartbeat.m_sender = m_self;
     heartbeat.m_knownMembers = static_cast<std::uint32_t>(m_members.countAlive(now));
-    heartbeat.m_configurationMark = m_parts.m_beliefs.declarations().configurationRevisionOffset();
-    heartbeat.m_endpointsMark = m_parts.m_beliefs.endpointsRevisionOffset();
+    heartbeat.m_configurationMark = m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    heartbeat.m_endpointsRevisionOffset = m_parts.m_fleetState.endpointsRevisionOffset();
     const std::optional<Core::Duration> age = listAge();
     heartbeat.m_listAgeMilliseconds = age ? std::optional<std::uint64_t>(age->count()) : std::nullopt;
-    for (const Fleet::DeclaredWeights &declared : m_parts.m_beliefs.declarations().m_weights) {
+    for (const Fleet::DeclaredWeights &declared : m_parts.m_fleetState.declarations().m_weights) {
         // A process that has just started finds only the newest version in the log, yet the bound of the one before may be near.
         for (const std::pair<std::uint64_t, Core::Duration> &recent : m_parts.m_versions.recentVersions(declared.m_model, VersionHorizon, now)) {
             if (recent.first != declared.m_version) {
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -51,7 +51,7 @@
 {
     Http::EventLoop &m_loop;
     Wire::Node &m_node;
-    Fleet::FleetState &m_beliefs;
+    Fleet::FleetState &m_fleetState;
     Placement::VersionDeadlines &m_versions;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
--- a/Libraries/LibGossip/GossipState.cpp
+++ b/Libraries/LibGossip/GossipState.cpp
@@ -42,8 +42,8 @@
     if (heartbeat.m_sender.m_role != Role::Entry) {
         return;
     }
-    const bool isConfigurationNewer = heartbeat.m_configurationMark > m_parts.m_beliefs.declarations().configurationRevisionOffset();
-    const bool isListNewer = m_self.m_role == Role::Entry && heartbeat.m_endpointsMark > m_parts.m_beliefs.endpointsRevisionOffset();
+    const bool isConfigurationNewer = heartbeat.m_configurationMark > m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    const bool isListNewer = m_self.m_role == Role::Entry && heartbeat.m_endpointsRevisionOffset > m_parts.m_fleetState.endpointsRevisionOffset();
     if (isConfigurationNewer || isListNewer) {
         pullFrom(heartbeat.m_sender.m_peers);
         return;
@@ -92,7 +92,7 @@
         noteAge(aged, now);
         declarations.m_weights.push_back(aged.m_declared);
     }
-    const Fleet::FleetStateUpdate update = m_parts.m_beliefs.apply(declarations);
+    const Fleet::FleetStateUpdate update = m_parts.m_fleetState.apply(declarations);
     if (update.any() && m_onStateApplied) {
         m_onStateApplied(update);
     }
@@ -105,7 +105,7 @@
         m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, Core::Duration(*aged.m_ageMilliseconds), now);
         return;
     }
-    const Fleet::DeclaredWeights *known = m_parts.m_beliefs.declaredWeights(declared.m_model);
+    const Fleet::DeclaredWeights *known = m_parts.m_fleetState.declaredWeights(declared.m_model);
     const bool isNews = !known || known->m_version < declared.m_version;
     const std::optional<Core::Duration> age = isNews ? unstatedAge(m_logKnowledge, now) : std::nullopt;
     if (age) {
@@ -128,7 +128,7 @@
 StateAnswer GossipService::answerFor(const StateRequest &request) const
 {
     StateAnswer answer;
-    const Fleet::Declarations &declarations = m_parts.m_beliefs.declarations();
+    const Fleet::Declarations &declarations = m_parts.m_fleetState.declarations();
     answer.m_declarations.m_weights = declarations.m_weights;
     if (declarations.configurationRevisionOffset() > request.m_configurationMark) {
         answer.m_declarations.m_configuration = declarations.m_configuration;
@@ -138,8 +138,8 @@
             answer.m_declarations.m_configuration->m_accounts.clear();
         }
     }
-    if (!request.m_forAgent && m_parts.m_beliefs.endpointsRevisionOffset() > request.m_endpointsMark) {
-        answer.m_endpoints = m_parts.m_beliefs.endpointSnapshot();
+    if (!request.m_forAgent && m_parts.m_fleetState.endpointsRevisionOffset() > request.m_endpointsRevisionOffset) {
+        answer.m_endpoints = m_parts.m_fleetState.endpointSnapshot();
         const std::optional<Core::Instant> since = m_listDoubtfulSince ? m_listDoubtfulSince() : std::nullopt;
         if (since) {
             const Core::Duration regained = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *since);
@@ -160,8 +160,8 @@
     m_pulls.add();
     StateRequest request;
     request.m_forAgent = m_self.m_role == Role::Agent;
-    request.m_configurationMark = m_parts.m_beliefs.declarations().configurationRevisionOffset();
-    request.m_endpointsMark = m_parts.m_beliefs.endpointsRevisionOffset();
+    request.m_configurationMark = m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    request.m_endpointsRevisionOffset = m_parts.m_fleetState.endpointsRevisionOffset();
     const std::shared_ptr<std::string> encoded = std::make_shared<std::string>();
     Wire::CallEvents events;
     events.m_onFrame = [encoded](std::string frame) { *encoded = std::move(frame); };
@@ -184,7 +184,7 @@
         m_parts.m_log.write(Telemetry::LogLine("state_pull_failed").text("error", answer.error().message()));
         return;
     }
-    Fleet::FleetStateUpdate update = m_parts.m_beliefs.apply(answer.value().m_declarations);
+    Fleet::FleetStateUpdate update = m_parts.m_fleetState.apply(answer.value().m_declarations);
     if (answer.value().m_endpoints.m_isSnapshot) {
         const Fleet::EndpointChanges &endpoints = answer.value().m_endpoints;
         const Core::Instant now = Core::Clock::now();
@@ -192,7 +192,7 @@
         if (endpoints.m_millisecondsSinceRecovery) {
             regainedAt = now - Core::Duration(*endpoints.m_millisecondsSinceRecovery);
         }
-        update.m_endpoints = m_parts.m_beliefs.apply(endpoints, regainedAt, now).m_endpoints;
+        update.m_endpoints = m_parts.m_fleetState.apply(endpoints, regainedAt, now).m_endpoints;
     }
     if (update.any() && m_onStateApplied) {
         m_onStateApplied(update);
--- a/Libraries/LibGossip/Messages.h
+++ b/Libraries/LibGossip/Messages.h
@@ -40,7 +40,7 @@
     Member m_sender;
     std::uint32_t m_knownMembers = 0; ///< Live members that the sender knows.
     std::uint64_t m_configurationMark = 0; ///< Of the configuration that the sender holds; see Declarations::configurationMark().
-    Fleet::Offset m_endpointsMark = 0; ///< See Beliefs::endpointsMark().
+    Fleet::Offset m_endpointsRevisionOffset = 0; ///< See Beliefs::endpointsMark().
     std::optional<std::uint64_t> m_listAgeMilliseconds; ///< Since the sender's knowledge of the list was confirmed; empty if it never was.
     std::vector<AgedWeights> m_weights;
     std::vector<Member> m_members; ///< Some others that the sender knows.
@@ -51,7 +51,7 @@
     bool operator==(const Heartbeat &) const = default;
 
     MSGPACK_DEFINE_ARRAY(
-        m_sender, m_knownMembers, m_configurationMark, m_endpointsMark, m_listAgeMilliseconds, m_weights, m_members, m_beats, m_wanted, m_engines);
+        m_sender, m_knownMembers, m_configurationMark, m_endpointsRevisionOffset, m_listAgeMilliseconds, m_weights, m_members, m_beats, m_wanted, m_engines);
 };
 
 /// Asks for what the asker lacks (method fleet.state).
@@ -59,11 +59,11 @@
 {
     bool m_forAgent = false; ///< Services and weights are enough: no routes, accounts or endpoints.
     std::uint64_t m_configurationMark = 0; ///< Of the configuration that the asker holds; see Declarations::configurationMark().
-    Fleet::Offset m_endpointsMark = 0; ///< Of the list of endpoints that the asker holds.
+    Fleet::Offset m_endpointsRevisionOffset = 0; ///< Of the list of endpoints that the asker holds.
 
     bool operator==(const StateRequest &) const = default;
 
-    MSGPACK_DEFINE_ARRAY(m_forAgent, m_configurationMark, m_endpointsMark);
+    MSGPACK_DEFINE_ARRAY(m_forAgent, m_configurationMark, m_endpointsRevisionOffset);
 };
 
 /// Answers a StateRequest; parts that the asker has already are empty.
--- a/Libraries/LibPlacement/Admission.cpp
+++ b/Libraries/LibPlacement/Admission.cpp
@@ -31,47 +31,48 @@
 
 }
 
-Core::Duration ElapsedTimeEstimator::lost(const std::string &route, Core::Duration patience, Core::Instant now)
+Core::Duration ElapsedTimeEstimator::estimateElapsed(const std::string &route, Core::Duration patience, Core::Instant now)
 {
-    Stated &stated = m_stated[route];
+    RouteTimeouts &stated = m_routes[route];
     if (patience >= stated.m_longest || now - stated.m_longestAt > Memory) {
         stated.m_longest = patience;
         stated.m_longestAt = now;
     }
     if (!m_refusedAt || now - *m_refusedAt > CalmAfterRefusal) {
-        if (stated.m_calm.size() < KeptPatiences) {
-            stated.m_calm.push_back(patience);
+        if (stated.m_samples.size() < KeptPatiences) {
+            stated.m_samples.push_back(patience);
         } else {
-            stated.m_calm[stated.m_next++ % KeptPatiences] = patience;
+            stated.m_samples[stated.m_oldestSample++ % KeptPatiences] = patience;
         }
     }
-    const Core::Duration shortest = shortestFresh(stated.m_longest, stated.m_calm);
+    const Core::Duration shortest = shortestFresh(stated.m_longest, stated.m_samples);
     return patience >= shortest ? Core::Duration(0) : (stated.m_longest + shortest) / 2 - patience;
 }
 
-void ElapsedTimeEstimator::refused(Core::Instant now)
+void ElapsedTimeEstimator::recordRefusal(Core::Instant now)
 {
     m_refusedAt = now;
 }
 
-double neededPlaces(const AdmissionView &view, const AdmissionSettings &settings)
+double neededSlots(const AdmissionView &view, const AdmissionSettings &settings)
 {
     const double ownEngines = static_cast<double>(view.m_engines) * view.m_share;
-    return settings.m_ownPlaces - settings.m_queuePlaces * ownEngines;
+    return settings.m_slotsPerRequest - settings.m_queuedPerEngine * ownEngines;
 }
 
-Core::Duration returnTime(const QueueForecast &forecast, std::size_t ahead, const AdmissionSettings &settings)
+Core::Duration retryAfter(const QueueForecast &forecast, std::size_t ahead, const AdmissionSettings &settings)
 {
     constexpr double millisecondsPerSecond = 1000;
-    const double spare = sparePerSecond(forecast);
+    const double spare = spareSlotsPerSecond(forecast);
     if (spare <= 0) {
-        return settings.m_longestReturn;
+        return settings.m_maximumRetryAfter;
     }
-    const double milliseconds = std::min(static_cast<double>(ahead + 1) / spare * millisecondsPerSecond, static_cast<double>(settings.m_longestReturn.count()));
-    return std::max(settings.m_shortestReturn, Core::Duration(static_cast<std::int64_t>(milliseconds)));
+    const double milliseconds =
+        std::min(static_cast<double>(ahead + 1) / spare * millisecondsPerSecond, static_cast<double>(settings.m_maximumRetryAfter.count()));
+    return std::max(settings.m_minimumRetryAfter, Core::Duration(static_cast<std::int64_t>(milliseconds)));
 }
 
-Core::Duration returnTimeWithoutWeights(Core::Duration timeLeft, Core::Random &random)
+Core::Duration retryAfterWithoutWeights(Core::Duration timeLeft, Core::Random &random)
 {
     constexpr double waitedShare = 1.0 / 3; // Of the time left, which callers wait at most.
     constexpr double spread = 0.15; // So that those who were refused together do not come back together.
@@ -82,9 +83,9 @@
 ReportedSlots reportedSlots(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace)
 {
     ReportedSlots places;
-    places.m_most = engine.m_slots;
-    places.m_free = places.m_most - running - waiting;
-    places.m_perSecond = finishedPerSecond(engine) / std::max(pace, 1.0);
+    places.m_maximum = engine.m_slots;
+    places.m_free = places.m_maximum - running - waiting;
+    places.m_finishedPerSecond = finishedPerSecond(engine) / std::max(pace, 1.0);
     return places;
 }
 
--- a/Libraries/LibPlacement/Choice.cpp
+++ b/Libraries/LibPlacement/Choice.cpp
@@ -36,7 +36,7 @@
     if (view.m_engine.m_slots > 0) {
         return firstEventMilliseconds(view.m_engine, candidate.m_record->m_load, request.m_size);
     }
-    const double usual = candidate.m_record->m_usualMilliseconds > 0 ? candidate.m_record->m_usualMilliseconds : DefaultPlainMilliseconds;
+    const double usual = candidate.m_record->m_averageMilliseconds > 0 ? candidate.m_record->m_averageMilliseconds : DefaultPlainMilliseconds;
     return plainAnswerMilliseconds(candidate.m_endpoint->m_slots, candidate.m_record->m_load, usual);
 }
 
@@ -78,11 +78,11 @@
 /// Drops every engine if this process's part of all places does not suffice for the request.
 void dropIfOverloaded(std::vector<Usable> &usable, const ChoiceRequest &request, const ChoiceView &view, ChoiceResult &result)
 {
-    if (!request.m_neededPlaces || view.m_engine.m_slots == 0 || usable.empty()) {
+    if (!request.m_neededSlots || view.m_engine.m_slots == 0 || usable.empty()) {
         return;
     }
-    const std::optional<double> places = view.m_ledger.total(view.m_now);
-    if (places && *places < *request.m_neededPlaces) {
+    const std::optional<double> places = view.m_slotTracker.totalFreeSlots(view.m_now);
+    if (places && *places < *request.m_neededSlots) {
         usable.clear();
         result.m_reason = NoChoice::Overloaded;
     }
@@ -120,7 +120,7 @@
         return;
     }
     std::vector<Usable> withPlace = usable;
-    std::erase_if(withPlace, [&view](const Usable &candidate) { return view.m_ledger.places(candidate.m_endpoint->m_id, view.m_now) <= 0; });
+    std::erase_if(withPlace, [&view](const Usable &candidate) { return view.m_slotTracker.freeSlots(candidate.m_endpoint->m_id, view.m_now) <= 0; });
     if (withPlace.empty()) {
         return;
     }
@@ -151,7 +151,7 @@
 
 }
 
-std::string_view noChoiceName(NoChoice reason)
+std::string_view noChoiceReasonName(NoChoice reason)
 {
     switch (reason) {
     case NoChoice::NoEndpoint:
@@ -169,11 +169,11 @@
 std::optional<std::uint64_t>
 usableVersion(const Fleet::Endpoint &endpoint, const EndpointRecord &record, const std::string &model, std::uint32_t layers, Core::Instant now)
 {
-    const bool isReported = record.m_engine && now - record.m_engineReportedAt < ReportLifetime;
-    if (isReported && record.m_engine->m_isLoading) {
+    const bool isReported = record.m_engineReport && now - record.m_engineReportedAt < ReportLifetime;
+    if (isReported && record.m_engineReport->m_isLoading) {
         return std::nullopt;
     }
-    for (const Fleet::LoadedWeights &loaded : isReported ? record.m_engine->m_weights : endpoint.m_weights) {
+    for (const Fleet::LoadedWeights &loaded : isReported ? record.m_engineReport->m_weights : endpoint.m_weights) {
         if (loaded.m_model == model && Fleet::holdsEveryLayer(loaded, layers)) {
             return loaded.m_version;
         }
@@ -191,7 +191,7 @@
             continue;
         }
         result.m_reason = std::max(result.m_reason, NoChoice::NoWeights);
-        const Usable candidate{&endpoint, &view.m_book.look(endpoint), entry.second.m_missingSince.has_value()};
+        const Usable candidate{&endpoint, &view.m_endpointTracker.get(endpoint), entry.second.m_missingSince.has_value()};
         if (!hasWeights(candidate, request, view)) {
             continue;
         }
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -23,7 +23,7 @@
      * Places that this process's part must hold for the request to be admitted; empty if it is admitted in any case. An answer that begins within its
      * objective is worth four late ones, and an overloaded engine that takes everybody answers everybody late.
      */
-    std::optional<double> m_neededPlaces;
+    std::optional<double> m_neededSlots;
     std::set<std::string> m_excluded; ///< Endpoints that have failed this request.
     bool m_canWait = false; ///< Endpoints that failed lately are not taken, even if there is no other.
 };
@@ -32,8 +32,8 @@
 struct ChoiceView
 {
     const std::map<std::string, Fleet::KnownEndpoint> &m_endpoints;
-    const EndpointTracker &m_book;
-    const SlotTracker &m_ledger; ///< Of the engines' places.
+    const EndpointTracker &m_endpointTracker;
+    const SlotTracker &m_slotTracker; ///< Of the engines' places.
     const Fleet::EngineModel &m_engine; ///< Of the service; without slots for plain services.
     std::string m_ownFailureDomain;
     Core::Instant m_now;
@@ -49,14 +49,14 @@
 };
 
 /// Why no endpoint was chosen.
-enum class NoChoice {
+enum class NoChoiceReason {
     NoEndpoint, ///< The service has no endpoint that takes work.
     NoWeights, ///< Endpoints exist, but none has the weights.
     AllTried, ///< Every endpoint that could has failed this request.
     Overloaded, ///< The engines have no place for it.
 };
 
-std::string_view noChoiceName(NoChoice reason);
+std::string_view noChoiceReasonName(NoChoice reason);
 
 /// Either a choice or the reason why there is none.
 struct ChoiceResult
--- a/Libraries/LibPlacement/EndpointBook.cpp
+++ b/Libraries/LibPlacement/EndpointBook.cpp
@@ -15,7 +15,7 @@
 {
     entry.m_load.m_running = running;
     entry.m_load.m_waiting = waiting;
-    entry.m_load.m_sentSince = 0;
+    entry.m_load.m_sentSinceReport = 0;
     entry.m_reportedAt = now;
 }
 
@@ -26,7 +26,7 @@
 {
 }
 
-EndpointRecord &EndpointTracker::record(const Fleet::Endpoint &endpoint)
+EndpointRecord &EndpointTracker::getOrCreate(const Fleet::Endpoint &endpoint)
 {
     EndpointRecord &record = m_records[endpoint.m_id];
     if (record.m_startedMilliseconds != endpoint.m_startedMilliseconds) {
@@ -36,7 +36,7 @@
     return record;
 }
 
-const EndpointRecord &EndpointTracker::look(const Fleet::Endpoint &endpoint) const
+const EndpointRecord &EndpointTracker::get(const Fleet::Endpoint &endpoint) const
 {
     static const EndpointRecord unknown{};
     const std::map<std::string, EndpointRecord>::const_iterator found = m_records.find(endpoint.m_id);
@@ -44,52 +44,52 @@
     return isCurrent ? found->second : unknown;
 }
 
-void EndpointTracker::sent(const Fleet::Endpoint &endpoint)
+void EndpointTracker::recordSent(const Fleet::Endpoint &endpoint)
 {
-    EndpointRecord &entry = record(endpoint);
-    ++entry.m_load.m_sentSince;
-    ++entry.m_load.m_open;
+    EndpointRecord &entry = getOrCreate(endpoint);
+    ++entry.m_load.m_sentSinceReport;
+    ++entry.m_load.m_inFlight;
 }
 
-void EndpointTracker::ended(const Fleet::Endpoint &endpoint)
+void EndpointTracker::recordEnded(const Fleet::Endpoint &endpoint)
 {
-    EndpointRecord &entry = record(endpoint);
-    entry.m_load.m_open -= std::min(entry.m_load.m_open, 1U);
-    entry.m_load.m_sentSince = std::min(entry.m_load.m_sentSince, entry.m_load.m_open);
+    EndpointRecord &entry = getOrCreate(endpoint);
+    entry.m_load.m_inFlight -= std::min(entry.m_load.m_inFlight, 1U);
+    entry.m_load.m_sentSinceReport = std::min(entry.m_load.m_sentSinceReport, entry.m_load.m_inFlight);
 }
 
-void EndpointTracker::loadReported(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
+void EndpointTracker::recordLoad(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
 {
-    noteLoad(record(endpoint), running, waiting, now);
+    noteLoad(getOrCreate(endpoint), running, waiting, now);
 }
 
 void EndpointTracker::recordEngineReport(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now)
 {
-    EndpointRecord &entry = record(endpoint);
+    EndpointRecord &entry = getOrCreate(endpoint);
     noteLoad(entry, report.m_running, report.m_waiting, now);
     entry.m_load.m_pace = report.m_pace;
-    entry.m_engine = report;
+    entry.m_engineReport = report;
     entry.m_engineReportedAt = now;
 }
 
-void EndpointTracker::succeeded(const Fleet::Endpoint &endpoint, double milliseconds)
+void EndpointTracker::recordSuccess(const Fleet::Endpoint &endpoint, double milliseconds)
 {
-    EndpointRecord &entry = record(endpoint);
-    entry.m_failuresInRow = 0;
-    entry.m_usualMilliseconds =
-        entry.m_usualMilliseconds == 0 ? milliseconds : entry.m_usualMilliseconds + AverageWeight * (milliseconds - entry.m_usualMilliseconds);
+    EndpointRecord &entry = getOrCreate(endpoint);
+    entry.m_consecutiveFailures = 0;
+    entry.m_averageMilliseconds =
+        entry.m_averageMilliseconds == 0 ? milliseconds : entry.m_averageMilliseconds + AverageWeight * (milliseconds - entry.m_averageMilliseconds);
 }
 
-void EndpointTracker::failed(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now)
+void EndpointTracker::recordFailure(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now)
 {
-    EndpointRecord &entry = record(endpoint);
+    EndpointRecord &entry = getOrCreate(endpoint);
     if (failure == EndpointFailure::Refused) {
         entry.m_avoidUntil = std::max(entry.m_avoidUntil, now + m_settings.m_afterRefusal);
         return;
     }
-    const std::uint32_t doublings = std::min(entry.m_failuresInRow, MaximumDoublings);
-    ++entry.m_failuresInRow;
-    const Core::Duration pause = std::min(m_settings.m_longest, m_settings.m_first * (std::int64_t{1} << doublings));
+    const std::uint32_t doublings = std::min(entry.m_consecutiveFailures, MaximumDoublings);
+    ++entry.m_consecutiveFailures;
+    const Core::Duration pause = std::min(m_settings.m_maximum, m_settings.m_initial * (std::int64_t{1} << doublings));
     entry.m_avoidUntil = std::max(entry.m_avoidUntil, now + pause);
 }
 
--- a/Libraries/LibPlacement/EngineForecast.cpp
+++ b/Libraries/LibPlacement/EngineForecast.cpp
@@ -16,7 +16,7 @@
 
 std::uint32_t requestsAhead(const EndpointLoad &load)
 {
-    return std::max(load.m_running + load.m_waiting + load.m_sentSince, load.m_open);
+    return std::max(load.m_running + load.m_waiting + load.m_sentSinceReport, load.m_inFlight);
 }
 
 double promptMilliseconds(const Fleet::EngineModel &engine, std::uint32_t tokens)
@@ -63,7 +63,7 @@
     const std::uint32_t ahead = requestsAhead(load);
     const std::uint32_t slots = std::max<std::uint32_t>(engine.m_slots, 1);
     // Those that came after the report, and those that wait, have prompts to be read before ours.
-    const std::uint32_t unread = std::min(load.m_waiting + load.m_sentSince, slots);
+    const std::uint32_t unread = std::min(load.m_waiting + load.m_sentSinceReport, slots);
     double milliseconds = unread * promptMilliseconds(engine, engine.m_usualPromptTokens);
     if (ahead >= slots) {
         milliseconds += (ahead - slots + 1) * saturatedIntervalMilliseconds(engine);
--- a/Libraries/LibPlacement/EngineForecast.h
+++ b/Libraries/LibPlacement/EngineForecast.h
@@ -14,8 +14,8 @@
 {
     std::uint32_t m_running = 0; ///< As last reported.
     std::uint32_t m_waiting = 0; ///< As last reported.
-    std::uint32_t m_sentSince = 0; ///< Requests that this process sent after the report was made and that have not ended.
-    std::uint32_t m_open = 0; ///< Requests of this process that have not ended.
+    std::uint32_t m_sentSinceReport = 0; ///< Requests that this process sent after the report was made and that have not ended.
+    std::uint32_t m_inFlight = 0; ///< Requests of this process that have not ended.
     double m_pace = 1; ///< Over 1 means that the endpoint is that many times slower than stated.
 
     bool operator==(const EndpointLoad &) const = default;
--- a/Libraries/LibPlacement/PlaceLedger.cpp
+++ b/Libraries/LibPlacement/PlaceLedger.cpp
@@ -23,60 +23,61 @@
     m_entries[engine] = Entry{places, now, 0};
 }
 
-void SlotTracker::sent(const std::string &engine)
+void SlotTracker::recordSent(const std::string &engine)
 {
     const std::map<std::string, Entry>::iterator entry = m_entries.find(engine);
     if (entry != m_entries.end()) {
-        entry->second.m_sent += 1;
+        entry->second.m_sentSinceReport += 1;
     }
 }
 
-double SlotTracker::placesOf(const Entry &entry, Core::Instant now) const
+double SlotTracker::freeSlotsOf(const Entry &entry, Core::Instant now) const
 {
     // What ends between two reports makes room too.
-    const double since = Core::secondsBetween(entry.m_at, now) * entry.m_places.m_perSecond;
-    return m_share * std::min(entry.m_places.m_most, entry.m_places.m_free + since) - entry.m_sent;
+    const double since = Core::secondsBetween(entry.m_reportedAt, now) * entry.m_report.m_finishedPerSecond;
+    return m_share * std::min(entry.m_report.m_maximum, entry.m_report.m_free + since) - entry.m_sentSinceReport;
 }
 
-double SlotTracker::places(const std::string &engine, Core::Instant now) const
+double SlotTracker::freeSlots(const std::string &engine, Core::Instant now) const
 {
     const std::map<std::string, Entry>::const_iterator entry = m_entries.find(engine);
-    return entry == m_entries.end() ? 0 : placesOf(entry->second, now);
+    return entry == m_entries.end() ? 0 : freeSlotsOf(entry->second, now);
 }
 
-std::optional<double> SlotTracker::total(Core::Instant now) const
+std::optional<double> SlotTracker::totalFreeSlots(Core::Instant now) const
 {
     std::optional<double> sum;
     for (const std::pair<const std::string, Entry> &entry : m_entries) {
-        if (now - entry.second.m_at < ReportLifetime) {
-            sum = sum.value_or(0) + placesOf(entry.second, now);
+        if (now - entry.second.m_reportedAt < ReportLifetime) {
+            sum = sum.value_or(0) + freeSlotsOf(entry.second, now);
         }
     }
     return sum;
 }
 
-double SlotTracker::placesPerSecond(Core::Instant now) const
+double SlotTracker::finishedPerSecond(Core::Instant now) const
 {
     double sum = 0;
     for (const std::pair<const std::string, Entry> &entry : m_entries) {
-        if (now - entry.second.m_at < ReportLifetime) {
-            sum += entry.second.m_places.m_perSecond;
+        if (now - entry.second.m_reportedAt < ReportLifetime) {
+            sum += entry.second.m_report.m_finishedPerSecond;
         }
     }
     return m_share * sum;
 }
 
-std::size_t SlotTracker::enginesWithPlaces(Core::Instant now) const
+std::size_t SlotTracker::enginesWithSlots(Core::Instant now) const
 {
     return static_cast<std::size_t>(std::count_if(m_entries.begin(), m_entries.end(), [now](const std::pair<const std::string, Entry> &entry) {
-        return now - entry.second.m_at < ReportLifetime && entry.second.m_places.m_most > 0;
+        return now - entry.second.m_reportedAt < ReportLifetime && entry.second.m_report.m_maximum > 0;
     }));
 }
 
-std::size_t SlotTracker::engines(Core::Instant now) const
+std::size_t SlotTracker::reportingEngines(Core::Instant now) const
 {
-    return static_cast<std::size_t>(std::count_if(
-        m_entries.begin(), m_entries.end(), [now](const std::pair<const std::string, Entry> &entry) { return now - entry.second.m_at < ReportLifetime; }));
+    return static_cast<std::size_t>(std::count_if(m_entries.begin(), m_entries.end(), [now](const std::pair<const std::string, Entry> &entry) {
+        return now - entry.second.m_reportedAt < ReportLifetime;
+    }));
 }
 
 void SlotTracker::retainKnown(const std::function<bool(const std::string &engine)> &isKnown)
--- a/Libraries/LibPlacement/PlaceLedger.h
+++ b/Libraries/LibPlacement/PlaceLedger.h
@@ -15,8 +15,8 @@
 struct ReportedSlots
 {
     double m_free = 0; ///< Requests that it may take now, queue included; negative if it has more than that.
-    double m_most = 0; ///< Requests that it may have at once.
-    double m_perSecond = 0; ///< Requests that it finishes while it is full.
+    double m_maximum = 0; ///< Requests that it may have at once.
+    double m_finishedPerSecond = 0; ///< Requests that it finishes while it is full.
 
     bool operator==(const ReportedSlots &) const = default;
 };
@@ -39,29 +39,29 @@
 
     void recordReport(const std::string &engine, const ReportedSlots &places, Core::Instant now);
     /// A request of this process goes to the engine.
-    void sent(const std::string &engine);
+    void recordSent(const std::string &engine);
     /// This process's part of the engine's places. May be a fraction, or negative.
-    double places(const std::string &engine, Core::Instant now) const;
+    double freeSlots(const std::string &engine, Core::Instant now) const;
     /// Sum of the parts at all engines from which a report came lately; empty if there is no such engine.
-    std::optional<double> total(Core::Instant now) const;
+    std::optional<double> totalFreeSlots(Core::Instant now) const;
     /// This process's part of the requests that these engines finish in a second while they are full.
-    double placesPerSecond(Core::Instant now) const;
+    double finishedPerSecond(Core::Instant now) const;
     /// Engines that have reported lately and have places, free or taken.
-    std::size_t enginesWithPlaces(Core::Instant now) const;
+    std::size_t enginesWithSlots(Core::Instant now) const;
     /// Engines from which a report came lately.
-    std::size_t engines(Core::Instant now) const;
+    std::size_t reportingEngines(Core::Instant now) const;
     /// Drops the engines that are not known any more.
     void retainKnown(const std::function<bool(const std::string &engine)> &isKnown);
 
 private:
     struct Entry
     {
-        ReportedSlots m_places;
-        Core::Instant m_at;
-        double m_sent = 0; ///< Requests of this process since the report.
+        ReportedSlots m_report;
+        Core::Instant m_reportedAt;
+        double m_sentSinceReport = 0; ///< Requests of this process since the report.
     };
 
-    double placesOf(const Entry &entry, Core::Instant now) const;
+    double freeSlotsOf(const Entry &entry, Core::Instant now) const;
 
     double m_share = 1;
     std::map<std::string, Entry> m_entries; ///< By engine.
--- a/Libraries/LibPlacement/RepeatBudgets.cpp
+++ b/Libraries/LibPlacement/RepeatBudgets.cpp
@@ -13,12 +13,12 @@
 
 double RetryBudgets::burst() const
 {
-    return std::max(1.0, m_settings.m_burst * m_settings.m_safety / static_cast<double>(m_sharers));
+    return std::max(1.0, m_settings.m_burst * m_settings.m_safetyFactor / static_cast<double>(m_processCount));
 }
 
 void RetryBudgets::setProcessCount(std::size_t sharers)
 {
-    m_sharers = std::max<std::size_t>(sharers, 1);
+    m_processCount = std::max<std::size_t>(sharers, 1);
     for (std::pair<const std::string, Routing::RetryBudget> &entry : m_budgets) {
         // What was used up stays used up: a new bucket at each change would let a fleet whose members come and go repeat without end.
         entry.second.limitBurst(burst());
@@ -31,7 +31,7 @@
     if (known != m_budgets.end()) {
         return known->second;
     }
-    return m_budgets.emplace(service, Routing::RetryBudget(m_settings.m_retriesPerRequest * m_settings.m_safety, burst())).first->second;
+    return m_budgets.emplace(service, Routing::RetryBudget(m_settings.m_retriesPerRequest * m_settings.m_safetyFactor, burst())).first->second;
 }
 
 void RetryBudgets::onRequest(const std::string &service)
@@ -39,7 +39,7 @@
     budget(service).onRequest();
 }
 
-bool RetryBudgets::tryRepeat(const std::string &service)
+bool RetryBudgets::tryRetry(const std::string &service)
 {
     return budget(service).tryRetry();
 }
--- a/Libraries/LibPlacement/RepeatBudgets.h
+++ b/Libraries/LibPlacement/RepeatBudgets.h
@@ -14,7 +14,7 @@
 {
     double m_retriesPerRequest = 0.2; ///< Repeats for each request of a service.
     double m_burst = 100; ///< Further repeats of a service within the window, summed over all processes.
-    double m_safety = 0.85; ///< Part of the budget that is used: requests spread unevenly over processes, and windows begin at any time.
+    double m_safetyFactor = 0.85; ///< Part of the budget that is used: requests spread unevenly over processes, and windows begin at any time.
 
     bool operator==(const RetryBudgetSettings &) const = default;
 };
@@ -33,14 +33,14 @@
     void setProcessCount(std::size_t sharers);
     void onRequest(const std::string &service);
     /// Takes one repeat out of the budget; false if there is none.
-    bool tryRepeat(const std::string &service);
+    bool tryRetry(const std::string &service);
 
 private:
     double burst() const;
     Routing::RetryBudget &budget(const std::string &service);
 
     const RetryBudgetSettings m_settings;
-    std::size_t m_sharers = 1;
+    std::size_t m_processCount = 1;
     std::map<std::string, Routing::RetryBudget> m_budgets; ///< By service.
 };
 
--- a/Libraries/LibPlacement/RequestQueue.cpp
+++ b/Libraries/LibPlacement/RequestQueue.cpp
@@ -30,43 +30,45 @@
 
 }
 
-double sparePerSecond(const QueueForecast &forecast)
+double spareSlotsPerSecond(const QueueForecast &forecast)
 {
-    return forecast.m_placesPerSecond + forecast.m_comingPerSecond - forecast.m_freshPerSecond;
+    return forecast.m_finishedPerSecond + forecast.m_expectedFinishedPerSecond - forecast.m_timelyArrivalsPerSecond;
 }
 
-bool canBeInTime(const QueuedRequest &request, Core::Instant now)
+bool canMeetObjective(const QueuedRequest &request, Core::Instant now)
 {
-    return now <= request.m_latestInTime;
+    return now <= request.m_objectiveSendDeadline;
 }
 
 QueueDecision decideQueue(std::vector<QueuedRequest> queued, const QueueForecast &forecast, Core::Instant now, const QueueSettings &settings)
 {
     const std::vector<QueuedRequest>::iterator late =
-        std::partition(queued.begin(), queued.end(), [now](const QueuedRequest &request) { return canBeInTime(request, now); });
-    std::sort(queued.begin(), late, [](const QueuedRequest &left, const QueuedRequest &right) { return left.m_latestInTime < right.m_latestInTime; });
-    std::sort(late, queued.end(), [](const QueuedRequest &left, const QueuedRequest &right) { return left.m_latest < right.m_latest; });
+        std::partition(queued.begin(), queued.end(), [now](const QueuedRequest &request) { return canMeetObjective(request, now); });
+    std::sort(queued.begin(), late, [](const QueuedRequest &left, const QueuedRequest &right) {
+        return left.m_objectiveSendDeadline < right.m_objectiveSendDeadline;
+    });
+    std::sort(late, queued.end(), [](const QueuedRequest &left, const QueuedRequest &right) { return left.m_sendDeadline < right.m_sendDeadline; });
 
     const double untilWeights = Core::secondsBetween(now, now + forecast.m_untilWeights);
-    const double spare = sparePerSecond(forecast);
-    const double freeLater = forecast.m_freePlaces + forecast.m_comingPlaces;
+    const double spare = spareSlotsPerSecond(forecast);
+    const double freeLater = forecast.m_freeSlots + forecast.m_expectedSlots;
     std::size_t inTime = 0;
     std::size_t afterwards = 0;
     QueueDecision decision;
     for (const QueuedRequest &request : queued) {
-        const double freshPlace = secondsFor(inTime + 1, forecast.m_freePlaces, forecast.m_placesPerSecond);
-        if (isEarlyEnough(freshPlace / settings.m_trustedShare, request.m_latestInTime, now)) {
+        const double freshPlace = secondsFor(inTime + 1, forecast.m_freeSlots, forecast.m_finishedPerSecond);
+        if (isEarlyEnough(freshPlace / settings.m_safetyFactor, request.m_objectiveSendDeadline, now)) {
             ++inTime;
             decision.m_order.push_back(request.m_ticket);
             continue;
         }
         const double sparePlace = untilWeights + secondsFor(inTime + afterwards + 1, freeLater, spare);
-        if (isEarlyEnough(sparePlace, request.m_latest, now)) {
+        if (isEarlyEnough(sparePlace, request.m_sendDeadline, now)) {
             ++afterwards;
             decision.m_order.push_back(request.m_ticket);
             continue;
         }
-        decision.m_hopeless.push_back(request.m_ticket);
+        decision.m_rejected.push_back(request.m_ticket);
     }
     return decision;
 }
@@ -74,18 +76,18 @@
 Core::Duration remainingOutage(Core::Duration lasted, const QueueSettings &settings)
 {
     const Core::Duration growing(static_cast<std::int64_t>(static_cast<double>(lasted.count()) * settings.m_outageGrowth));
-    return std::max(settings.m_usualOutage - lasted, growing);
+    return std::max(settings.m_typicalOutage - lasted, growing);
 }
 
-void EventRate::happened(Core::Instant now)
+void EventRate::recordEvent(Core::Instant now)
 {
     m_value = value(now) + 1 / RateMemorySeconds;
-    m_at = now;
+    m_updatedAt = now;
 }
 
 double EventRate::value(Core::Instant now) const
 {
-    return m_value * std::exp(-std::max(0.0, Core::secondsBetween(m_at, now)) / RateMemorySeconds);
+    return m_value * std::exp(-std::max(0.0, Core::secondsBetween(m_updatedAt, now)) / RateMemorySeconds);
 }
 
 }
--- a/Libraries/LibPlacement/VersionDeadlines.cpp
+++ b/Libraries/LibPlacement/VersionDeadlines.cpp
@@ -15,18 +15,18 @@
 {
     const Core::Instant acceptedAt = now - age;
     DeclarationTime &known = m_declared[model].try_emplace(version, DeclarationTime{acceptedAt, true}).first->second;
-    known.m_acceptedAt = known.m_isStated ? std::min(known.m_acceptedAt, acceptedAt) : acceptedAt;
-    known.m_isStated = true;
-    dropOldest(model);
+    known.m_acceptedAt = known.m_isAgeKnown ? std::min(known.m_acceptedAt, acceptedAt) : acceptedAt;
+    known.m_isAgeKnown = true;
+    removeOldest(model);
 }
 
 void VersionDeadlines::recordFound(const std::string &model, std::uint64_t version, Core::Instant now)
 {
     m_declared[model].try_emplace(version, DeclarationTime{now - m_bound, false});
-    dropOldest(model);
+    removeOldest(model);
 }
 
-void VersionDeadlines::dropOldest(const std::string &model)
+void VersionDeadlines::removeOldest(const std::string &model)
 {
     constexpr std::size_t keptVersions = 8; // Far more than can be within their bounds at once.
     std::map<std::uint64_t, DeclarationTime> &versions = m_declared[model];
@@ -57,7 +57,7 @@
         return std::nullopt;
     }
     const std::map<std::uint64_t, DeclarationTime>::const_iterator known = versions->second.find(version);
-    if (known == versions->second.end() || !known->second.m_isStated) {
+    if (known == versions->second.end() || !known->second.m_isAgeKnown) {
         return std::nullopt;
     }
     return std::chrono::duration_cast<Core::Duration>(now - known->second.m_acceptedAt);
@@ -73,7 +73,7 @@
     }
     for (const std::pair<const std::uint64_t, DeclarationTime> &entry : declared->second) {
         const Core::Duration age = std::chrono::duration_cast<Core::Duration>(now - entry.second.m_acceptedAt);
-        if (entry.second.m_isStated && age < horizon) {
+        if (entry.second.m_isAgeKnown && age < horizon) {
             versions.emplace_back(entry.first, age);
         }
     }
@@ -89,7 +89,7 @@
     }
     for (std::map<std::uint64_t, DeclarationTime>::const_iterator it = versions->second.upper_bound(loaded); it != versions->second.end(); ++it) {
         const Core::Duration age = std::chrono::duration_cast<Core::Duration>(now - it->second.m_acceptedAt);
-        if (it->second.m_isStated && (!oldest || age > *oldest)) {
+        if (it->second.m_isAgeKnown && (!oldest || age > *oldest)) {
             oldest = age;
         }
     }
--- a/Libraries/LibPlacement/VersionDeadlines.h
+++ b/Libraries/LibPlacement/VersionDeadlines.h
@@ -14,7 +14,7 @@
 struct DeclarationTime
 {
     Core::Instant m_acceptedAt;
-    bool m_isStated = false; ///< Somebody saw it being accepted; otherwise it is taken to be old.
+    bool m_isAgeKnown = false; ///< Somebody saw it being accepted; otherwise it is taken to be old.
 };
 
 /// Used by one thread.
@@ -42,7 +42,7 @@
     std::optional<Core::Duration> oldestAgeAfter(const std::string &model, std::uint64_t loaded, Core::Instant now) const;
 
 private:
-    void dropOldest(const std::string &model);
+    void removeOldest(const std::string &model);
 
     const Core::Duration m_bound;
     std::map<std::string, std::map<std::uint64_t, DeclarationTime>> m_declared; ///< By model and version.
--- a/Libraries/LibRelay/EventFramer.cpp
+++ b/Libraries/LibRelay/EventFramer.cpp
@@ -56,11 +56,11 @@
 {
 }
 
-std::string EventFramer::take(std::string_view bytes)
+std::string EventFramer::feed(std::string_view bytes)
 {
-    m_rest.append(bytes);
+    m_partialEvent.append(bytes);
     std::string whole;
-    std::string_view pending = m_rest;
+    std::string_view pending = m_partialEvent;
     while (true) {
         const std::size_t length = eventLength(pending);
         if (length == std::string_view::npos) {
@@ -78,13 +78,13 @@
         }
         whole.append(event);
     }
-    m_rest.erase(0, m_rest.size() - pending.size());
+    m_partialEvent.erase(0, m_partialEvent.size() - pending.size());
     return whole;
 }
 
-void EventFramer::dropRest()
+void EventFramer::discardPartialEvent()
 {
-    m_rest.clear();
+    m_partialEvent.clear();
 }
 
 }
--- a/Libraries/LibRelay/EventFramer.h
+++ b/Libraries/LibRelay/EventFramer.h
@@ -21,14 +21,14 @@
     explicit EventFramer(std::optional<std::uint64_t> after = std::nullopt);
 
     /// Takes bytes and returns the whole events among them that the caller lacks.
-    std::string take(std::string_view bytes);
+    std::string feed(std::string_view bytes);
     /// Bytes of an event that has not ended.
-    const std::string &rest() const
+    const std::string &partialEvent() const
     {
-        return m_rest;
+        return m_partialEvent;
     }
     /// Drops a half event, before another engine goes on.
-    void dropRest();
+    void discardPartialEvent();
     std::optional<std::uint64_t> lastId() const
     {
         return m_lastId;
@@ -40,7 +40,7 @@
     }
 
 private:
-    std::string m_rest;
+    std::string m_partialEvent;
     std::optional<std::uint64_t> m_lastId; ///< Of the last event that was passed on.
     bool m_hasGap = false;
 };
--- a/Libraries/LibRelay/Relay.cpp
+++ b/Libraries/LibRelay/Relay.cpp
@@ -14,10 +14,10 @@
     , m_refused(metrics.counter("relay_requests_ended_total{outcome=\"refused\"}"))
     , m_failed(metrics.counter("relay_requests_ended_total{outcome=\"failed\"}"))
     , m_abandoned(metrics.counter("relay_requests_ended_total{outcome=\"caller_left\"}"))
-    , m_repeats(metrics.counter("relay_repeats_total"))
+    , m_retries(metrics.counter("relay_repeats_total"))
     , m_resumed(metrics.counter("relay_streams_resumed_total"))
     , m_firstByte(metrics.latency("relay_first_byte_seconds"))
-    , m_whole(metrics.latency("relay_whole_answer_seconds"))
+    , m_completeAnswer(metrics.latency("relay_whole_answer_seconds"))
 {
 }
 
@@ -25,7 +25,7 @@
     : m_parts(parts)
     , m_settings(std::move(settings))
     , m_dialect(std::move(dialect))
-    , m_waiting(
+    , m_waitingRequests(
           parts.m_loop, [this](const std::string &service) { return forecast(service); }, m_settings.m_queue)
     , m_counters(parts.m_metrics)
 {
@@ -35,24 +35,24 @@
 
 void Relay::onConfigurationChanged()
 {
-    const std::vector<std::weak_ptr<RelayedRequest>> unconfigured = std::move(m_unconfigured);
-    m_unconfigured.clear();
+    const std::vector<std::weak_ptr<RelayedRequest>> unconfigured = std::move(m_awaitingConfiguration);
+    m_awaitingConfiguration.clear();
     for (const std::weak_ptr<RelayedRequest> &waiting : unconfigured) {
         const std::shared_ptr<RelayedRequest> request = waiting.lock();
         if (request) {
-            request->configurationCame();
+            request->onConfigurationKnown();
         }
     }
 }
 
 void Relay::onSlotsChanged()
 {
-    m_waiting.onSlotsChanged();
+    m_waitingRequests.onSlotsChanged();
 }
 
-std::size_t Relay::enginesListed(const std::string &service) const
+std::size_t Relay::listedEngines(const std::string &service) const
 {
-    const std::map<std::string, Fleet::KnownEndpoint> &endpoints = m_parts.m_beliefs.endpoints();
+    const std::map<std::string, Fleet::KnownEndpoint> &endpoints = m_parts.m_fleetState.endpoints();
     return static_cast<std::size_t>(
         std::count_if(endpoints.begin(), endpoints.end(), [&service](const std::pair<const std::string, Fleet::KnownEndpoint> &entry) {
             return entry.second.m_endpoint.m_service == service && !entry.second.m_endpoint.m_isLeaving;
@@ -62,22 +62,22 @@
 Placement::QueueForecast Relay::forecast(const std::string &service) const
 {
     Placement::QueueForecast forecast;
-    const std::shared_ptr<const Fleet::ConfigurationIndex> configuration = m_parts.m_beliefs.configuration();
+    const std::shared_ptr<const Fleet::ConfigurationIndex> configuration = m_parts.m_fleetState.configuration();
     const Fleet::Service *known = configuration ? configuration->service(service) : nullptr;
     if (!known || known->m_engine.m_slots == 0) {
         return forecast;
     }
     const Core::Instant now = Core::Clock::now();
-    const Placement::SlotTracker &ledger = m_parts.m_ledger;
-    forecast.m_placesPerSecond = ledger.placesPerSecond(now);
-    forecast.m_freePlaces = std::max(0.0, ledger.total(now).value_or(0));
-    const std::size_t listed = enginesListed(service);
-    const std::size_t active = std::min(listed, ledger.enginesWithPlaces(now));
+    const Placement::SlotTracker &ledger = m_parts.m_slotTracker;
+    forecast.m_finishedPerSecond = ledger.finishedPerSecond(now);
+    forecast.m_freeSlots = std::max(0.0, ledger.totalFreeSlots(now).value_or(0));
+    const std::size_t listed = listedEngines(service);
+    const std::size_t active = std::min(listed, ledger.enginesWithSlots(now));
     // A few engines that are away for a change of versions or have died do not make an outage.
     const std::size_t coming = listed - active > active ? listed - active : 0;
     const double ownComing = ledger.share() * static_cast<double>(coming);
-    forecast.m_comingPlaces = ownComing * known->m_engine.m_slots;
-    forecast.m_comingPerSecond = ownComing * Placement::finishedPerSecond(known->m_engine);
+    forecast.m_expectedSlots = ownComing * known->m_engine.m_slots;
+    forecast.m_expectedFinishedPerSecond = ownComing * Placement::finishedPerSecond(known->m_engine);
     return forecast;
 }
 
@@ -85,7 +85,7 @@
 {
     m_counters.m_requests.add();
     const std::shared_ptr<RelayedRequest> relayed = std::make_shared<RelayedRequest>(*this, connection, std::move(request));
-    m_open.insert(relayed);
+    m_openRequests.insert(relayed);
     relayed->start();
 }
 
--- a/Libraries/LibRelay/Relay.h
+++ b/Libraries/LibRelay/Relay.h
@@ -25,13 +25,13 @@
     std::string m_failureDomain; ///< Of this instance.
     Core::Duration m_connectTimeout{350}; ///< To an endpoint; a lost first packet is sent again only after a second.
     Core::Duration m_answerMargin{15}; ///< Kept from a request's time for the answer's way back.
-    Core::Duration m_minimumTime{20}; ///< A request with less time left is not sent any more.
+    Core::Duration m_minimumTimeLeft{20}; ///< A request with less time left is not sent any more.
     Core::Duration m_retryAfter{300}; ///< Told to callers that are refused: a few times the interval at which a full engine takes requests.
     Placement::AdmissionSettings m_admission;
     Placement::QueueSettings m_queue;
     /// How long a request waits for the first configuration of a process that has just started.
     Core::Duration m_configurationWait{1000};
-    std::size_t m_sampleSuccesses = 20; ///< One in so many successes gets a line in the log.
+    std::size_t m_successSampleInterval = 20; ///< One in so many successes gets a line in the log.
 
     bool operator==(const RelaySettings &) const = default;
 };
@@ -40,12 +40,12 @@
 struct RelayParts
 {
     Http::EventLoop &m_loop;
-    Fleet::FleetState &m_beliefs;
-    Placement::EndpointTracker &m_book;
-    Placement::RetryBudgets &m_budgets;
-    Placement::VersionDeadlines &m_versions;
-    Placement::ElapsedTimeEstimator &m_patience;
-    Placement::SlotTracker &m_ledger;
+    Fleet::FleetState &m_fleetState;
+    Placement::EndpointTracker &m_endpointTracker;
+    Placement::RetryBudgets &m_retryBudgets;
+    Placement::VersionDeadlines &m_versionDeadlines;
+    Placement::ElapsedTimeEstimator &m_elapsedTimeEstimator;
+    Placement::SlotTracker &m_slotTracker;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
     Core::Random &m_random;
@@ -61,10 +61,10 @@
     Telemetry::Counter &m_refused;
     Telemetry::Counter &m_failed;
     Telemetry::Counter &m_abandoned;
-    Telemetry::Counter &m_repeats;
+    Telemetry::Counter &m_retries;
     Telemetry::Counter &m_resumed;
     Telemetry::Latency &m_firstByte;
-    Telemetry::Latency &m_whole;
+    Telemetry::Latency &m_completeAnswer;
 };
 
 /// Used on the loop's thread.
@@ -89,31 +89,31 @@
         return m_counters.m_requests.value();
     }
     /// Requests that wait for a place at an engine.
-    std::size_t waiting() const
+    std::size_t waitingRequests() const
     {
-        return m_waiting.size();
+        return m_waitingRequests.size();
     }
     /// Requests that have no whole answer yet.
     std::size_t openRequests() const
     {
-        return m_open.size();
+        return m_openRequests.size();
     }
 
 private:
     friend class RelayedRequest;
 
     /// Engines of the service that take work by the list.
-    std::size_t enginesListed(const std::string &service) const;
+    std::size_t listedEngines(const std::string &service) const;
     Placement::QueueForecast forecast(const std::string &service) const;
 
     const RelayParts m_parts;
     const RelaySettings m_settings;
     const Dialect m_dialect;
-    WaitingRequests m_waiting;
-    std::vector<std::weak_ptr<RelayedRequest>> m_unconfigured; ///< Requests that wait for the first configuration.
+    WaitingRequests m_waitingRequests;
+    std::vector<std::weak_ptr<RelayedRequest>> m_awaitingConfiguration; ///< Requests that wait for the first configuration.
     RelayCounters m_counters;
     std::size_t m_successes = 0;
-    std::set<std::shared_ptr<RelayedRequest>> m_open;
+    std::set<std::shared_ptr<RelayedRequest>> m_openRequests;
 };
 
 }
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -50,7 +50,7 @@
     , m_request(std::move(request))
     , m_timer(relay.m_parts.m_loop)
     , m_facts(relay.m_dialect.m_readRequest(m_request.m_fields))
-    , m_configuration(relay.m_parts.m_beliefs.configuration())
+    , m_configuration(relay.m_parts.m_fleetState.configuration())
     , m_arrivedAt(Core::Clock::now())
     , m_framer(m_facts.m_resumeAfter)
 {
@@ -61,22 +61,22 @@
     m_connection->onGone([weak = weak_from_this()] {
         const std::shared_ptr<RelayedRequest> self = weak.lock();
         if (self) {
-            self->callerLeft();
+            self->onCallerDisconnected();
         }
     });
     if (!m_configuration) {
         awaitConfiguration();
         return;
     }
-    configurationCame();
+    onConfigurationKnown();
 }
 
-void RelayedRequest::configurationCame()
+void RelayedRequest::onConfigurationKnown()
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         return;
     }
-    m_configuration = m_relay.m_parts.m_beliefs.configuration();
+    m_configuration = m_relay.m_parts.m_fleetState.configuration();
     if (!findRoute() || !findAccount()) {
         return;
     }
@@ -86,11 +86,11 @@
         refuse("the route names no known service", m_relay.m_settings.m_retryAfter);
         return;
     }
-    m_relay.m_parts.m_budgets.onRequest(m_service->m_name);
-    if (isFresh()) {
-        m_relay.m_waiting.freshCame(m_service->m_name, m_arrivedAt);
+    m_relay.m_parts.m_retryBudgets.onRequest(m_service->m_name);
+    if (canMeetObjective()) {
+        m_relay.m_waitingRequests.recordTimelyArrival(m_service->m_name, m_arrivedAt);
     }
-    if (m_relay.m_waiting.isEmpty(m_service->m_name) || !joinQueue()) {
+    if (m_relay.m_waitingRequests.isEmpty(m_service->m_name) || !joinQueue()) {
         tryEndpoint();
     }
 }
@@ -100,11 +100,11 @@
     const std::string *host = Http::findField(m_request.m_fields, "Host");
     m_route = host ? m_configuration->route(Http::hostName(*host), Http::pathOf(m_request.m_target)) : nullptr;
     if (!m_route) {
-        answerPlainly(NotFound, {}, "no route");
+        answerWithText(NotFound, {}, "no route");
         return false;
     }
     if (m_facts.m_attemptId.empty()) {
-        answerPlainly(BadRequest, {}, "the request has no attempt id");
+        answerWithText(BadRequest, {}, "the request has no attempt id");
         return false;
     }
     return true;
@@ -117,7 +117,7 @@
     }
     m_account = m_facts.m_key.empty() ? nullptr : m_configuration->accountOfKey(m_facts.m_key);
     if (!m_account && !m_route->m_isPublic) {
-        answerPlainly(Unauthorized, {}, "unknown key");
+        answerWithText(Unauthorized, {}, "unknown key");
         return false;
     }
     return true;
@@ -130,12 +130,12 @@
         patience = *m_facts.m_timeout;
     }
     m_deadline = m_arrivedAt + patience;
-    m_lost = m_relay.m_parts.m_patience.lost(m_route->m_name, patience, m_arrivedAt);
+    m_elapsedBeforeArrival = m_relay.m_parts.m_elapsedTimeEstimator.estimateElapsed(m_route->m_name, patience, m_arrivedAt);
     m_timer.expires_at(m_deadline);
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const std::shared_ptr<RelayedRequest> self = weak.lock();
         if (!error && self) {
-            self->timeIsUp();
+            self->onDeadline();
         }
     });
 }
@@ -161,7 +161,7 @@
     return std::chrono::duration_cast<Core::Duration>(m_deadline - Core::Clock::now());
 }
 
-Placement::ChoiceResult RelayedRequest::choose() const
+Placement::ChoiceResult RelayedRequest::chooseEndpoint() const
 {
     const Core::Instant now = Core::Clock::now();
     Placement::ChoiceRequest request;
@@ -169,46 +169,50 @@
     request.m_size = {m_facts.m_promptTokens, m_facts.m_answerTokens};
     request.m_excluded = m_excluded;
     request.m_canWait = m_service->m_engine.m_slots > 0;
-    request.m_neededPlaces = neededPlaces();
+    request.m_neededSlots = neededSlots();
     if (m_service->m_engine.m_slots > 0) {
         request.m_model = m_facts.m_model;
-        request.m_requiredVersion = m_relay.m_parts.m_versions.requiredVersion(m_facts.m_model, now);
-        const Fleet::DeclaredWeights *declared = m_relay.m_parts.m_beliefs.declaredWeights(m_facts.m_model);
+        request.m_requiredVersion = m_relay.m_parts.m_versionDeadlines.requiredVersion(m_facts.m_model, now);
+        const Fleet::DeclaredWeights *declared = m_relay.m_parts.m_fleetState.declaredWeights(m_facts.m_model);
         request.m_newestVersion = declared ? std::optional<std::uint64_t>(declared->m_version) : std::nullopt;
     }
-    const Placement::ChoiceView view{
-        m_relay.m_parts.m_beliefs.endpoints(), m_relay.m_parts.m_book, m_relay.m_parts.m_ledger, m_service->m_engine, m_relay.m_settings.m_failureDomain, now};
+    const Placement::ChoiceView view{m_relay.m_parts.m_fleetState.endpoints(),
+                                     m_relay.m_parts.m_endpointTracker,
+                                     m_relay.m_parts.m_slotTracker,
+                                     m_service->m_engine,
+                                     m_relay.m_settings.m_failureDomain,
+                                     now};
     return Placement::chooseEndpoint(request, view, m_relay.m_parts.m_random);
 }
 
 void RelayedRequest::tryEndpoint()
 {
-    if (timeLeft() < m_relay.m_settings.m_minimumTime) {
+    if (timeLeft() < m_relay.m_settings.m_minimumTimeLeft) {
         fail(GatewayTimeout, "too little time is left for another attempt");
         return;
     }
-    const Placement::ChoiceResult result = choose();
+    const Placement::ChoiceResult result = chooseEndpoint();
     if (result.m_choice) {
-        chosen(*result.m_choice);
+        admitAndSend(*result.m_choice);
         return;
     }
-    noteRefusal(result.m_reason);
-    if (!wait()) {
-        giveUp(result.m_reason);
+    recordWeightAvailability(result.m_reason);
+    if (!enqueue()) {
+        endWithoutEndpoint(result.m_reason);
     }
 }
 
-void RelayedRequest::chosen(const Placement::Choice &choice)
+void RelayedRequest::admitAndSend(const Placement::Choice &choice)
 {
     m_isAdmitted = true;
-    m_relay.m_waiting.noteWeights(m_service->m_name, true, Core::Clock::now());
+    m_relay.m_waitingRequests.recordWeightAvailability(m_service->m_name, true, Core::Clock::now());
     send(choice);
 }
 
-void RelayedRequest::giveUp(Placement::NoChoice noChoice)
+void RelayedRequest::endWithoutEndpoint(Placement::NoChoice noChoice)
 {
-    const std::string reason = std::string(Placement::noChoiceName(noChoice)) + (m_lastFailure.empty() ? "" : " after: " + m_lastFailure);
-    if (m_headPassedOn) {
+    const std::string reason = std::string(Placement::noChoiceReasonName(noChoice)) + (m_lastFailure.empty() ? "" : " after: " + m_lastFailure);
+    if (m_isHeadForwarded) {
         m_connection->abort();
         finish("failed", 0, "the answer broke off: " + reason);
         return;
@@ -217,31 +221,31 @@
         fail(BadGateway, reason);
         return;
     }
-    refuse(reason, returnTime(noChoice));
+    refuse(reason, retryAfter(noChoice));
 }
 
-Core::Duration RelayedRequest::lostNow() const
+Core::Duration RelayedRequest::elapsedSinceFirstTry() const
 {
-    return m_lost + std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_arrivedAt);
+    return m_elapsedBeforeArrival + std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_arrivedAt);
 }
 
-bool RelayedRequest::isFresh() const
+bool RelayedRequest::canMeetObjective() const
 {
-    return lostNow() < Core::Duration(m_route->m_goalMilliseconds);
+    return elapsedSinceFirstTry() < Core::Duration(m_route->m_goalMilliseconds);
 }
 
-std::optional<double> RelayedRequest::neededPlaces() const
+std::optional<double> RelayedRequest::neededSlots() const
 {
     if (m_isAdmitted || m_route->m_goalMilliseconds == 0) {
         return std::nullopt;
     }
-    return Placement::neededPlaces(admissionView(), m_relay.m_settings.m_admission);
+    return Placement::neededSlots(admissionView(), m_relay.m_settings.m_admission);
 }
 
 Placement::AdmissionView RelayedRequest::admissionView() const
 {
-    const Placement::SlotTracker &ledger = m_relay.m_parts.m_ledger;
-    return Placement::AdmissionView{ledger.engines(Core::Clock::now()), ledger.share()};
+    const Placement::SlotTracker &ledger = m_relay.m_parts.m_slotTracker;
+    return Placement::AdmissionView{ledger.reportingEngines(Core::Clock::now()), ledger.share()};
 }
 
 AttemptFacts RelayedRequest::attemptFacts(const Placement::Choice &choice) const
@@ -254,11 +258,11 @@
         facts.m_account = m_account->m_name;
         facts.m_priority = m_account->m_priority ? *m_account->m_priority : m_route->m_priority;
     }
-    if (m_headPassedOn) {
+    if (m_isHeadForwarded) {
         // A caller is in the middle of this stream. Behind the requests that wait for their first event it would pause for longer than is on time.
         facts.m_priority = MostUrgent;
     }
-    const bool isBound = m_relay.m_parts.m_versions.requiredVersion(m_facts.m_model, Core::Clock::now()).has_value();
+    const bool isBound = m_relay.m_parts.m_versionDeadlines.requiredVersion(m_facts.m_model, Core::Clock::now()).has_value();
     if (isBound && m_service->m_engine.m_slots > 0) {
         // The engine compares for equality, so it is told the version that it was chosen with, which may be newer than the required one.
         facts.m_expectedVersion = choice.m_version;
@@ -277,9 +281,9 @@
     if (!m_route->isRepeatable() || isLastAttempt) {
         return limits;
     }
-    limits.m_head = std::min(limits.m_head, std::clamp(scaled(m_route->m_goalMilliseconds, PatienceInGoals), ShortestPatience, LongestPatience));
+    limits.m_head = std::min(limits.m_head, std::clamp(scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals), ShortestPatience, LongestPatience));
     if (m_route->m_isResumable && m_route->m_gapGoalMilliseconds > 0) {
-        limits.m_silence = std::min(limits.m_silence, scaled(m_route->m_gapGoalMilliseconds, PatienceInGaps));
+        limits.m_silence = std::min(limits.m_silence, scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps));
     }
     return limits;
 }
@@ -293,9 +297,9 @@
     outgoing.m_body = m_request.m_body;
     Http::ClientCallEvents events;
     const std::shared_ptr<RelayedRequest> self = shared_from_this();
-    events.m_onHead = [self](const Http::AnswerHead &head) { self->headCame(head); };
-    events.m_onData = [self](std::string_view bytes) { self->dataCame(bytes); };
-    events.m_onEnd = [self](const Http::ClientCallEnd &end) { self->attemptEnded(end); };
+    events.m_onHead = [self](const Http::AnswerHead &head) { self->onHead(head); };
+    events.m_onData = [self](std::string_view bytes) { self->onData(bytes); };
+    events.m_onEnd = [self](const Http::ClientCallEnd &end) { self->onAttemptEnded(end); };
     Attempt attempt;
     attempt.m_endpoint = choice.m_endpoint;
     attempt.m_sentAt = Core::Clock::now();
@@ -305,8 +309,8 @@
     attempt.m_call = std::make_shared<Http::ClientCall>(m_relay.m_parts.m_loop, choice.m_endpoint.m_address, callLimits(), std::move(events));
     m_attempt = std::move(attempt);
     ++m_attempts;
-    m_relay.m_parts.m_book.sent(choice.m_endpoint);
-    m_relay.m_parts.m_ledger.sent(choice.m_endpoint.m_id);
+    m_relay.m_parts.m_endpointTracker.recordSent(choice.m_endpoint);
+    m_relay.m_parts.m_slotTracker.recordSent(choice.m_endpoint.m_id);
     m_attempt->m_call->start(outgoing);
 }
 
@@ -314,55 +318,55 @@
 {
     const bool isSuccess = head.m_status >= Ok && head.m_status < MultipleChoices;
     if (facts.m_attemptId != m_facts.m_attemptId && (isSuccess || !facts.m_attemptId.empty())) {
-        attemptFailed(Placement::EndpointFailure::Faulty, true, "the answer belongs to another request");
+        onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "the answer belongs to another request");
         return false;
     }
     if (facts.m_didNotRun) {
         const bool isWrong = head.m_status == Misdirected;
-        attemptFailed(isWrong ? Placement::EndpointFailure::WrongInstance : Placement::EndpointFailure::Refused,
-                      false,
-                      "not run, status " + std::to_string(head.m_status));
+        onAttemptFailed(isWrong ? Placement::EndpointFailure::WrongInstance : Placement::EndpointFailure::Refused,
+                        false,
+                        "not run, status " + std::to_string(head.m_status));
         return false;
     }
     if (Http::findField(head.m_fields, "Content-Encoding") || (isSuccess && !facts.m_isSealed)) {
-        attemptFailed(Placement::EndpointFailure::Faulty, true, "the answer is not the endpoint's own");
+        onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "the answer is not the endpoint's own");
         return false;
     }
     if (promisesNotRun(head.m_status)) {
-        attemptFailed(Placement::EndpointFailure::Faulty, true, "status " + std::to_string(head.m_status) + " without a promise");
+        onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "status " + std::to_string(head.m_status) + " without a promise");
         return false;
     }
-    if (head.m_status >= InternalError && m_route->isRepeatable() && m_attempts < m_route->m_maximumAttempts && !m_headPassedOn) {
-        attemptFailed(Placement::EndpointFailure::Faulty, true, "status " + std::to_string(head.m_status));
+    if (head.m_status >= InternalError && m_route->isRepeatable() && m_attempts < m_route->m_maximumAttempts && !m_isHeadForwarded) {
+        onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "status " + std::to_string(head.m_status));
         return false;
     }
     return true;
 }
 
-void RelayedRequest::headCame(const Http::AnswerHead &head)
+void RelayedRequest::onHead(const Http::AnswerHead &head)
 {
     const AnswerFacts facts = m_relay.m_dialect.m_readAnswer(head.m_fields);
     const Core::Instant now = Core::Clock::now();
     // Engines' loads come from the agents beside them, which also tell of loading; plain services have no agents.
     if (facts.m_load && m_service->m_engine.m_slots == 0) {
-        m_relay.m_parts.m_book.loadReported(m_attempt->m_endpoint, facts.m_load->m_running, facts.m_load->m_waiting, now);
+        m_relay.m_parts.m_endpointTracker.recordLoad(m_attempt->m_endpoint, facts.m_load->m_running, facts.m_load->m_waiting, now);
     }
     if (!acceptHead(head, facts)) {
         return;
     }
-    if (m_headPassedOn) {
+    if (m_isHeadForwarded) {
         if (head.m_status != Ok) {
-            attemptFailed(Placement::EndpointFailure::Faulty, true, "the stream was not resumed, status " + std::to_string(head.m_status));
+            onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "the stream was not resumed, status " + std::to_string(head.m_status));
             return;
         }
         return;
     }
-    passHeadOn(head);
+    forwardHead(head);
 }
 
-void RelayedRequest::passHeadOn(const Http::AnswerHead &head)
+void RelayedRequest::forwardHead(const Http::AnswerHead &head)
 {
-    m_headPassedOn = true;
+    m_isHeadForwarded = true;
     m_isEventStream = m_route->m_kind == Fleet::RequestKind::Stream && head.m_status == Ok;
     const double seconds = Core::secondsBetween(m_arrivedAt, Core::Clock::now());
     m_firstByteMilliseconds = seconds * MillisecondsPerSecond;
@@ -380,12 +384,12 @@
     m_connection->beginAnswer(head.m_status, head.m_reason, Http::endToEndFields(head.m_fields), framing);
 }
 
-void RelayedRequest::dataCame(std::string_view bytes)
+void RelayedRequest::onData(std::string_view bytes)
 {
     if (m_isEventStream) {
-        const std::string events = m_framer.take(bytes);
+        const std::string events = m_framer.feed(bytes);
         if (!events.empty()) {
-            notePause();
+            recordPause();
         }
         m_connection->sendBody(events);
         if (m_framer.hasGap()) {
@@ -402,7 +406,7 @@
     }
 }
 
-void RelayedRequest::notePause()
+void RelayedRequest::recordPause()
 {
     const Core::Instant now = Core::Clock::now();
     if (m_lastEventAt) {
@@ -411,23 +415,23 @@
     m_lastEventAt = now;
 }
 
-void RelayedRequest::attemptEnded(const Http::ClientCallEnd &end)
+void RelayedRequest::onAttemptEnded(const Http::ClientCallEnd &end)
 {
     if (end.m_isWhole) {
-        answerWhole();
+        onAnswerComplete();
         return;
     }
     const bool isUnreachable = !end.m_wasSent;
-    attemptFailed(isUnreachable ? Placement::EndpointFailure::Unreachable : Placement::EndpointFailure::Broken, end.m_wasSent, end.m_error.message());
+    onAttemptFailed(isUnreachable ? Placement::EndpointFailure::Unreachable : Placement::EndpointFailure::ConnectionLost, end.m_wasSent, end.m_error.message());
 }
 
-void RelayedRequest::answerWhole()
+void RelayedRequest::onAnswerComplete()
 {
     const Core::Instant now = Core::Clock::now();
-    m_relay.m_parts.m_book.succeeded(m_attempt->m_endpoint, Core::secondsBetween(m_attempt->m_sentAt, now) * MillisecondsPerSecond);
-    m_relay.m_counters.m_whole.record(Core::secondsBetween(m_arrivedAt, now));
+    m_relay.m_parts.m_endpointTracker.recordSuccess(m_attempt->m_endpoint, Core::secondsBetween(m_attempt->m_sentAt, now) * MillisecondsPerSecond);
+    m_relay.m_counters.m_completeAnswer.record(Core::secondsBetween(m_arrivedAt, now));
     if (m_isEventStream) {
-        m_connection->sendBody(m_framer.rest());
+        m_connection->sendBody(m_framer.partialEvent());
     }
     m_connection->finish();
     logEnd("answered", Ok, "");
@@ -441,17 +445,17 @@
         return;
     }
     m_attempt->m_call->cancel();
-    m_relay.m_parts.m_book.ended(m_attempt->m_endpoint);
+    m_relay.m_parts.m_endpointTracker.recordEnded(m_attempt->m_endpoint);
     m_attempt.reset();
 }
 
-void RelayedRequest::attemptFailed(Placement::EndpointFailure failure, bool mayHaveRun, const std::string &detail)
+void RelayedRequest::onAttemptFailed(Placement::EndpointFailure failure, bool mayHaveRun, const std::string &detail)
 {
-    m_relay.m_parts.m_book.failed(m_attempt->m_endpoint, failure, Core::Clock::now());
+    m_relay.m_parts.m_endpointTracker.recordFailure(m_attempt->m_endpoint, failure, Core::Clock::now());
     m_excluded.insert(m_attempt->m_endpoint.m_id);
     m_lastFailure = detail;
     m_mayHaveRun = m_mayHaveRun || mayHaveRun;
-    m_metRestarted = m_metRestarted || (failure == Placement::EndpointFailure::WrongInstance && m_service->m_engine.m_slots > 0);
+    m_hasMetRestartedEngine = m_hasMetRestartedEngine || (failure == Placement::EndpointFailure::WrongInstance && m_service->m_engine.m_slots > 0);
     Telemetry::LogLine line("attempt_failed");
     line.text("id", m_facts.m_attemptId).text("route", m_route->m_name).text("endpoint", m_attempt->m_endpoint.m_id);
     line.text("peer", m_attempt->m_endpoint.m_address.toString()).flag("may_have_run", mayHaveRun).text("detail", detail);
@@ -461,15 +465,15 @@
     // endpoints die at once, each entry finds out for itself which.
     const bool wasSent = failure != Placement::EndpointFailure::Unreachable;
     m_attempts -= wasSent ? 0 : 1;
-    if (m_headPassedOn) {
+    if (m_isHeadForwarded) {
         if (!resumeStream()) {
             m_connection->abort();
             finish("failed", 0, "the answer broke off: " + detail);
         }
         return;
     }
-    if (!wasSent || mayRepeat(mayHaveRun)) {
-        m_relay.m_counters.m_repeats.add();
+    if (!wasSent || mayRetry(mayHaveRun)) {
+        m_relay.m_counters.m_retries.add();
         tryEndpoint();
         return;
     }
@@ -477,42 +481,42 @@
         fail(BadGateway, detail);
         return;
     }
-    refuse(detail, returnTime(Placement::NoChoice::NoEndpoint));
+    refuse(detail, retryAfter(Placement::NoChoice::NoEndpoint));
 }
 
-bool RelayedRequest::mayRepeat(bool mayHaveRun)
+bool RelayedRequest::mayRetry(bool mayHaveRun)
 {
     if (mayHaveRun && !m_route->isRepeatable()) {
         return false;
     }
-    return m_attempts < m_route->m_maximumAttempts && m_relay.m_parts.m_budgets.tryRepeat(m_service->m_name);
+    return m_attempts < m_route->m_maximumAttempts && m_relay.m_parts.m_retryBudgets.tryRetry(m_service->m_name);
 }
 
 bool RelayedRequest::resumeStream()
 {
-    if (!m_isEventStream || timeLeft() < m_relay.m_settings.m_minimumTime || !mayRepeat(true)) {
+    if (!m_isEventStream || timeLeft() < m_relay.m_settings.m_minimumTimeLeft || !mayRetry(true)) {
         return false;
     }
-    m_framer.dropRest();
+    m_framer.discardPartialEvent();
     m_relay.m_counters.m_resumed.add();
-    const Placement::ChoiceResult result = choose();
+    const Placement::ChoiceResult result = chooseEndpoint();
     if (result.m_choice) {
-        chosen(*result.m_choice);
+        admitAndSend(*result.m_choice);
         return true;
     }
-    noteRefusal(result.m_reason);
-    return wait();
+    recordWeightAvailability(result.m_reason);
+    return enqueue();
 }
 
-void RelayedRequest::timeIsUp()
+void RelayedRequest::onDeadline()
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         return;
     }
     m_mayHaveRun = m_mayHaveRun || m_attempt.has_value();
     stopWaiting();
     endAttempt();
-    if (m_headPassedOn) {
+    if (m_isHeadForwarded) {
         m_connection->abort();
         finish("failed", 0, "the time limit was reached within the answer");
         return;
@@ -524,9 +528,9 @@
     refuse("the time limit was reached before the request could be sent", m_relay.m_settings.m_retryAfter);
 }
 
-void RelayedRequest::callerLeft()
+void RelayedRequest::onCallerDisconnected()
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         return;
     }
     stopWaiting();
@@ -536,16 +540,16 @@
 
 void RelayedRequest::refuse(const std::string &reason, Core::Duration retryAfter)
 {
-    m_relay.m_parts.m_patience.refused(Core::Clock::now());
-    answerPlainly(ServiceUnavailable, {Http::HeaderField{"Retry-After", secondsText(retryAfter)}}, reason);
+    m_relay.m_parts.m_elapsedTimeEstimator.recordRefusal(Core::Clock::now());
+    answerWithText(ServiceUnavailable, {Http::HeaderField{"Retry-After", secondsText(retryAfter)}}, reason);
 }
 
 void RelayedRequest::fail(int status, const std::string &reason)
 {
-    answerPlainly(status, {}, reason);
+    answerWithText(status, {}, reason);
 }
 
-void RelayedRequest::answerPlainly(int status, Http::HeaderFields fields, const std::string &reason)
+void RelayedRequest::answerWithText(int status, Http::HeaderFields fields, const std::string &reason)
 {
     fields.push_back(Http::HeaderField{"Content-Type", "text/plain"});
     m_connection->answer(status, std::move(fields), reason + "\n");
@@ -556,22 +560,22 @@
 {
     const bool isSuccess = outcome == "answered";
     const bool isPlain = isSuccess && m_attempts == 1;
-    if (isPlain && ++m_relay.m_successes % m_relay.m_settings.m_sampleSuccesses != 0) {
+    if (isPlain && ++m_relay.m_successes % m_relay.m_settings.m_successSampleInterval != 0) {
         return;
     }
     Telemetry::LogLine line("request");
     line.text("id", m_facts.m_attemptId).text("outcome", outcome).number("status", static_cast<std::int64_t>(status));
     line.text("route", m_route ? m_route->m_name : "").text("account", m_account ? m_account->m_name : "");
     line.number("took_ms", Core::secondsBetween(m_arrivedAt, Core::Clock::now()) * MillisecondsPerSecond);
-    line.number("first_byte_ms", m_firstByteMilliseconds).number("lost_ms", static_cast<std::int64_t>(m_lost.count()));
+    line.number("first_byte_ms", m_firstByteMilliseconds).number("lost_ms", static_cast<std::int64_t>(m_elapsedBeforeArrival.count()));
     line.number("longest_pause_ms", static_cast<std::int64_t>(m_longestPause.count()));
-    line.number("attempts", static_cast<std::int64_t>(m_attempts)).number("waited_ms", static_cast<std::int64_t>(m_waited.count()));
+    line.number("attempts", static_cast<std::int64_t>(m_attempts)).number("waited_ms", static_cast<std::int64_t>(m_totalWait.count()));
     line.number("configuration", static_cast<std::int64_t>(m_configuration ? m_configuration->configuration().m_version : 0));
     if (m_attempt) {
         line.text("endpoint", m_attempt->m_endpoint.m_id).number("expected_ms", m_attempt->m_expectedMilliseconds);
         line.number("running", static_cast<std::int64_t>(m_attempt->m_load.m_running));
         line.number("waiting", static_cast<std::int64_t>(m_attempt->m_load.m_waiting));
-        line.number("sent_since", static_cast<std::int64_t>(m_attempt->m_load.m_sentSince));
+        line.number("sent_since", static_cast<std::int64_t>(m_attempt->m_load.m_sentSinceReport));
         line.number("report_age_ms", static_cast<std::int64_t>(m_attempt->m_reportAge.count()));
     }
     if (!reason.empty()) {
@@ -582,10 +586,10 @@
 
 void RelayedRequest::finish(const std::string &outcome, int status, const std::string &reason)
 {
-    if (m_isOver) {
+    if (m_isFinished) {
         return;
     }
-    m_isOver = true;
+    m_isFinished = true;
     if (outcome == "answered") {
         m_relay.m_counters.m_succeeded.add();
     } else {
@@ -596,7 +600,7 @@
         counter.add();
     }
     m_timer.cancel();
-    m_relay.m_open.erase(shared_from_this());
+    m_relay.m_openRequests.erase(shared_from_this());
 }
 
 }
--- a/Libraries/LibRelay/RelayedRequest.h
+++ b/Libraries/LibRelay/RelayedRequest.h
@@ -9,9 +9,9 @@
 namespace Relay {
 
 /// What came of trying to send a request that waits.
-enum class QueueStep {
-    Left, ///< It does not wait any more.
-    NoPlace, ///< There is no place for it, nor for those behind it.
+enum class QueueSendResult {
+    Dequeued, ///< It does not wait any more.
+    NoSlot, ///< There is no place for it, nor for those behind it.
     NoEndpoint, ///< No endpoint can take it; others may have better luck.
 };
 
@@ -27,11 +27,11 @@
 
     void start();
     /// Called once the first configuration is known.
-    void configurationCame();
+    void onConfigurationKnown();
     /// Sends the request if there is a place for it now.
-    QueueStep tryFromQueue();
+    QueueStep trySendFromQueue();
     /// Refuses it, since no place is expected in time. @p ahead: requests that go on waiting.
-    void giveUpWaiting(const Placement::QueueForecast &forecast, std::size_t ahead);
+    void rejectFromQueue(const Placement::QueueForecast &forecast, std::size_t ahead);
 
 private:
     /// What is known of an attempt that has not ended.
@@ -52,63 +52,63 @@
     void setDeadline();
     const Fleet::Service *chooseService();
     void tryEndpoint();
-    Placement::ChoiceResult choose() const;
+    Placement::ChoiceResult chooseEndpoint() const;
     /// Places that this process's part must hold for it; empty once it is admitted, and where requests have no objective.
-    std::optional<double> neededPlaces() const;
+    std::optional<double> neededSlots() const;
     /// Whether the engines have places, but not enough for it: less work to find out than choose().
-    bool isWithoutPlace() const;
+    bool lacksSlots() const;
     /// Sends the request to the endpoint that was chosen for it.
-    void chosen(const Placement::Choice &choice);
+    void admitAndSend(const Placement::Choice &choice);
     /// Goes behind the requests that wait already; false if it may not.
     bool joinQueue();
     /// Lets the request wait for a place; false if it may not.
-    bool wait();
+    bool enqueue();
     /// Notes what the refusal of an engine service tells of its weights.
-    void noteRefusal(Placement::NoChoice reason);
+    void recordWeightAvailability(Placement::NoChoice reason);
     bool isWaiting() const
     {
         return m_ticket.has_value();
     }
     void stopWaiting();
     /// Until when it must be sent; without a ticket.
-    Placement::QueuedRequest queueBounds() const;
+    Placement::QueuedRequest sendDeadlines() const;
     /// Time since the caller's first try.
-    Core::Duration lostNow() const;
+    Core::Duration elapsedSinceFirstTry() const;
     /// Its answer could still begin within the objective.
-    bool isFresh() const;
+    bool canMeetObjective() const;
     /// Ends the request, for which no endpoint was chosen, by what has become of it so far: a refusal, a failure or a cut connection.
-    void giveUp(Placement::NoChoice noChoice);
+    void endWithoutEndpoint(Placement::NoChoice noChoice);
     Placement::AdmissionView admissionView() const;
     /// When a caller that is refused should come back.
-    Core::Duration returnTime(Placement::NoChoice reason) const;
+    Core::Duration retryAfter(Placement::NoChoice reason) const;
     void send(const Placement::Choice &choice);
     Http::ClientCallLimits callLimits() const;
     AttemptFacts attemptFacts(const Placement::Choice &choice) const;
 
-    void headCame(const Http::AnswerHead &head);
+    void onHead(const Http::AnswerHead &head);
     bool acceptHead(const Http::AnswerHead &head, const AnswerFacts &facts);
-    void passHeadOn(const Http::AnswerHead &head);
-    void dataCame(std::string_view bytes);
-    void attemptEnded(const Http::ClientCallEnd &end);
-    void notePause();
-    void answerWhole();
+    void forwardHead(const Http::AnswerHead &head);
+    void onData(std::string_view bytes);
+    void onAttemptEnded(const Http::ClientCallEnd &end);
+    void recordPause();
+    void onAnswerComplete();
     /// Ends the attempt under way after a failure and sends the request again, resumes its stream or gives it up.
-    void attemptFailed(Placement::EndpointFailure failure, bool mayHaveRun, const std::string &detail);
-    bool mayRepeat(bool mayHaveRun);
+    void onAttemptFailed(Placement::EndpointFailure failure, bool mayHaveRun, const std::string &detail);
+    bool mayRetry(bool mayHaveRun);
     bool resumeStream();
 
-    void timeIsUp();
-    void callerLeft();
+    void onDeadline();
+    void onCallerDisconnected();
     /// Answers with a refusal, which promises that the request has not run.
     void refuse(const std::string &reason, Core::Duration retryAfter);
     /// Answers with a failure that promises nothing.
     void fail(int status, const std::string &reason);
-    void answerPlainly(int status, Http::HeaderFields fields, const std::string &reason);
+    void answerWithText(int status, Http::HeaderFields fields, const std::string &reason);
     void endAttempt();
     void finish(const std::string &outcome, int status, const std::string &reason);
     void logEnd(const std::string &outcome, int status, const std::string &reason);
     /// Logs why no place is expected for the request.
-    void logQueue(const Placement::QueueForecast &forecast, std::size_t ahead);
+    void logNoSlotExpected(const Placement::QueueForecast &forecast, std::size_t ahead);
     Core::Duration timeLeft() const;
 
     Relay &m_relay;
@@ -122,20 +122,20 @@
     const Fleet::Service *m_service = nullptr;
     Core::Instant m_arrivedAt;
     Core::Instant m_deadline;
-    Core::Duration m_lost{0}; ///< Time since the caller's first try, as far as it can be told.
+    Core::Duration m_elapsedBeforeArrival{0}; ///< Time since the caller's first try, as far as it can be told.
     std::uint32_t m_attempts = 0; ///< Endpoints that the request was sent to; one that took no connection is none.
     std::optional<std::uint64_t> m_ticket; ///< While it waits for a place.
     Core::Instant m_waitingSince;
-    Core::Duration m_waited{0}; ///< For places, in all.
+    Core::Duration m_totalWait{0}; ///< For places, in all.
     bool m_isAdmitted = false; ///< An endpoint was chosen for it; what follows are further attempts.
     double m_firstByteMilliseconds = 0; ///< From arrival to the head of the answer; 0 before.
     std::optional<Core::Instant> m_lastEventAt; ///< When events were last passed on.
     Core::Duration m_longestPause{0}; ///< Between events of the stream so far.
     bool m_mayHaveRun = false; ///< Some attempt may have begun; from then on nothing may say that the request did not run.
-    bool m_metRestarted = false; ///< An engine had started again since it was listed; it holds no weights yet, and so do others probably.
-    bool m_headPassedOn = false;
+    bool m_hasMetRestartedEngine = false; ///< An engine had started again since it was listed; it holds no weights yet, and so do others probably.
+    bool m_isHeadForwarded = false;
     bool m_isEventStream = false;
-    bool m_isOver = false;
+    bool m_isFinished = false;
     std::optional<Attempt> m_attempt;
     EventFramer m_framer;
     std::set<std::string> m_excluded; ///< Endpoints that have failed this request.
--- a/Libraries/LibRelay/WaitingRequests.cpp
+++ b/Libraries/LibRelay/WaitingRequests.cpp
@@ -22,12 +22,12 @@
 {
 }
 
-void WaitingRequests::freshCame(const std::string &service, Core::Instant now)
+void WaitingRequests::recordTimelyArrival(const std::string &service, Core::Instant now)
 {
-    m_services[service].m_fresh.happened(now);
+    m_services[service].m_timelyArrivals.recordEvent(now);
 }
 
-void WaitingRequests::noteWeights(const std::string &service, bool hasWeights, Core::Instant now)
+void WaitingRequests::recordWeightAvailability(const std::string &service, bool hasWeights, Core::Instant now)
 {
     std::optional<Core::Instant> &since = m_services[service].m_withoutWeightsSince;
     if (hasWeights) {
@@ -40,25 +40,25 @@
 bool WaitingRequests::isEmpty(const std::string &service) const
 {
     return std::none_of(
-        m_requests.begin(), m_requests.end(), [&service](const std::pair<const std::uint64_t, Waiting> &entry) { return entry.second.m_service == service; });
+        m_requests.begin(), m_requests.end(), [&service](const std::pair<const std::uint64_t, Entry> &entry) { return entry.second.m_service == service; });
 }
 
 std::optional<std::uint64_t>
-WaitingRequests::join(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request)
+WaitingRequests::enqueue(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request)
 {
-    if (m_requests.size() >= m_settings.m_mostRequests || m_bytes + bytes > m_settings.m_mostBytes) {
+    if (m_requests.size() >= m_settings.m_maximumRequests || m_bytes + bytes > m_settings.m_maximumBytes) {
         return std::nullopt;
     }
     bounds.m_ticket = ++m_lastTicket;
-    m_requests.emplace(bounds.m_ticket, Waiting{service, bounds, bytes, std::move(request)});
+    m_requests.emplace(bounds.m_ticket, Entry{service, bounds, bytes, std::move(request)});
     m_bytes += bytes;
-    serveLater();
+    scheduleDispatch();
     return bounds.m_ticket;
 }
 
-void WaitingRequests::leave(std::uint64_t ticket)
+void WaitingRequests::remove(std::uint64_t ticket)
 {
-    const std::map<std::uint64_t, Waiting>::iterator waiting = m_requests.find(ticket);
+    const std::map<std::uint64_t, Entry>::iterator waiting = m_requests.find(ticket);
     if (waiting == m_requests.end()) {
         return;
     }
@@ -66,7 +66,7 @@
     m_requests.erase(waiting);
 }
 
-void WaitingRequests::serveLater()
+void WaitingRequests::scheduleDispatch()
 {
     if (m_isTimerSet || m_requests.empty()) {
         return;
@@ -78,33 +78,33 @@
             return;
         }
         m_isTimerSet = false;
-        serve();
-        serveLater();
+        dispatch();
+        scheduleDispatch();
     });
 }
 
-void WaitingRequests::serve()
+void WaitingRequests::dispatch()
 {
     // What a request does when it is sent or given up may lead back here.
-    if (m_isServing) {
+    if (m_isDispatching) {
         return;
     }
-    m_isServing = true;
-    m_servedAt = Core::Clock::now();
+    m_isDispatching = true;
+    m_dispatchedAt = Core::Clock::now();
     std::set<std::string> services;
-    for (const std::pair<const std::uint64_t, Waiting> &entry : m_requests) {
+    for (const std::pair<const std::uint64_t, Entry> &entry : m_requests) {
         services.insert(entry.second.m_service);
     }
     for (const std::string &service : services) {
         serve(service);
     }
-    m_isServing = false;
+    m_isDispatching = false;
 }
 
 void WaitingRequests::onSlotsChanged()
 {
-    if (Core::Clock::now() - m_servedAt >= LeastServePause) {
-        serve();
+    if (Core::Clock::now() - m_dispatchedAt >= LeastServePause) {
+        dispatch();
     }
 }
 
@@ -115,7 +115,7 @@
     if (state == m_services.end()) {
         return forecast;
     }
-    forecast.m_freshPerSecond = state->second.m_fresh.value(now);
+    forecast.m_timelyArrivalsPerSecond = state->second.m_timelyArrivals.value(now);
     if (state->second.m_withoutWeightsSince) {
         const Core::Duration lasted = std::chrono::duration_cast<Core::Duration>(now - *state->second.m_withoutWeightsSince);
         forecast.m_untilWeights = Placement::remainingOutage(lasted, m_settings);
@@ -127,18 +127,18 @@
 {
     const Core::Instant now = Core::Clock::now();
     std::vector<Placement::QueuedRequest> queued;
-    for (const std::pair<const std::uint64_t, Waiting> &entry : m_requests) {
+    for (const std::pair<const std::uint64_t, Entry> &entry : m_requests) {
         if (entry.second.m_service == service) {
-            queued.push_back(entry.second.m_bounds);
+            queued.push_back(entry.second.m_deadlines);
         }
     }
     const Placement::QueueForecast expected = forecast(service, now);
     const Placement::QueueDecision decision = Placement::decideQueue(std::move(queued), expected, now, m_settings);
     sendInOrder(decision.m_order);
-    for (const std::uint64_t ticket : decision.m_hopeless) {
+    for (const std::uint64_t ticket : decision.m_rejected) {
         const std::shared_ptr<RelayedRequest> request = find(ticket);
         if (request) {
-            request->giveUpWaiting(expected, decision.m_order.size());
+            request->rejectFromQueue(expected, decision.m_order.size());
         }
     }
 }
@@ -147,7 +147,7 @@
 {
     for (const std::uint64_t ticket : tickets) {
         const std::shared_ptr<RelayedRequest> request = find(ticket);
-        if (request && request->tryFromQueue() == QueueStep::NoPlace) {
+        if (request && request->trySendFromQueue() == QueueStep::NoSlot) {
             return; // Those behind it need as much.
         }
     }
@@ -155,7 +155,7 @@
 
 std::shared_ptr<RelayedRequest> WaitingRequests::find(std::uint64_t ticket) const
 {
-    const std::map<std::uint64_t, Waiting>::const_iterator waiting = m_requests.find(ticket);
+    const std::map<std::uint64_t, Entry>::const_iterator waiting = m_requests.find(ticket);
     return waiting == m_requests.end() ? nullptr : waiting->second.m_request.lock();
 }
 
--- a/Libraries/LibRelay/WaitingRequests.h
+++ b/Libraries/LibRelay/WaitingRequests.h
@@ -31,9 +31,9 @@
     WaitingRequests(Http::EventLoop &loop, Forecast forecast, Placement::QueueSettings settings);
 
     /// Notes that a request which can be answered within its objective came in for the service.
-    void freshCame(const std::string &service, Core::Instant now);
+    void recordTimelyArrival(const std::string &service, Core::Instant now);
     /// Notes whether the service has engines with weights, as a request has just found.
-    void noteWeights(const std::string &service, bool hasWeights, Core::Instant now);
+    void recordWeightAvailability(const std::string &service, bool hasWeights, Core::Instant now);
 
     /// What is expected of the service's engines, with the fresh requests that keep coming and the time until there are weights.
     Placement::QueueForecast forecast(const std::string &service, Core::Instant now) const;
@@ -43,25 +43,25 @@
         return m_requests.size();
     }
     /// Returns a ticket for leave(); empty if too much waits already. @p bytes: of the request's body.
-    std::optional<std::uint64_t> join(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request);
-    void leave(std::uint64_t ticket);
+    std::optional<std::uint64_t> enqueue(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request);
+    void remove(std::uint64_t ticket);
     /// Sends and gives up what can be decided now.
-    void serve();
+    void dispatch();
     /// Serves, since places may have become free, unless the queue was served a moment ago.
     void onSlotsChanged();
 
 private:
-    struct Waiting
+    struct Entry
     {
         std::string m_service;
-        Placement::QueuedRequest m_bounds;
+        Placement::QueuedRequest m_deadlines;
         std::size_t m_bytes = 0; ///< Of the request's body.
         std::weak_ptr<RelayedRequest> m_request;
     };
 
     struct ServiceState
     {
-        Placement::EventRate m_fresh;
+        Placement::EventRate m_timelyArrivals;
         std::optional<Core::Instant> m_withoutWeightsSince; ///< Empty while some engine has weights.
     };
 
@@ -69,16 +69,16 @@
     void sendInOrder(const std::vector<std::uint64_t> &tickets);
     /// Null if the request does not wait any more.
     std::shared_ptr<RelayedRequest> find(std::uint64_t ticket) const;
-    void serveLater();
+    void scheduleDispatch();
 
     const Forecast m_forecast;
     const Placement::QueueSettings m_settings;
     Http::Timer m_timer;
     bool m_isTimerSet = false;
-    bool m_isServing = false;
-    Core::Instant m_servedAt;
+    bool m_isDispatching = false;
+    Core::Instant m_dispatchedAt;
     std::uint64_t m_lastTicket = 0;
-    std::map<std::uint64_t, Waiting> m_requests; ///< By ticket.
+    std::map<std::uint64_t, Entry> m_requests; ///< By ticket.
     std::size_t m_bytes = 0; ///< Of the bodies of m_requests.
     std::map<std::string, ServiceState> m_services;
 };
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -39,16 +39,18 @@
     , m_adapter(std::move(adapter))
     , m_log(STDOUT_FILENO, m_settings.m_instance, m_metrics)
     , m_random(Core::freshSeed(m_settings.m_instance))
-    , m_budgets(m_settings.m_repeats)
+    , m_retryBudgets(m_settings.m_repeats)
     , m_versions(m_settings.m_versionBound - m_settings.m_versionMargin)
     , m_node(Gossip::nodeSettings(m_settings.m_peers), m_metrics)
-    , m_gossip(Gossip::GossipParts{m_loop, m_node, m_beliefs, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
-    , m_follower(Follow::FollowerParts{m_loop, m_beliefs, m_versions, m_metrics, m_log, m_random},
+    , m_gossip(Gossip::GossipParts{m_loop, m_node, m_fleetState, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
+    , m_follower(Follow::FollowerParts{m_loop, m_fleetState, m_versions, m_metrics, m_log, m_random},
                  Follow::FollowerSettings{},
                  m_adapter.m_makeSource(m_loop, m_settings.m_log, m_metrics))
-    , m_relay(Relay::RelayParts{m_loop, m_beliefs, m_book, m_budgets, m_versions, m_patience, m_ledger, m_metrics, m_log, m_random},
-              relaySettings(m_settings),
-              m_adapter.m_dialect)
+    , m_relay(
+          Relay::RelayParts{
+              m_loop, m_fleetState, m_endpointTracker, m_retryBudgets, m_versions, m_elapsedTimeEstimator, m_slotTracker, m_metrics, m_log, m_random},
+          relaySettings(m_settings),
+          m_adapter.m_dialect)
     , m_admin(m_settings.m_admin, m_metrics)
     , m_callerContext(std::make_shared<Http::ServerContext>())
     , m_pageContext(std::make_shared<Http::ServerContext>())
@@ -140,10 +142,10 @@
 {
     m_admin.addDumpSection("beliefs", [this] {
         Poco::JSON::Object::Ptr object(new Poco::JSON::Object);
-        object->set("configuration", m_beliefs.configuration() ? m_beliefs.configuration()->configuration().m_version : 0);
-        object->set("configuration_offset", m_beliefs.declarations().m_configurationOffset);
-        object->set("endpoints", m_beliefs.endpoints().size());
-        object->set("endpoints_end", m_beliefs.endpointsEnd());
+        object->set("configuration", m_fleetState.configuration() ? m_fleetState.configuration()->configuration().m_version : 0);
+        object->set("configuration_offset", m_fleetState.declarations().m_configurationOffset);
+        object->set("endpoints", m_fleetState.endpoints().size());
+        object->set("endpoints_end", m_fleetState.endpointsEnd());
         object->set("members", m_gossip.members().alive(Core::Clock::now()).size());
         object->set("open_requests", m_relay.openRequests());
         return object;
@@ -225,7 +227,7 @@
 
 void EntryProcess::applyLimits()
 {
-    const Fleet::CallerLimits &limits = m_beliefs.configuration()->configuration().m_limits;
+    const Fleet::CallerLimits &limits = m_fleetState.configuration()->configuration().m_limits;
     Http::ServerLimits &server = m_callerContext->m_limits;
     server.m_maximumHeaderBytes = limits.m_maximumHeaderBytes;
     server.m_maximumBodyBytes = limits.m_maximumBodyBytes;
@@ -239,29 +241,29 @@
     if (update.m_configuration) {
         applyLimits();
         m_relay.onConfigurationChanged();
-        const Fleet::Configuration &configuration = m_beliefs.configuration()->configuration();
+        const Fleet::Configuration &configuration = m_fleetState.configuration()->configuration();
         Telemetry::LogLine line("configuration");
         line.number("version", static_cast<std::int64_t>(configuration.m_version)).text("source", isFromLog ? "log" : "peer");
         line.number("routes", static_cast<std::int64_t>(configuration.m_routes.size()));
         m_log.write(line);
     }
     if (update.m_weights) {
-        for (const Fleet::DeclaredWeights &declared : m_beliefs.declarations().m_weights) {
+        for (const Fleet::DeclaredWeights &declared : m_fleetState.declarations().m_weights) {
             Telemetry::LogLine line("weights_declared");
             line.text("model", declared.m_model).number("version", static_cast<std::int64_t>(declared.m_version));
             m_log.write(line.text("source", isFromLog ? "log" : "peer"));
         }
     }
     if (update.m_endpoints) {
-        m_endpointsByAddress.rebuild(m_beliefs.endpoints());
-        m_book.retainKnown(m_beliefs.endpoints());
-        m_ledger.retainKnown([this](const std::string &engine) { return m_beliefs.endpoints().contains(engine); });
+        m_endpointsByAddress.rebuild(m_fleetState.endpoints());
+        m_endpointTracker.retainKnown(m_fleetState.endpoints());
+        m_slotTracker.retainKnown([this](const std::string &engine) { return m_fleetState.endpoints().contains(engine); });
         std::int64_t leaving = 0;
-        for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_beliefs.endpoints()) {
+        for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_fleetState.endpoints()) {
             leaving += entry.second.m_endpoint.m_isLeaving ? 1 : 0;
         }
         Telemetry::LogLine line("endpoints");
-        line.number("known", static_cast<std::int64_t>(m_beliefs.endpoints().size())).number("leaving", leaving);
+        line.number("known", static_cast<std::int64_t>(m_fleetState.endpoints().size())).number("leaving", leaving);
         m_log.write(line.text("source", isFromLog ? "log" : "peer"));
     }
     if (isFromLog && (update.m_weights || update.m_configuration)) {
@@ -286,10 +288,10 @@
 void EntryProcess::takeReport(const Gossip::EngineNews &news, Core::Instant now)
 {
     for (const std::string &id : m_endpointsByAddress.idsAt(news.m_address)) {
-        const Fleet::Endpoint &endpoint = m_beliefs.endpoints().at(id).m_endpoint;
+        const Fleet::Endpoint &endpoint = m_fleetState.endpoints().at(id).m_endpoint;
         // An engine that does not state its start in reports is told by its address alone.
         if (news.m_startedMilliseconds == 0 || endpoint.m_startedMilliseconds == news.m_startedMilliseconds) {
-            m_book.recordEngineReport(endpoint, news.m_report, now);
+            m_endpointTracker.recordEngineReport(endpoint, news.m_report, now);
             notePlaces(endpoint, news.m_report, now);
         }
     }
@@ -297,7 +299,7 @@
 
 void EntryProcess::notePlaces(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now)
 {
-    const Fleet::Service *service = m_beliefs.configuration() ? m_beliefs.configuration()->service(endpoint.m_service) : nullptr;
+    const Fleet::Service *service = m_fleetState.configuration() ? m_fleetState.configuration()->service(endpoint.m_service) : nullptr;
     if (!service || service->m_engine.m_slots == 0) {
         return;
     }
@@ -305,24 +307,24 @@
     if (report.m_isLoading || report.m_weights.empty() || endpoint.m_isLeaving) {
         places = Placement::ReportedSlots{};
     }
-    m_ledger.recordReport(endpoint.m_id, places, now);
+    m_slotTracker.recordReport(endpoint.m_id, places, now);
 }
 
 void EntryProcess::shareOut()
 {
     const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
-    m_budgets.setProcessCount(entries.size() + 1);
+    m_retryBudgets.setProcessCount(entries.size() + 1);
     const double own = m_gossip.self().m_requestsPerSecond + 1.0;
     double all = own;
     for (const Gossip::Member &entry : entries) {
         all += entry.m_isLeaving ? 0 : entry.m_requestsPerSecond + 1.0;
     }
-    m_ledger.setShare(own / all);
+    m_slotTracker.setShare(own / all);
 }
 
 bool EntryProcess::isReady() const
 {
-    return m_beliefs.configuration() && !m_leavingSince;
+    return m_fleetState.configuration() && !m_leavingSince;
 }
 
 void EntryProcess::answerPage(const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request)
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -77,13 +77,13 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log;
     Core::Random m_random;
-    Fleet::FleetState m_beliefs;
+    Fleet::FleetState m_fleetState;
     Fleet::EndpointIndex m_endpointsByAddress; ///< Of the endpoints in m_beliefs.
-    Placement::EndpointTracker m_book;
-    Placement::RetryBudgets m_budgets;
+    Placement::EndpointTracker m_endpointTracker;
+    Placement::RetryBudgets m_retryBudgets;
     Placement::VersionDeadlines m_versions;
-    Placement::ElapsedTimeEstimator m_patience;
-    Placement::SlotTracker m_ledger;
+    Placement::ElapsedTimeEstimator m_elapsedTimeEstimator;
+    Placement::SlotTracker m_slotTracker;
     Wire::Node m_node;
     Gossip::GossipService m_gossip;
     Follow::Follower m_follower;
--- a/Libraries/LibTransfer/Exchange.cpp
+++ b/Libraries/LibTransfer/Exchange.cpp
@@ -226,7 +226,7 @@
     }
     if (found->second.m_peer) {
         const double seconds = Core::secondsBetween(found->second.m_asked, now);
-        m_peers[*found->second.m_peer].m_failuresInRow = 0;
+        m_peers[*found->second.m_peer].m_consecutiveFailures = 0;
         m_usualSeconds = m_usualSeconds == 0 ? seconds : m_usualSeconds + Smoothing * (seconds - m_usualSeconds);
     } else {
         m_originBackAt = drawsFromOrigin() ? m_originBackAt : std::optional<Core::Instant>(now);
@@ -271,11 +271,11 @@
 void Exchange::noteFailure(Peer &peer, Core::Instant now)
 {
     peer.m_usableAfter = now + LostPause;
-    if (++peer.m_failuresInRow < FailuresUntilSetAside) {
+    if (++peer.m_consecutiveFailures < FailuresUntilSetAside) {
         return;
     }
     // A peer that announces chunks and never delivers them would keep everybody from fetching them elsewhere.
-    peer.m_failuresInRow = 0;
+    peer.m_consecutiveFailures = 0;
     peer.m_setAsideUntil = now + SetAsideFor;
 }
 
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -156,7 +156,7 @@
         bool m_drawsFromOrigin = true;
         bool m_sentBadChunk = false; ///< Set aside for good.
         Core::Instant m_setAsideUntil; ///< Set aside for a while, because it held requests up again and again.
-        std::uint32_t m_failuresInRow = 0; ///< Requests that stalled or broke off since the last good chunk.
+        std::uint32_t m_consecutiveFailures = 0; ///< Requests that stalled or broke off since the last good chunk.
         Core::Instant m_usableAfter;
         std::uint32_t m_outstanding = 0;
         std::uint32_t m_queued = 0;
--- a/Tests/LibPlacement/TestAdmission.cpp
+++ b/Tests/LibPlacement/TestAdmission.cpp
@@ -89,16 +89,16 @@
         }
         ++outcome.m_asked;
         const std::size_t entry = random.below(Entries);
-        const Placement::AdmissionView view{ledgers[entry].engines(now), ledgers[entry].share()};
-        const double needed = Placement::neededPlaces(view, settings);
-        const bool isRefused = useLedger && ledgers[entry].total(now).value_or(needed) < needed;
+        const Placement::AdmissionView view{ledgers[entry].reportingEngines(now), ledgers[entry].share()};
+        const double needed = Placement::neededSlots(view, settings);
+        const bool isRefused = useLedger && ledgers[entry].totalFreeSlots(now).value_or(needed) < needed;
         if (isRefused) {
             ++outcome.m_refused;
             continue;
         }
         std::vector<std::size_t> open;
         for (std::size_t index = 0; index < Engines; ++index) {
-            if (!useLedger || ledgers[entry].places(std::to_string(index), now) > 0) {
+            if (!useLedger || ledgers[entry].freeSlots(std::to_string(index), now) > 0) {
                 open.push_back(index);
             }
         }
@@ -106,7 +106,7 @@
         const std::size_t second = open[random.below(open.size())];
         const std::size_t chosen = seen[entry][first] <= seen[entry][second] ? first : second;
         ++seen[entry][chosen];
-        ledgers[entry].sent(std::to_string(chosen));
+        ledgers[entry].recordSent(std::to_string(chosen));
         engines[chosen].m_waitingSince.push_back(time);
     }
     return outcome;
@@ -135,21 +135,21 @@
     for (std::size_t index = 0; index < ledgers.size(); ++index) {
         ledgers[index].setShare(shares[index]);
         ledgers[index].recordReport("engine", Placement::ReportedSlots{4, 18, 10}, Start);
-        sum += ledgers[index].places("engine", Start);
+        sum += ledgers[index].freeSlots("engine", Start);
     }
     CHECK(sum == Approx(4));
-    ledgers[0].sent("engine");
-    CHECK(ledgers[0].places("engine", Start) == Approx(1));
-    CHECK(ledgers[0].places("engine", Start + Core::Duration(200)) == Approx(2));
+    ledgers[0].recordSent("engine");
+    CHECK(ledgers[0].freeSlots("engine", Start) == Approx(1));
+    CHECK(ledgers[0].freeSlots("engine", Start + Core::Duration(200)) == Approx(2));
 }
 
 TEST_CASE("without recent reports nobody is refused for want of places")
 {
     Placement::SlotTracker ledger;
-    CHECK_FALSE(ledger.total(Start));
+    CHECK_FALSE(ledger.totalFreeSlots(Start));
     ledger.recordReport("engine", Placement::ReportedSlots{0, 18, 10}, Start);
-    CHECK(ledger.total(Start));
-    CHECK_FALSE(ledger.total(Start + Core::Duration(5000)));
+    CHECK(ledger.totalFreeSlots(Start));
+    CHECK_FALSE(ledger.totalFreeSlots(Start + Core::Duration(5000)));
 }
 
 TEST_CASE("a caller that comes back is told from a fresh one by the time that it has left")
@@ -157,10 +157,10 @@
     Placement::ElapsedTimeEstimator patience;
     constexpr int fresh = 30;
     for (int caller = 0; caller < fresh; ++caller) {
-        CHECK(patience.lost("route", Core::Duration(6000), Start) == Core::Duration(0));
+        CHECK(patience.estimateElapsed("route", Core::Duration(6000), Start) == Core::Duration(0));
     }
-    CHECK(patience.lost("route", Core::Duration(5200), Start) == Core::Duration(800));
-    CHECK(patience.lost("other", Core::Duration(1000), Start) == Core::Duration(0));
+    CHECK(patience.estimateElapsed("route", Core::Duration(5200), Start) == Core::Duration(800));
+    CHECK(patience.estimateElapsed("other", Core::Duration(1000), Start) == Core::Duration(0));
 }
 
 TEST_CASE("fresh callers that state different times are not taken for ones that come back")
@@ -169,11 +169,11 @@
     Placement::ElapsedTimeEstimator patience;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
-        patience.lost("route", Core::Duration(6000 - 15 * caller), Start + Core::Duration(100 * caller));
+        patience.estimateElapsed("route", Core::Duration(6000 - 15 * caller), Start + Core::Duration(100 * caller));
     }
     const Core::Instant later = Start + Core::Duration(callers * 100);
-    CHECK(patience.lost("route", Core::Duration(5200), later) == Core::Duration(0));
-    CHECK(patience.lost("route", Core::Duration(4000), later) > Core::Duration(1000));
+    CHECK(patience.estimateElapsed("route", Core::Duration(5200), later) == Core::Duration(0));
+    CHECK(patience.estimateElapsed("route", Core::Duration(4000), later) > Core::Duration(1000));
 }
 
 TEST_CASE("callers that come back do not widen the range of what fresh ones state")
@@ -182,22 +182,22 @@
     Placement::ElapsedTimeEstimator patience;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
-        patience.lost("route", Core::Duration(6000), Start + Core::Duration(100 * caller));
+        patience.estimateElapsed("route", Core::Duration(6000), Start + Core::Duration(100 * caller));
     }
     const Core::Instant later = Start + Core::Duration(callers * 100);
-    patience.refused(later);
+    patience.recordRefusal(later);
     for (int caller = 0; caller < callers; ++caller) {
-        patience.lost("route", Core::Duration(5300), later + Core::Duration(20 * caller));
+        patience.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(20 * caller));
     }
-    CHECK(patience.lost("route", Core::Duration(5300), later + Core::Duration(1500)) == Core::Duration(700));
+    CHECK(patience.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(1500)) == Core::Duration(700));
 }
 
 TEST_CASE("a few requests may queue at the engines")
 {
     // Guards against engines that idle between two reports while callers are refused.
     const Placement::AdmissionSettings settings;
-    CHECK(Placement::neededPlaces(Placement::AdmissionView{16, 0.1}, settings) < settings.m_ownPlaces);
-    CHECK(Placement::neededPlaces(Placement::AdmissionView{0, 0.1}, settings) == settings.m_ownPlaces);
+    CHECK(Placement::neededSlots(Placement::AdmissionView{16, 0.1}, settings) < settings.m_slotsPerRequest);
+    CHECK(Placement::neededSlots(Placement::AdmissionView{0, 0.1}, settings) == settings.m_slotsPerRequest);
 }
 
 TEST_CASE("members that come and go do not refill the budget for repeats")
@@ -209,7 +209,7 @@
     int repeats = 0;
     for (std::size_t change = 0; change < 20; ++change) {
         budgets.setProcessCount(12 + change % 2);
-        while (budgets.tryRepeat("drafts")) {
+        while (budgets.tryRetry("drafts")) {
             ++repeats;
         }
     }
@@ -220,15 +220,15 @@
 {
     const Placement::AdmissionSettings settings;
     const Placement::QueueForecast spare{Core::Duration(0), 0, 20, 10};
-    CHECK(Placement::returnTime(spare, 0, settings) == settings.m_shortestReturn);
-    CHECK(Placement::returnTime(spare, 1000, settings) == settings.m_longestReturn);
-    const Core::Duration one = Placement::returnTime(spare, 4, settings);
-    const Core::Duration two = Placement::returnTime(spare, 9, settings);
-    CHECK(one > settings.m_shortestReturn);
+    CHECK(Placement::retryAfter(spare, 0, settings) == settings.m_minimumRetryAfter);
+    CHECK(Placement::retryAfter(spare, 1000, settings) == settings.m_maximumRetryAfter);
+    const Core::Duration one = Placement::retryAfter(spare, 4, settings);
+    const Core::Duration two = Placement::retryAfter(spare, 9, settings);
+    CHECK(one > settings.m_minimumRetryAfter);
     CHECK(two > one);
     // Fresh requests alone take more than the engines do, or no engine is known: a later time is the better one.
-    CHECK(Placement::returnTime(Placement::QueueForecast{Core::Duration(0), 0, 10, 12}, 0, settings) == settings.m_longestReturn);
-    CHECK(Placement::returnTime(Placement::QueueForecast{}, 1, settings) == settings.m_longestReturn);
+    CHECK(Placement::retryAfter(Placement::QueueForecast{Core::Duration(0), 0, 10, 12}, 0, settings) == settings.m_maximumRetryAfter);
+    CHECK(Placement::retryAfter(Placement::QueueForecast{}, 1, settings) == settings.m_maximumRetryAfter);
 }
 
 TEST_CASE("callers that find no engine with the weights come back when a version can have arrived")
@@ -239,12 +239,12 @@
     Core::Duration least{6000};
     Core::Duration most{0};
     for (int caller = 0; caller < 100; ++caller) {
-        const Core::Duration told = Placement::returnTimeWithoutWeights(Core::Duration(6000), random);
+        const Core::Duration told = Placement::retryAfterWithoutWeights(Core::Duration(6000), random);
         least = std::min(least, told);
         most = std::max(most, told);
     }
     CHECK(least >= Core::Duration(1700));
     CHECK(most <= Core::Duration(2000));
     CHECK(most - least > Core::Duration(200));
-    CHECK(Placement::returnTimeWithoutWeights(Core::Duration(-5), random) == Core::Duration(0));
+    CHECK(Placement::retryAfterWithoutWeights(Core::Duration(-5), random) == Core::Duration(0));
 }
--- a/Tests/LibPlacement/TestChoice.cpp
+++ b/Tests/LibPlacement/TestChoice.cpp
@@ -123,7 +123,7 @@
     TestFleet fleet;
     const Fleet::Endpoint bad = fleet.add("bad");
     fleet.add("good");
-    fleet.m_book.failed(bad, Placement::EndpointFailure::Broken, Start);
+    fleet.m_book.recordFailure(bad, Placement::EndpointFailure::ConnectionLost, Start);
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         REQUIRE(fleet.choose(request()).m_choice->m_endpoint.m_id == "good");
     }
@@ -137,12 +137,12 @@
     TestFleet fleet;
     const Fleet::Endpoint first = fleet.add("first");
     const Fleet::Endpoint second = fleet.add("second");
-    fleet.m_book.loadReported(first, 2, 0, Start);
-    fleet.m_book.loadReported(second, 3, 0, Start);
+    fleet.m_book.recordLoad(first, 2, 0, Start);
+    fleet.m_book.recordLoad(second, 3, 0, Start);
     std::map<std::string, int> sent;
     for (int index = 0; index < 20; ++index) {
         const Placement::ChoiceResult result = fleet.choose(request());
-        fleet.m_book.sent(result.m_choice->m_endpoint);
+        fleet.m_book.recordSent(result.m_choice->m_endpoint);
         ++sent[result.m_choice->m_endpoint.m_id];
     }
     CHECK(sent["first"] >= 9);
--- a/Tests/LibPlacement/TestNearEngines.cpp
+++ b/Tests/LibPlacement/TestNearEngines.cpp
@@ -136,8 +136,8 @@
         if (!choice) {
             return;
         }
-        entry.m_book.sent(choice->m_endpoint);
-        entry.m_ledger.sent(choice->m_endpoint.m_id);
+        entry.m_book.recordSent(choice->m_endpoint);
+        entry.m_ledger.recordSent(choice->m_endpoint.m_id);
         const std::vector<PlayedEngine>::iterator engine =
             std::find_if(m_engines.begin(), m_engines.end(), [&choice](const PlayedEngine &candidate) { return candidate.m_id == choice->m_endpoint.m_id; });
         engine->m_waiting.emplace_back(entry.m_domain, now);
--- a/Tests/LibPlacement/TestRepeatBudgets.cpp
+++ b/Tests/LibPlacement/TestRepeatBudgets.cpp
@@ -16,7 +16,7 @@
         budgets.setProcessCount(processes);
         for (int request = 0; request < requestsEach; ++request) {
             budgets.onRequest("drafts");
-            repeats += budgets.tryRepeat("drafts") ? 1 : 0;
+            repeats += budgets.tryRetry("drafts") ? 1 : 0;
         }
     }
     CHECK(repeats <= 0.2 * processes * requestsEach + 217);
@@ -26,6 +26,6 @@
 TEST_CASE("services do not use each other's budget")
 {
     Placement::RetryBudgets budgets(Placement::RetryBudgetSettings{0.2, 2, 1});
-    while (budgets.tryRepeat("one")) { }
-    CHECK(budgets.tryRepeat("two"));
+    while (budgets.tryRetry("one")) { }
+    CHECK(budgets.tryRetry("two"));
 }
--- a/Tests/LibPlacement/TestRequestQueue.cpp
+++ b/Tests/LibPlacement/TestRequestQueue.cpp
@@ -63,7 +63,7 @@
             const bool hasArrival = m_random.unit() < m_stretch.m_arrivalsPerSecond * Step / 1000;
             if (hasArrival && time < m_stretch.m_milliseconds - Patience.count()) {
                 arrive(PlayedRequest{m_now, m_now, false});
-                m_fresh.happened(m_now);
+                m_fresh.recordEvent(m_now);
             }
             comeBack();
             serve();
@@ -90,11 +90,11 @@
         Placement::QueueForecast forecast;
         forecast.m_untilWeights = m_hasWeights ? Core::Duration(0) : Placement::remainingOutage(sinceStart(), m_settings);
         const double perSecond = m_stretch.m_places * 1000 / static_cast<double>(Answer.count());
-        forecast.m_freePlaces = m_hasWeights ? std::max(0.0, m_stretch.m_places - static_cast<double>(m_ends.size())) : 0;
-        forecast.m_placesPerSecond = m_hasWeights ? perSecond : 0;
-        forecast.m_comingPlaces = m_hasWeights ? 0 : m_stretch.m_places;
-        forecast.m_comingPerSecond = m_hasWeights ? 0 : perSecond;
-        forecast.m_freshPerSecond = m_fresh.value(m_now);
+        forecast.m_freeSlots = m_hasWeights ? std::max(0.0, m_stretch.m_places - static_cast<double>(m_ends.size())) : 0;
+        forecast.m_finishedPerSecond = m_hasWeights ? perSecond : 0;
+        forecast.m_expectedSlots = m_hasWeights ? 0 : m_stretch.m_places;
+        forecast.m_expectedFinishedPerSecond = m_hasWeights ? 0 : perSecond;
+        forecast.m_timelyArrivalsPerSecond = m_fresh.value(m_now);
         return forecast;
     }
 
@@ -132,7 +132,7 @@
             send(request);
             return;
         }
-        refuse(request, m_hasWeights ? Core::Duration(300) : Placement::returnTimeWithoutWeights(Patience, m_random));
+        refuse(request, m_hasWeights ? Core::Duration(300) : Placement::retryAfterWithoutWeights(Patience, m_random));
     }
 
     void comeBack()
@@ -171,8 +171,8 @@
             }
             send(take(ticket));
         }
-        for (const std::uint64_t ticket : decision.m_hopeless) {
-            refuse(take(ticket), Placement::returnTime(expected, decision.m_order.size(), Placement::AdmissionSettings{}));
+        for (const std::uint64_t ticket : decision.m_rejected) {
+            refuse(take(ticket), Placement::retryAfter(expected, decision.m_order.size(), Placement::AdmissionSettings{}));
         }
     }
 
@@ -236,7 +236,7 @@
     const Placement::QueueForecast idle{Core::Duration(0), 10, 10, 0};
     const Placement::QueueDecision decision = Placement::decideQueue(queued, idle, now, Placement::QueueSettings{});
     CHECK(decision.m_order == std::vector<std::uint64_t>{4, 2, 3, 1});
-    CHECK(decision.m_hopeless.empty());
+    CHECK(decision.m_rejected.empty());
 }
 
 TEST_CASE("those that come back are sent while there is room, however many are refused")
@@ -247,7 +247,7 @@
     const Placement::QueueForecast overloaded{Core::Duration(0), 1, 10, 30};
     const Placement::QueueDecision decision = Placement::decideQueue(returned, overloaded, now, Placement::QueueSettings{});
     CHECK(decision.m_order == std::vector<std::uint64_t>{1});
-    CHECK(decision.m_hopeless.empty());
+    CHECK(decision.m_rejected.empty());
 }
 
 TEST_CASE("a request is given up as soon as no place is expected within its time")
@@ -257,10 +257,10 @@
     const std::vector<Placement::QueuedRequest> late{waitingSince(1, now - Core::Duration(2000))};
     const Placement::QueueForecast spare{Core::Duration(0), 0, 10, 5};
     const Placement::QueueForecast none{Core::Duration(0), 0, 10, 10};
-    CHECK(Placement::decideQueue(late, spare, now, settings).m_hopeless.empty());
-    CHECK(Placement::decideQueue(late, none, now, settings).m_hopeless.size() == 1);
+    CHECK(Placement::decideQueue(late, spare, now, settings).m_rejected.empty());
+    CHECK(Placement::decideQueue(late, none, now, settings).m_rejected.size() == 1);
     const Placement::QueueForecast longOutage{Core::Duration(5000), 0, 0, 5, 16, 10};
-    CHECK(Placement::decideQueue(late, longOutage, now, settings).m_hopeless.size() == 1);
+    CHECK(Placement::decideQueue(late, longOutage, now, settings).m_rejected.size() == 1);
 }
 
 TEST_CASE("callers go on waiting while the first engines come back")
@@ -273,14 +273,14 @@
     }
     const Placement::QueueForecast firstOnly{Core::Duration(0), 1, 0.5, 5, 0, 0};
     const Placement::QueueForecast othersFollow{Core::Duration(0), 1, 0.5, 5, 14, 8};
-    CHECK(Placement::decideQueue(queued, firstOnly, now, Placement::QueueSettings{}).m_hopeless.size() == 11);
-    CHECK(Placement::decideQueue(queued, othersFollow, now, Placement::QueueSettings{}).m_hopeless.empty());
+    CHECK(Placement::decideQueue(queued, firstOnly, now, Placement::QueueSettings{}).m_rejected.size() == 11);
+    CHECK(Placement::decideQueue(queued, othersFollow, now, Placement::QueueSettings{}).m_rejected.empty());
 }
 
 TEST_CASE("an outage is expected to last the longer the longer it has lasted")
 {
     const Placement::QueueSettings settings;
-    CHECK(Placement::remainingOutage(Core::Duration(0), settings) == settings.m_usualOutage);
+    CHECK(Placement::remainingOutage(Core::Duration(0), settings) == settings.m_typicalOutage);
     CHECK(Placement::remainingOutage(Core::Duration(8000), settings) == Core::Duration(4000));
     CHECK(Placement::remainingOutage(Core::Duration(900), settings) >= Core::Duration(100));
 }
@@ -289,7 +289,7 @@
 {
     Placement::EventRate rate;
     for (int count = 0; count < 100; ++count) {
-        rate.happened(Start + Core::Duration(100 * count));
+        rate.recordEvent(Start + Core::Duration(100 * count));
     }
     const Core::Instant last = Start + Core::Duration(9900);
     CHECK(rate.value(last) == Approx(10).epsilon(0.1));
--- a/Tests/LibRelay/TestRelay.cpp
+++ b/Tests/LibRelay/TestRelay.cpp
@@ -141,7 +141,7 @@
     void letWait(RawCaller &caller)
     {
         caller.send(RequestOfModel);
-        REQUIRE(runUntil(m_loop, [this] { return m_relay->waiting() == 1; }));
+        REQUIRE(runUntil(m_loop, [this] { return m_relay->waitingRequests() == 1; }));
     }
 
     /// Every endpoint reports that it has the weights and nothing to do.
@@ -403,7 +403,7 @@
     fixture.m_relay->onSlotsChanged();
     REQUIRE(runUntil(fixture.m_loop, [&caller] { return caller.received().ends_with("done"); }));
     CHECK(fixture.m_requests.size() == 1);
-    CHECK(fixture.m_relay->waiting() == 0);
+    CHECK(fixture.m_relay->waitingRequests() == 0);
 }
 
 TEST_CASE("a caller that leaves while it waits gives up its place in the queue and reaches no engine")
@@ -416,7 +416,7 @@
         RawCaller caller(fixture.m_loop, fixture.m_listener->port());
         fixture.letWait(caller);
         caller.close();
-        CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->waiting() == 0; }));
+        CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->waitingRequests() == 0; }));
     }
     CHECK(fixture.m_relay->openRequests() == 0);
     fixture.reportWeights();
--- a/Tests/LibRelay/TestWaitingRequests.cpp
+++ b/Tests/LibRelay/TestWaitingRequests.cpp
@@ -10,18 +10,18 @@
     // Guards against a process that runs out of memory while no engine takes anything.
     Http::EventLoop loop;
     Placement::QueueSettings settings;
-    settings.m_mostRequests = 2;
-    settings.m_mostBytes = 100;
+    settings.m_maximumRequests = 2;
+    settings.m_maximumBytes = 100;
     Relay::WaitingRequests queue(
         loop, [](const std::string &) { return Placement::QueueForecast{}; }, settings);
-    const std::optional<std::uint64_t> first = queue.join("models", Placement::QueuedRequest{}, 60, {});
+    const std::optional<std::uint64_t> first = queue.enqueue("models", Placement::QueuedRequest{}, 60, {});
     REQUIRE(first);
-    CHECK_FALSE(queue.join("models", Placement::QueuedRequest{}, 60, {}));
-    CHECK(queue.join("models", Placement::QueuedRequest{}, 40, {}));
-    CHECK_FALSE(queue.join("models", Placement::QueuedRequest{}, 0, {}));
-    queue.leave(*first);
-    queue.leave(*first);
-    CHECK(queue.join("models", Placement::QueuedRequest{}, 60, {}));
+    CHECK_FALSE(queue.enqueue("models", Placement::QueuedRequest{}, 60, {}));
+    CHECK(queue.enqueue("models", Placement::QueuedRequest{}, 40, {}));
+    CHECK_FALSE(queue.enqueue("models", Placement::QueuedRequest{}, 0, {}));
+    queue.remove(*first);
+    queue.remove(*first);
+    CHECK(queue.enqueue("models", Placement::QueuedRequest{}, 60, {}));
     CHECK_FALSE(queue.isEmpty("models"));
     CHECK(queue.isEmpty("others"));
 }
@@ -39,7 +39,7 @@
             return Placement::QueueForecast{};
         },
         Placement::QueueSettings{});
-    REQUIRE(queue.join("models", Placement::QueuedRequest{}, 0, {}));
+    REQUIRE(queue.enqueue("models", Placement::QueuedRequest{}, 0, {}));
     const Core::Instant begun = Core::Clock::now();
     for (std::size_t report = 0; report < reports; ++report) {
         queue.onSlotsChanged();
