--- a/Libraries/LibEndpoint/Agent.cpp
+++ b/Libraries/LibEndpoint/Agent.cpp
@@ -62,10 +62,10 @@
           m_settings.m_instance.m_member, m_state, [this] { return m_transfer.progress(); }, reportSettings(m_settings.m_duties), m_metrics)
     , m_admin(m_settings.m_instance.m_member.m_admin, m_metrics)
 {
-    m_state.onLiveTraffic([this](std::uint64_t bytes) { m_transfer.noteLiveBytes(bytes); });
+    m_state.onLiveTraffic([this](std::uint64_t bytes) { m_transfer.recordLiveBytes(bytes); });
     m_store.onChange([this] { onStateChange(); });
-    m_transfer.onManifest([this](const std::string &) { onKnownChange(); });
-    m_transfer.onComplete([this](const std::string &) { onKnownChange(); });
+    m_transfer.onManifestVerified([this](const std::string &) { onKnownChange(); });
+    m_transfer.onVersionComplete([this](const std::string &) { onKnownChange(); });
     registerMethods();
     registerPages();
 }
@@ -180,7 +180,7 @@
 {
     std::vector<KnownWeights> known;
     for (const Transfer::KnownVersion &version : m_transfer.knownVersions()) {
-        known.push_back(KnownWeights{version.m_manifestDigest, version.m_contentDigest, version.m_isWhole});
+        known.push_back(KnownWeights{version.m_manifestDigest, version.m_contentDigest, version.m_isComplete});
     }
     m_state.change([&known](AgentFacts &facts) { facts.m_known = known; });
 }
@@ -231,7 +231,7 @@
 
 std::shared_ptr<const Weights::HeldVersion> Agent::heldWeights(const std::string &manifestDigest)
 {
-    return m_transfer.held(manifestDigest);
+    return m_transfer.heldVersion(manifestDigest);
 }
 
 void Agent::releaseWeights(const std::string &manifestDigest)
--- a/Libraries/LibEndpoint/Engine.h
+++ b/Libraries/LibEndpoint/Engine.h
@@ -40,7 +40,7 @@
 {
     std::string m_manifestDigest;
     std::string m_contentDigest; ///< As the manifest says.
-    bool m_isWhole = false; ///< Every byte is here and verified.
+    bool m_isComplete = false; ///< Every byte is here and verified.
 
     bool operator==(const KnownWeights &) const = default;
 };
--- a/Libraries/LibEndpoint/OrderDecision.cpp
+++ b/Libraries/LibEndpoint/OrderDecision.cpp
@@ -96,7 +96,7 @@
 std::optional<KnownWeights> nextToLoad(const OrderSituation &situation, Core::Instant now)
 {
     for (const KnownWeights &known : plannedAndKnown(situation)) {
-        const bool mayBeOrdered = known.m_isWhole && !waitsAfterFailure(situation, known.m_contentDigest, now);
+        const bool mayBeOrdered = known.m_isComplete && !waitsAfterFailure(situation, known.m_contentDigest, now);
         if (mayBeOrdered && !findModel(situation.m_engine, known.m_contentDigest)) {
             return known;
         }
--- a/Libraries/LibEndpoint/OrderDuty.cpp
+++ b/Libraries/LibEndpoint/OrderDuty.cpp
@@ -211,7 +211,7 @@
     }
     const std::set<std::string> planned(facts.m_plannedManifests.begin(), facts.m_plannedManifests.end());
     for (const KnownWeights &held : facts.m_known) {
-        if (!held.m_isWhole) {
+        if (!held.m_isComplete) {
             continue;
         }
         const bool loaded = std::any_of(facts.m_engine.m_models.begin(), facts.m_engine.m_models.end(), [&held](const EngineModel &model) {
--- a/Libraries/LibHttp/ClientCall.cpp
+++ b/Libraries/LibHttp/ClientCall.cpp
@@ -256,7 +256,7 @@
         gathering.m_done(Core::makeError(Core::ErrorCode::Corrupt, "read answer", peer, "the answer is longer than allowed"));
         return;
     }
-    if (end.m_isWhole) {
+    if (end.m_isComplete) {
         gathering.m_done(std::move(gathering.m_answer));
         return;
     }
--- a/Libraries/LibHttp/ClientCall.h
+++ b/Libraries/LibHttp/ClientCall.h
@@ -32,7 +32,7 @@
 /// How a call ended.
 struct ClientCallEnd
 {
-    bool m_isWhole = false; ///< The answer came whole, as its framing tells.
+    bool m_isComplete = false; ///< The answer came whole, as its framing tells.
     bool m_wasSent = false; ///< Some of the request may have reached the peer. False means that it surely has not run.
     Core::Error m_error; ///< Why the answer is not whole.
 };
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -417,7 +417,7 @@
 
 void RelayedRequest::onAttemptEnded(const Http::ClientCallEnd &end)
 {
-    if (end.m_isWhole) {
+    if (end.m_isComplete) {
         onAnswerComplete();
         return;
     }
--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -53,7 +53,7 @@
                  m_adapter.m_makeSource(m_loop, m_settings.m_log, m_metrics))
     , m_transfer(transferParts(m_settings, m_adapter, m_node, m_metrics))
     , m_engine(m_adapter.m_makeEngine(m_loop, m_settings.m_engine))
-    , m_manifests(m_loop, m_node, m_engine.m_manifest)
+    , m_manifests(m_loop, m_node, m_engine.m_fetchManifest)
     , m_keeper(KeeperParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, m_settings.m_keeper, engineControl())
     , m_admin(m_settings.m_admin, m_metrics)
     , m_adminContext(std::make_shared<Http::ServerContext>())
@@ -67,7 +67,7 @@
 EngineControl AgentProcess::engineControl()
 {
     EngineControl control = m_engine;
-    control.m_manifest = [this](const Core::Address &origin, const std::string &model, std::uint64_t version, Done<Weights::Manifest> done) {
+    control.m_fetchManifest = [this](const Core::Address &origin, const std::string &model, std::uint64_t version, Done<Weights::Manifest> done) {
         m_manifests.fetch(origin, ModelVersion{model, version}, std::move(done));
     };
     return control;
--- a/Libraries/LibStaging/WeightsKeeper.cpp
+++ b/Libraries/LibStaging/WeightsKeeper.cpp
@@ -77,7 +77,7 @@
         return;
     }
     m_isLooking = true;
-    m_engine.m_status([this, alive = m_isAlive](Core::Result<EngineStatus> status) {
+    m_engine.m_readStatus([this, alive = m_isAlive](Core::Result<EngineStatus> status) {
         if (!*alive) {
             return;
         }
@@ -316,7 +316,7 @@
     if (!origin || m_nextTarget != target) {
         return;
     }
-    m_engine.m_manifest(
+    m_engine.m_fetchManifest(
         *origin->m_origin, target.m_model, target.m_version, [this, alive = m_isAlive, target](const Core::Result<Weights::Manifest> &manifest) {
             if (*alive) {
                 prefetched(target, manifest);
@@ -349,11 +349,12 @@
         later(m_settings.m_retryPause, run, [this] { fetchManifest(); });
         return;
     }
-    m_engine.m_manifest(*origin->m_origin, m_target->m_model, m_target->m_version, [this, alive = m_isAlive, run](Core::Result<Weights::Manifest> manifest) {
-        if (*alive && isCurrent(run)) {
-            manifestCame(run, std::move(manifest));
-        }
-    });
+    m_engine.m_fetchManifest(
+        *origin->m_origin, m_target->m_model, m_target->m_version, [this, alive = m_isAlive, run](Core::Result<Weights::Manifest> manifest) {
+            if (*alive && isCurrent(run)) {
+                manifestCame(run, std::move(manifest));
+            }
+        });
 }
 
 void WeightsKeeper::manifestCame(std::uint64_t run, Core::Result<Weights::Manifest> manifest)
@@ -418,7 +419,7 @@
 {
     enter(Step::Stage);
     const std::uint64_t run = m_run;
-    m_engine.m_listStaged(m_target->m_model, [this, alive = m_isAlive, run](Core::Result<std::vector<Weights::ChunkIndex>> held) {
+    m_engine.m_listStagedChunks(m_target->m_model, [this, alive = m_isAlive, run](Core::Result<std::vector<Weights::ChunkIndex>> held) {
         if (!*alive || !isCurrent(run)) {
             return;
         }
@@ -433,7 +434,7 @@
 void WeightsKeeper::readStaged(std::uint64_t run, std::vector<Weights::ChunkIndex> chunks)
 {
     const ChunkStep step = [this, run](Weights::ChunkIndex chunk, const std::function<void()> &done) {
-        m_engine.m_readStaged(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
+        m_engine.m_readStagedChunk(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
             if (!*alive || !isCurrent(run)) {
                 return;
             }
@@ -457,7 +458,7 @@
 {
     enter(Step::Transfer);
     const std::uint64_t run = m_run;
-    if (m_parts.m_transfer.held(m_manifestDigest)) {
+    if (m_parts.m_transfer.heldVersion(m_manifestDigest)) {
         putMissing(run);
         return;
     }
@@ -471,7 +472,7 @@
 void WeightsKeeper::putMissing(std::uint64_t run)
 {
     enter(Step::Put);
-    const std::shared_ptr<const Weights::HeldVersion> held = m_parts.m_transfer.held(m_manifestDigest);
+    const std::shared_ptr<const Weights::HeldVersion> held = m_parts.m_transfer.heldVersion(m_manifestDigest);
     if (!held) {
         if (m_nextTarget) {
             begin(TargetVersion(*m_nextTarget)); // A chunk was spoilt whose version is not drawn any more.
@@ -487,7 +488,7 @@
         }
     }
     const ChunkStep step = [this, run, held](Weights::ChunkIndex chunk, const std::function<void()> &done) {
-        m_engine.m_stage(m_target->m_model, chunk, *held->m_chunks[chunk], [this, alive = m_isAlive, run, chunk, done](const Core::Result<void> &result) {
+        m_engine.m_stageChunk(m_target->m_model, chunk, *held->m_chunks[chunk], [this, alive = m_isAlive, run, chunk, done](const Core::Result<void> &result) {
             if (!*alive || !isCurrent(run)) {
                 return;
             }
@@ -555,7 +556,7 @@
         m_onStatus(*m_status, true, true);
     }
     const bool isServing = !m_status->m_weights.empty() && m_status->m_running > 0;
-    const bool willCut = runningRequests() == RunningRequests::Cut;
+    const bool willCut = runningRequests() == RunningRequests::Abort;
     later(isServing && willCut ? m_settings.m_quietTime : Core::Duration(0), run, [this, run] {
         enter(Step::Verify);
         verify(run);
@@ -567,7 +568,7 @@
     std::vector<Weights::ChunkIndex> chunks(m_manifest->chunkCount());
     std::iota(chunks.begin(), chunks.end(), Weights::ChunkIndex{0});
     const ChunkStep step = [this, run](Weights::ChunkIndex chunk, const std::function<void()> &done) {
-        m_engine.m_readStaged(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
+        m_engine.m_readStagedChunk(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
             if (!*alive || !isCurrent(run)) {
                 return;
             }
@@ -595,7 +596,7 @@
 RunningRequests WeightsKeeper::runningRequests() const
 {
     const Fleet::Service *own = service();
-    return own && own->m_mayMoveRequests ? RunningRequests::Cut : RunningRequests::Finish;
+    return own && own->m_mayMoveRequests ? RunningRequests::Abort : RunningRequests::Finish;
 }
 
 void WeightsKeeper::order(std::uint64_t run)
@@ -608,7 +609,7 @@
     m_ordersGiven.add();
     m_orderedAt = Core::Clock::now();
     const RunningRequests running = runningRequests();
-    const LoadOrder order{m_target->m_model, m_target->m_version, running, m_target->m_fence, m_status->m_orders};
+    const LoadOrder order{m_target->m_model, m_target->m_version, running, m_target->m_fence, m_status->m_acceptedOrders};
     m_engine.m_load(order, [this, alive = m_isAlive, run](const Core::Result<void> &result) {
         if (*alive && isCurrent(run)) {
             orderEnded(run, result);
--- a/Libraries/LibTransfer/Coordinator.cpp
+++ b/Libraries/LibTransfer/Coordinator.cpp
@@ -119,17 +119,17 @@
     m_events->push(ChunkOffered{digest, chunk, std::move(bytes)});
 }
 
-void Coordinator::onManifest(std::function<void(const std::string &)> callback)
+void Coordinator::onManifestVerified(std::function<void(const std::string &)> callback)
 {
     m_onManifest = std::move(callback);
 }
 
-void Coordinator::onComplete(std::function<void(const std::string &)> callback)
+void Coordinator::onVersionComplete(std::function<void(const std::string &)> callback)
 {
     m_onComplete = std::move(callback);
 }
 
-void Coordinator::noteLiveBytes(std::uint64_t bytes)
+void Coordinator::recordLiveBytes(std::uint64_t bytes)
 {
     m_liveBytes.fetch_add(bytes, std::memory_order_relaxed);
     m_uploads.charge(bytes);
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -38,9 +38,9 @@
     void setOrigin(const Core::Address &origin);
     void offerManifest(const std::string &digest, std::string encoded);
     void offerChunk(const std::string &digest, Weights::ChunkIndex chunk, std::string bytes);
-    void onManifest(std::function<void(const std::string &)> callback);
-    void onComplete(std::function<void(const std::string &)> callback);
-    void noteLiveBytes(std::uint64_t bytes);
+    void onManifestVerified(std::function<void(const std::string &)> callback);
+    void onVersionComplete(std::function<void(const std::string &)> callback);
+    void recordLiveBytes(std::uint64_t bytes);
     Published published() const;
 
 private:
--- a/Libraries/LibTransfer/OriginClient.cpp
+++ b/Libraries/LibTransfer/OriginClient.cpp
@@ -43,12 +43,12 @@
 
 Core::Result<std::string> OriginClient::readManifest(const std::string &model, const std::string &version)
 {
-    return m_dialect.m_toManifest(BOOST_OUTCOME_TRYX(get(m_dialect.m_manifest(model, version), Weights::MaximumManifestBytes)));
+    return m_dialect.m_convertManifest(BOOST_OUTCOME_TRYX(get(m_dialect.m_makeManifestRequest(model, version), Weights::MaximumManifestBytes)));
 }
 
 Core::Result<std::string> OriginClient::readChunk(const OriginChunk &chunk)
 {
-    std::string bytes = BOOST_OUTCOME_TRYX(get(m_dialect.m_chunk(chunk), chunk.m_length));
+    std::string bytes = BOOST_OUTCOME_TRYX(get(m_dialect.m_makeChunkRequest(chunk), chunk.m_length));
     if (bytes.size() != chunk.m_length) {
         // The connection broke off in the middle, or the object is shorter than its manifest says.
         m_session.reset();
@@ -60,7 +60,7 @@
     return bytes;
 }
 
-Core::Result<std::string> OriginClient::get(const OriginQuestion &question, std::size_t maximumBytes)
+Core::Result<std::string> OriginClient::get(const OriginRequest &question, std::size_t maximumBytes)
 {
     const bool reused = m_session != nullptr;
     Core::Result<std::string> answer = tryGet(question, maximumBytes);
@@ -72,7 +72,7 @@
     return answer;
 }
 
-Core::Result<std::string> OriginClient::tryGet(const OriginQuestion &question, std::size_t maximumBytes)
+Core::Result<std::string> OriginClient::tryGet(const OriginRequest &question, std::size_t maximumBytes)
 {
     if (!m_session) {
         m_session = BOOST_OUTCOME_TRYX(Network::dialHttp(m_network, m_origin, m_timeout));
--- a/Libraries/LibTransfer/OriginClient.h
+++ b/Libraries/LibTransfer/OriginClient.h
@@ -30,8 +30,8 @@
     Core::Result<std::string> readChunk(const OriginChunk &chunk);
 
 private:
-    Core::Result<std::string> get(const OriginQuestion &question, std::size_t maximumBytes);
-    Core::Result<std::string> tryGet(const OriginQuestion &question, std::size_t maximumBytes);
+    Core::Result<std::string> get(const OriginRequest &question, std::size_t maximumBytes);
+    Core::Result<std::string> tryGet(const OriginRequest &question, std::size_t maximumBytes);
     Core::Result<std::string> checked(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const;
 
     const Network::NetworkSettings m_network;
--- a/Libraries/LibTransfer/OriginDialect.cpp
+++ b/Libraries/LibTransfer/OriginDialect.cpp
@@ -26,14 +26,14 @@
 OriginDialect ownOriginDialect()
 {
     OriginDialect dialect;
-    dialect.m_manifest = [](const std::string &model, const std::string &version) {
-        return OriginQuestion{weightsPath(model, version, "manifest"), "", Poco::Net::HTTPResponse::HTTP_OK};
+    dialect.m_makeManifestRequest = [](const std::string &model, const std::string &version) {
+        return OriginRequest{weightsPath(model, version, "manifest"), "", Poco::Net::HTTPResponse::HTTP_OK};
     };
-    dialect.m_chunk = [](const OriginChunk &chunk) {
+    dialect.m_makeChunkRequest = [](const OriginChunk &chunk) {
         const std::string range = "bytes=" + std::to_string(chunk.m_offset) + "-" + std::to_string(chunk.m_offset + chunk.m_length - 1);
-        return OriginQuestion{weightsPath(chunk.m_model, chunk.m_version, "data"), range, Poco::Net::HTTPResponse::HTTP_PARTIAL_CONTENT};
+        return OriginRequest{weightsPath(chunk.m_model, chunk.m_version, "data"), range, Poco::Net::HTTPResponse::HTTP_PARTIAL_CONTENT};
     };
-    dialect.m_toManifest = [](std::string answer) { return Core::Result<std::string>(std::move(answer)); };
+    dialect.m_convertManifest = [](std::string answer) { return Core::Result<std::string>(std::move(answer)); };
     return dialect;
 }
 
--- a/Libraries/LibTransfer/OriginDialect.h
+++ b/Libraries/LibTransfer/OriginDialect.h
@@ -22,21 +22,21 @@
 };
 
 /// What to ask for, and what a good answer looks like.
-struct OriginQuestion
+struct OriginRequest
 {
     std::string m_target; ///< Path and query.
     std::string m_range; ///< Value of the Range field; empty if the target names the bytes.
     int m_expectedStatus = 200;
 
-    bool operator==(const OriginQuestion &) const = default;
+    bool operator==(const OriginRequest &) const = default;
 };
 
 struct OriginDialect
 {
-    std::function<OriginQuestion(const std::string &model, const std::string &version)> m_manifest;
-    std::function<OriginQuestion(const OriginChunk &chunk)> m_chunk;
+    std::function<OriginRequest(const std::string &model, const std::string &version)> m_makeManifestRequest;
+    std::function<OriginRequest(const OriginChunk &chunk)> m_makeChunkRequest;
     /// Makes the product's encoded manifest out of the origin's answer.
-    std::function<Core::Result<std::string>(std::string answer)> m_toManifest;
+    std::function<Core::Result<std::string>(std::string answer)> m_convertManifest;
 };
 
 /// The product's own interface: manifests as they are, chunks as ranges of one object.
--- a/Libraries/LibTransfer/TransferManager.cpp
+++ b/Libraries/LibTransfer/TransferManager.cpp
@@ -28,7 +28,7 @@
     m_coordinator->setTargets(std::move(wanted));
 }
 
-std::shared_ptr<const Weights::HeldVersion> TransferManager::held(const std::string &manifestDigest) const
+std::shared_ptr<const Weights::HeldVersion> TransferManager::heldVersion(const std::string &manifestDigest) const
 {
     const Published published = m_coordinator->published();
     const std::map<std::string, std::shared_ptr<const Weights::HeldVersion>>::const_iterator found = published.m_held.find(manifestDigest);
@@ -75,19 +75,19 @@
     return m_coordinator->published().m_known;
 }
 
-void TransferManager::onManifest(std::function<void(const std::string &manifestDigest)> callback)
+void TransferManager::onManifestVerified(std::function<void(const std::string &manifestDigest)> callback)
 {
-    m_coordinator->onManifest(std::move(callback));
+    m_coordinator->onManifestVerified(std::move(callback));
 }
 
-void TransferManager::onComplete(std::function<void(const std::string &manifestDigest)> callback)
+void TransferManager::onVersionComplete(std::function<void(const std::string &manifestDigest)> callback)
 {
-    m_coordinator->onComplete(std::move(callback));
+    m_coordinator->onVersionComplete(std::move(callback));
 }
 
-void TransferManager::noteLiveBytes(std::uint64_t bytes)
+void TransferManager::recordLiveBytes(std::uint64_t bytes)
 {
-    m_coordinator->noteLiveBytes(bytes);
+    m_coordinator->recordLiveBytes(bytes);
 }
 
 Poco::JSON::Object::Ptr TransferManager::dump() const
--- a/Libraries/LibTransfer/TransferManager.h
+++ b/Libraries/LibTransfer/TransferManager.h
@@ -38,7 +38,7 @@
 {
     std::string m_manifestDigest;
     std::string m_contentDigest; ///< Of the whole weights, as the manifest says.
-    bool m_isWhole = false; ///< Every chunk is here.
+    bool m_isComplete = false; ///< Every chunk is here.
 
     bool operator==(const KnownVersion &) const = default;
 };
@@ -75,7 +75,7 @@
     void setTargets(std::vector<Control::Deployment> wanted);
 
     /// The version with this manifest digest if it is whole and verified, else null. Nothing partial is ever returned.
-    std::shared_ptr<const Weights::HeldVersion> held(const std::string &manifestDigest) const;
+    std::shared_ptr<const Weights::HeldVersion> heldVersion(const std::string &manifestDigest) const;
     /// Every version whose manifest is verified here.
     std::vector<KnownVersion> knownVersions() const;
     /// Manifest digests of every whole version.
@@ -94,12 +94,12 @@
     void offerChunk(const std::string &manifestDigest, Weights::ChunkIndex chunk, std::string bytes);
 
     /// Called with the manifest digest when a version's manifest is verified, on a duty's thread. Set before start().
-    void onManifest(std::function<void(const std::string &manifestDigest)> callback);
+    void onManifestVerified(std::function<void(const std::string &manifestDigest)> callback);
     /// Called with the manifest digest when a version becomes whole, on a duty's thread. Set before start().
-    void onComplete(std::function<void(const std::string &manifestDigest)> callback);
+    void onVersionComplete(std::function<void(const std::string &manifestDigest)> callback);
 
     /// Live traffic used this many bytes of the instance's link; transfer gives way for as many.
-    void noteLiveBytes(std::uint64_t bytes);
+    void recordLiveBytes(std::uint64_t bytes);
 
     /// For the state dump.
     Poco::JSON::Object::Ptr dump() const;
--- a/Tests/LibHttp/TestClientCall.cpp
+++ b/Tests/LibHttp/TestClientCall.cpp
@@ -44,7 +44,7 @@
         connection->send(answer);
         connection->close();
     });
-    CHECK(outcome.m_end->m_isWhole);
+    CHECK(outcome.m_end->m_isComplete);
     CHECK(outcome.m_body == "full");
 }
 
@@ -58,7 +58,7 @@
         connection->send(answer);
         connection->close();
     });
-    CHECK_FALSE(outcome.m_end->m_isWhole);
+    CHECK_FALSE(outcome.m_end->m_isComplete);
     CHECK(outcome.m_end->m_wasSent);
 }
 
@@ -68,7 +68,7 @@
         connection->send("HTTP/1.1 200 OK\r\n\r\nfull");
         connection->reset();
     });
-    CHECK_FALSE(outcome.m_end->m_isWhole);
+    CHECK_FALSE(outcome.m_end->m_isComplete);
 }
 
 TEST_CASE("bytes that are no answer are told apart from a connection that broke")
--- a/Tests/LibStaging/TestWeightsKeeper.cpp
+++ b/Tests/LibStaging/TestWeightsKeeper.cpp
@@ -52,7 +52,7 @@
 Staging::EngineControl control(Http::EventLoop &loop, FakeEngine &engine)
 {
     Staging::EngineControl made;
-    made.m_status = [&loop, &engine](Staging::Done<Staging::EngineStatus> done) {
+    made.m_readStatus = [&loop, &engine](Staging::Done<Staging::EngineStatus> done) {
         boost::asio::post(loop, [&engine, done] {
             if (engine.m_isAbsent) {
                 done(Core::makeError(Core::ErrorCode::Unavailable, "read report", "engine", "refused"));
@@ -61,31 +61,31 @@
             }
         });
     };
-    made.m_listStaged = [&loop, &engine](const std::string &, Staging::Done<std::vector<Weights::ChunkIndex>> done) {
+    made.m_listStagedChunks = [&loop, &engine](const std::string &, Staging::Done<std::vector<Weights::ChunkIndex>> done) {
         std::vector<Weights::ChunkIndex> held;
         for (const std::pair<const Weights::ChunkIndex, std::string> &entry : engine.m_stage) {
             held.push_back(entry.first);
         }
         boost::asio::post(loop, [held, done] { done(held); });
     };
-    made.m_readStaged = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, Staging::Done<std::string> done) {
+    made.m_readStagedChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, Staging::Done<std::string> done) {
         if (++engine.m_reads == engine.m_spoilAtRead) {
             engine.m_stage[1] = "spoilt";
         }
         boost::asio::post(loop, [&engine, chunk, done] { done(engine.m_stage[chunk]); });
     };
-    made.m_stage = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, const std::string &bytes, Staging::Done<void> done) {
+    made.m_stageChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, const std::string &bytes, Staging::Done<void> done) {
         engine.m_stage[chunk] = bytes;
         boost::asio::post(loop, [done] { done(Core::success()); });
     };
     made.m_load = [&loop, &engine](const Staging::LoadOrder &order, Staging::Done<void> done) {
         engine.m_orders.push_back(order);
         engine.m_loaded.push_back(engine.m_stage);
-        ++engine.m_status.m_orders;
+        ++engine.m_status.m_acceptedOrders;
         engine.m_status.m_weights = {Fleet::LoadedWeights{order.m_model, order.m_version, {}}};
         boost::asio::post(loop, [done] { done(Core::success()); });
     };
-    made.m_manifest = [&loop, &engine](const Core::Address &, const std::string &, std::uint64_t version, Staging::Done<Weights::Manifest> done) {
+    made.m_fetchManifest = [&loop, &engine](const Core::Address &, const std::string &, std::uint64_t version, Staging::Done<Weights::Manifest> done) {
         boost::asio::post(loop, [&engine, version, done] {
             if (engine.m_isOriginAway) {
                 done(Core::makeError(Core::ErrorCode::Unavailable, "read manifest", "origin", "refused"));
--- a/Tests/LibTransfer/Replicas.h
+++ b/Tests/LibTransfer/Replicas.h
@@ -124,7 +124,7 @@
     {
         std::size_t count = 0;
         for (const std::unique_ptr<Replica> &replica : m_replicas) {
-            count += replica->m_manager && replica->m_manager->held(digest) ? 1 : 0;
+            count += replica->m_manager && replica->m_manager->heldVersion(digest) ? 1 : 0;
         }
         return count;
     }
--- a/Tests/LibTransfer/TestBurst.cpp
+++ b/Tests/LibTransfer/TestBurst.cpp
@@ -30,7 +30,7 @@
     replicas.setTargets({deployment});
     REQUIRE(TestBench::waitFor([&] { return replicas.countHolding(deployment.m_digest) == replicas.size(); }));
     for (std::size_t index = 0; index < replicas.size(); ++index) {
-        REQUIRE(replicas.at(index).m_manager->held(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+        REQUIRE(replicas.at(index).m_manager->heldVersion(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
     }
     REQUIRE(replicas.total("transfer_bytes_from_origin_total") <= WeightBytes + WeightBytes / 20 + 4503);
     REQUIRE(replicas.total("transfer_bytes_across_regions_total") <= 2 * WeightBytes);
--- a/Tests/LibTransfer/TestFaults.cpp
+++ b/Tests/LibTransfer/TestFaults.cpp
@@ -100,7 +100,7 @@
 
     bool isWhole(std::size_t index)
     {
-        return m_replicas.at(index).m_manager->held(m_deployment.m_digest)->wholeContent() == m_replicas.content("drafts", "1");
+        return m_replicas.at(index).m_manager->heldVersion(m_deployment.m_digest)->wholeContent() == m_replicas.content("drafts", "1");
     }
 };
 
@@ -190,7 +190,7 @@
     REQUIRE(replicas.countHolding(published.m_digest) == 0);
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":7}})").value();
     REQUIRE(endsEverywhere(replicas, published));
-    REQUIRE(replicas.at(0).m_manager->held(published.m_digest)->wholeContent() == content);
+    REQUIRE(replicas.at(0).m_manager->heldVersion(published.m_digest)->wholeContent() == content);
 }
 
 TEST_CASE("once one copy is out, the burst ends without the origin, and a replaced replica is served by its peers")
@@ -203,7 +203,7 @@
     replicas.setTargets({deployment});
     REQUIRE(endsEverywhere(replicas, deployment));
     replicas.start(3, quickSettings());
-    REQUIRE(replicas.at(3).m_manager->held(deployment.m_digest) == nullptr);
+    REQUIRE(replicas.at(3).m_manager->heldVersion(deployment.m_digest) == nullptr);
     replicas.at(3).m_manager->setTargets({deployment});
     REQUIRE(endsEverywhere(replicas, deployment));
     REQUIRE(replicas.at(3).m_metrics->counter("transfer_bytes_from_origin_total").value() == 0);
@@ -237,7 +237,7 @@
         replicas.at(dead).m_manager.reset();
     }
     REQUIRE(TestBench::waitFor([&] { return replicas.countHolding(deployment.m_digest) == 6; }));
-    REQUIRE(replicas.at(0).m_manager->held(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+    REQUIRE(replicas.at(0).m_manager->heldVersion(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
 }
 
 TEST_CASE("a superseded version stops at once, and chunks that the new one shares are not fetched again")
@@ -276,8 +276,8 @@
     REQUIRE(replicas.countHolding(first.m_digest) == replicas.size());
     REQUIRE(replicas.total("transfer_bytes_from_origin_total") + replicas.total("transfer_bytes_from_peers_total") == moved);
     replicas.at(0).m_manager->release(second.m_digest);
-    REQUIRE(TestBench::waitFor([&] { return replicas.at(0).m_manager->held(second.m_digest) == nullptr; }));
-    REQUIRE(replicas.at(0).m_manager->held(first.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+    REQUIRE(TestBench::waitFor([&] { return replicas.at(0).m_manager->heldVersion(second.m_digest) == nullptr; }));
+    REQUIRE(replicas.at(0).m_manager->heldVersion(first.m_digest)->wholeContent() == replicas.content("drafts", "1"));
 }
 
 TEST_CASE("a version that does not fit into memory waits until another is released")
--- a/Tests/LibTransfer/TestOriginDuty.cpp
+++ b/Tests/LibTransfer/TestOriginDuty.cpp
@@ -29,7 +29,7 @@
     Poco::Net::ServerSocket listener(Poco::Net::SocketAddress("127.0.0.1", 0));
     const Core::Address origin{"127.0.0.1", listener.address().port()};
     Transfer::OriginDialect dialect;
-    dialect.m_chunk = [](const Transfer::OriginChunk &) { return Transfer::OriginQuestion{"/chunk", "", 200}; };
+    dialect.m_makeChunkRequest = [](const Transfer::OriginChunk &) { return Transfer::OriginRequest{"/chunk", "", 200}; };
     Transfer::OriginDuty duty(Network::NetworkSettings{}, Core::Duration(2000), 1, dialect);
     duty.start();
     std::promise<bool> drawn;
