--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -56,7 +56,7 @@
     , m_pageContext(std::make_shared<Http::ServerContext>())
     , m_adminContext(std::make_shared<Http::ServerContext>())
     , m_signals(m_loop)
-    , m_tick(m_loop)
+    , m_tickTimer(m_loop)
     , m_leaving(m_loop)
 {
 }
@@ -120,10 +120,10 @@
     }
     addDump();
     m_gossip.registerMethods();
-    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { beliefsChanged(update, false); });
+    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, false); });
     m_gossip.onEngineNews([this](const std::vector<Gossip::EngineNews> &news) { engineNews(news); });
     m_gossip.onMembers([this] { shareOut(); });
-    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { beliefsChanged(update, true); });
+    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, true); });
     m_gossip.onListDoubt([this] { return m_follower.doubtfulSince(); });
     m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.listRead(asked); });
     m_follower.onMayRest([this] {
@@ -236,7 +236,7 @@
     server.m_bodyTimeout = Core::Duration(limits.m_idleTimeoutMilliseconds);
 }
 
-void EntryProcess::beliefsChanged(const Fleet::FleetStateUpdate &update, bool isFromLog)
+void EntryProcess::onFleetStateChanged(const Fleet::FleetStateUpdate &update, bool isFromLog)
 {
     if (update.m_configuration) {
         applyLimits();
@@ -354,8 +354,8 @@
 {
     measureRate();
     m_log.flush();
-    m_tick.expires_after(TickInterval);
-    m_tick.async_wait([this](const boost::system::error_code &error) {
+    m_tickTimer.expires_after(TickInterval);
+    m_tickTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
         }
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -56,7 +56,7 @@
     void startLeaving();
     void continueLeaving();
     void stop();
-    void beliefsChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
+    void onFleetStateChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
     void engineNews(const std::vector<Gossip::EngineNews> &news);
     void takeReport(const Gossip::EngineNews &news, Core::Instant now);
     void applyLimits();
@@ -94,7 +94,7 @@
     std::shared_ptr<Http::ServerContext> m_adminContext;
     std::vector<std::unique_ptr<Http::Listener>> m_listeners; ///< The callers' first.
     boost::asio::signal_set m_signals;
-    Http::Timer m_tick;
+    Http::Timer m_tickTimer;
     Http::Timer m_leaving;
     std::function<std::optional<EntrySettings>()> m_reload;
     std::optional<Core::Instant> m_leavingSince; ///< Set once the process has been told to end.
--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -50,16 +50,16 @@
     , m_gossip(Gossip::GossipParts{m_loop, m_node, m_beliefs, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
     , m_follower(Follow::FollowerParts{m_loop, m_beliefs, m_versions, m_metrics, m_log, m_random},
                  followerSettings(),
-                 m_adapter.m_makeSource(m_loop, m_settings.m_log, m_metrics))
+                 m_adapter.m_makeRecordSource(m_loop, m_settings.m_log, m_metrics))
     , m_transfer(transferParts(m_settings, m_adapter, m_node, m_metrics))
-    , m_engine(m_adapter.m_makeEngine(m_loop, m_settings.m_engine))
+    , m_engine(m_adapter.m_makeEngineControl(m_loop, m_settings.m_engine))
     , m_manifests(m_loop, m_node, m_engine.m_fetchManifest)
-    , m_keeper(KeeperParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, m_settings.m_keeper, engineControl())
+    , m_weightsManager(WeightsManagerParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, m_settings.m_weightsManager, engineControl())
     , m_admin(m_settings.m_admin, m_metrics)
     , m_adminContext(std::make_shared<Http::ServerContext>())
     , m_adminListener(m_loop, m_settings.m_admin, m_adminContext, AdminConnections)
     , m_signals(m_loop)
-    , m_tick(m_loop)
+    , m_tickTimer(m_loop)
     , m_startedAt(Core::Clock::now())
 {
 }
@@ -81,7 +81,7 @@
     self.m_role = Gossip::Role::Agent;
     self.m_region = m_settings.m_region;
     self.m_failureDomain = m_settings.m_failureDomain;
-    self.m_service = m_settings.m_keeper.m_service;
+    self.m_service = m_settings.m_weightsManager.m_service;
     self.m_peers = m_settings.m_peers;
     self.m_isReady = true;
     return self;
@@ -119,14 +119,14 @@
     m_admin.addDumpSection("transfer", [this] { return m_transfer.dump(); });
     m_gossip.registerMethods();
     m_manifests.registerMethod();
-    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &) { m_keeper.beliefsChanged(); });
-    m_gossip.onMembers([this] { membersChanged(); });
-    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &) { m_keeper.beliefsChanged(); });
-    m_keeper.onStatus([this](const EngineStatus &status, bool isAway, bool isChange) { engineStatus(status, isAway, isChange); });
+    m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
+    m_gossip.onMembers([this] { onMembersChanged(); });
+    m_follower.onUpdate([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
+    m_weightsManager.onStatus([this](const EngineStatus &status, bool isAway, bool isChange) { onEngineStatus(status, isAway, isChange); });
     BOOST_OUTCOME_TRYV(m_node.start());
     m_transfer.start();
     BOOST_OUTCOME_TRYV(m_gossip.start());
-    m_keeper.start();
+    m_weightsManager.start();
     tick();
     return Core::success();
 }
@@ -165,7 +165,7 @@
     m_loop.stop();
 }
 
-void AgentProcess::engineStatus(const EngineStatus &status, bool isAway, bool isChange)
+void AgentProcess::onEngineStatus(const EngineStatus &status, bool isAway, bool isChange)
 {
     Gossip::EngineNews news;
     news.m_address = m_settings.m_engine;
@@ -176,29 +176,29 @@
     news.m_report.m_isLoading = status.m_isBusy || isAway;
     news.m_report.m_weights = status.m_weights;
     // Entries admit requests by these reports.
-    const Gossip::ReportUrgency usual = m_keeper.isNearlyFull() ? Gossip::ReportUrgency::Soon : Gossip::ReportUrgency::Regular;
+    const Gossip::ReportUrgency usual = m_weightsManager.isNearlyFull() ? Gossip::ReportUrgency::Soon : Gossip::ReportUrgency::Regular;
     m_gossip.setEngineNews(std::move(news), isChange ? Gossip::ReportUrgency::Certain : usual);
 }
 
-void AgentProcess::membersChanged()
+void AgentProcess::onMembersChanged()
 {
     std::vector<Gossip::Member> agents = m_gossip.members().alive(Gossip::Role::Agent, Core::Clock::now());
-    std::erase_if(agents, [this](const Gossip::Member &member) { return member.m_service != m_settings.m_keeper.m_service || member.m_isLeaving; });
+    std::erase_if(agents, [this](const Gossip::Member &member) { return member.m_service != m_settings.m_weightsManager.m_service || member.m_isLeaving; });
     m_manifests.setAgents(m_settings.m_instance, agents);
-    m_keeper.setAgents(std::move(agents), m_gossip.self());
+    m_weightsManager.setAgents(std::move(agents), m_gossip.self());
 }
 
 void AgentProcess::tick()
 {
     const std::optional<Core::Duration> silence = m_gossip.sinceEntryHeard();
     const Core::Duration alone = silence ? *silence : std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_startedAt);
-    if (alone > m_settings.m_aloneLimit && !m_follower.isStarted()) {
+    if (alone > m_settings.m_entrySilenceLimit && !m_follower.isStarted()) {
         m_log.write(Telemetry::LogLine("no_entry_heard").number("for_ms", static_cast<std::int64_t>(alone.count())));
         m_follower.start();
     }
     m_log.flush();
-    m_tick.expires_after(TickInterval);
-    m_tick.async_wait([this](const boost::system::error_code &error) {
+    m_tickTimer.expires_after(TickInterval);
+    m_tickTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             tick();
         }
--- a/Libraries/LibStaging/AgentProcess.h
+++ b/Libraries/LibStaging/AgentProcess.h
@@ -15,8 +15,8 @@
 /// What an adapter supplies for the place where the agent runs.
 struct AgentAdapter
 {
-    std::function<Follow::RecordSource(Http::EventLoop &loop, const Core::Address &log, Telemetry::Metrics &metrics)> m_makeSource;
-    std::function<EngineControl(Http::EventLoop &loop, const Core::Address &engine)> m_makeEngine;
+    std::function<Follow::RecordSource(Http::EventLoop &loop, const Core::Address &log, Telemetry::Metrics &metrics)> m_makeRecordSource;
+    std::function<EngineControl(Http::EventLoop &loop, const Core::Address &engine)> m_makeEngineControl;
     Transfer::OriginDialect m_originDialect;
 };
 
@@ -36,8 +36,8 @@
     void awaitSignals();
     void reload();
     void stop();
-    void engineStatus(const EngineStatus &status, bool isAway, bool isChange);
-    void membersChanged();
+    void onEngineStatus(const EngineStatus &status, bool isAway, bool isChange);
+    void onMembersChanged();
     void tick();
     Gossip::Member makeSelf() const;
     /// The engine as the keeper sees it: manifests may come from other agents.
@@ -57,12 +57,12 @@
     Transfer::TransferManager m_transfer;
     const EngineControl m_engine;
     ManifestSharing m_manifests;
-    WeightsKeeper m_keeper;
+    WeightsManager m_weightsManager;
     Telemetry::AdminServer m_admin;
     std::shared_ptr<Http::ServerContext> m_adminContext;
     Http::Listener m_adminListener;
     boost::asio::signal_set m_signals;
-    Http::Timer m_tick;
+    Http::Timer m_tickTimer;
     std::function<std::optional<AgentSettings>()> m_reload;
     Core::Instant m_startedAt;
 };
--- a/Libraries/LibStaging/AgentSettings.cpp
+++ b/Libraries/LibStaging/AgentSettings.cpp
@@ -25,8 +25,8 @@
 void readEngine(Settings::Reader &section, AgentSettings &settings)
 {
     settings.m_engine = section.address("address");
-    settings.m_keeper.m_service = section.text("service");
-    settings.m_keeper.m_mayHoldWeights = section.flag("may_hold_weights", false);
+    settings.m_weightsManager.m_service = section.text("service");
+    settings.m_weightsManager.m_mayHoldWeights = section.flag("may_hold_weights", false);
 }
 
 void readLink(Settings::Reader &section, AgentSettings &settings)
@@ -36,7 +36,7 @@
     settings.m_transfer.m_uploadBytesPerSecond = static_cast<std::uint64_t>(megabits * BytesPerMegabit * UploadShare);
     settings.m_transfer.m_downloadBytesPerSecond = static_cast<std::uint64_t>(megabits * BytesPerMegabit * DownloadShare);
     settings.m_transfer.m_burstBytes = BurstBytes;
-    settings.m_transfer.m_requestsAhead = ChunksAhead;
+    settings.m_transfer.m_concurrentPeerRequests = ChunksAhead;
     settings.m_transfer.m_uploadSlots = 1;
     settings.m_transfer.m_queuedUploads = QueuedUploads;
     settings.m_transfer.m_memoryMebibytes = static_cast<std::uint32_t>(section.integer("weights_mebibytes", 1, 1 << 20, 48));
--- a/Libraries/LibStaging/AgentSettings.h
+++ b/Libraries/LibStaging/AgentSettings.h
@@ -17,8 +17,8 @@
     Core::Address m_admin; ///< Metrics, state dump and health.
     Core::Address m_log; ///< The platform's log.
     Core::Address m_engine; ///< The engine on this instance.
-    Core::Duration m_aloneLimit{5000}; ///< Without a word from any entry for so long the log is read directly.
-    KeeperSettings m_keeper;
+    Core::Duration m_entrySilenceLimit{5000}; ///< Without a word from any entry for so long the log is read directly.
+    WeightsManagerSettings m_weightsManager;
     Gossip::GossipSettings m_gossip;
     Transfer::TransferSettings m_transfer;
 
--- a/Libraries/LibStaging/ChunkSweep.cpp
+++ b/Libraries/LibStaging/ChunkSweep.cpp
@@ -39,7 +39,7 @@
 
 }
 
-void sweepChunks(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished)
+void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished)
 {
     if (chunks.empty()) {
         finished();
--- a/Libraries/LibStaging/ChunkSweep.h
+++ b/Libraries/LibStaging/ChunkSweep.h
@@ -16,6 +16,6 @@
  *
  * Each call to an engine opens a connection, which takes longer than the bytes. One after the other 48 chunks took 0.14 s, in which the engine is away.
  */
-void sweepChunks(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished);
+void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished);
 
 }
--- a/Libraries/LibStaging/ManifestSharing.cpp
+++ b/Libraries/LibStaging/ManifestSharing.cpp
@@ -41,10 +41,10 @@
     return before[static_cast<std::size_t>(asked)].second->m_peers;
 }
 
-ManifestSharing::ManifestSharing(Http::EventLoop &loop, Wire::Node &node, AskOrigin askOrigin, ManifestSharingSettings settings)
+ManifestSharing::ManifestSharing(Http::EventLoop &loop, Wire::Node &node, OriginFetch askOrigin, ManifestSharingSettings settings)
     : m_loop(loop)
     , m_node(node)
-    , m_askOrigin(std::move(askOrigin))
+    , m_originFetch(std::move(askOrigin))
     , m_settings(settings)
     , m_isAlive(std::make_shared<bool>(true))
 {
@@ -65,22 +65,22 @@
         }
         boost::asio::post(m_loop, [this, alive, asked = version.value(), responder = call.m_responder] {
             if (*alive) {
-                answer(asked, responder);
+                handleRequest(asked, responder);
             }
         });
     });
 }
 
-void ManifestSharing::answer(const ModelVersion &version, const Wire::Responder &responder)
+void ManifestSharing::handleRequest(const ModelVersion &version, const Wire::Responder &responder)
 {
-    const std::map<ModelVersion, std::string>::const_iterator known = m_versions.find(version);
-    if (known != m_versions.end() && !known->second.empty()) {
+    const std::map<ModelVersion, std::string>::const_iterator known = m_manifests.find(version);
+    if (known != m_manifests.end() && !known->second.empty()) {
         responder.reply(known->second);
         return;
     }
     // Agents learn of a version at slightly different times.
     std::erase_if(m_waiters, [](const Waiter &waiter) { return waiter.m_responder.isCancelled(); });
-    if (m_waiters.size() >= m_settings.m_mostWaiting) {
+    if (m_waiters.size() >= m_settings.m_maximumWaiters) {
         responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "give manifest", "", "too many wait"));
         return;
     }
@@ -90,13 +90,13 @@
 void ManifestSharing::setAgents(const std::string &self, std::vector<Gossip::Member> others)
 {
     m_self = self;
-    m_others = std::move(others);
+    m_otherAgents = std::move(others);
 }
 
 void ManifestSharing::fetch(const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done)
 {
-    const bool isFirst = m_versions.try_emplace(version).second;
-    const std::optional<Core::Address> peer = isFirst ? manifestSource(m_self, m_others, version, m_settings.m_originAskers) : std::nullopt;
+    const bool isFirst = m_manifests.try_emplace(version).second;
+    const std::optional<Core::Address> peer = isFirst ? manifestSource(m_self, m_otherAgents, version, m_settings.m_originFetchers) : std::nullopt;
     if (peer) {
         fetchFromPeer(*peer, origin, version, std::move(done));
     } else {
@@ -106,15 +106,15 @@
 
 void ManifestSharing::fetchFromOrigin(const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done)
 {
-    m_askOrigin(origin,
-                version.m_model,
-                version.m_version,
-                [this, alive = m_isAlive, version, finish = std::move(done)](const Core::Result<Weights::Manifest> &manifest) {
-                    if (*alive && manifest) {
-                        keep(version, manifest.value());
-                    }
-                    finish(manifest);
-                });
+    m_originFetch(origin,
+                  version.m_model,
+                  version.m_version,
+                  [this, alive = m_isAlive, version, finish = std::move(done)](const Core::Result<Weights::Manifest> &manifest) {
+                      if (*alive && manifest) {
+                          storeManifest(version, manifest.value());
+                      }
+                      finish(manifest);
+                  });
 }
 
 void ManifestSharing::fetchFromPeer(const Core::Address &peer, const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done)
@@ -133,19 +133,19 @@
                 fetchFromOrigin(origin, version, finish);
                 return;
             }
-            keep(version, manifest.value());
+            storeManifest(version, manifest.value());
             finish(manifest);
         });
     };
     m_node.call(peer, ManifestMethod, Wire::pack(version), Wire::CallOptions{m_settings.m_peerTimeout}, std::move(events));
 }
 
-void ManifestSharing::keep(const ModelVersion &version, const Weights::Manifest &manifest)
+void ManifestSharing::storeManifest(const ModelVersion &version, const Weights::Manifest &manifest)
 {
     const std::string encoded = Weights::encodeManifest(manifest);
-    m_versions[version] = encoded;
-    std::erase_if(m_versions, [this, &version](const std::pair<const ModelVersion, std::string> &entry) {
-        return entry.first.m_model == version.m_model && entry.first.m_version + m_settings.m_keptVersions <= version.m_version;
+    m_manifests[version] = encoded;
+    std::erase_if(m_manifests, [this, &version](const std::pair<const ModelVersion, std::string> &entry) {
+        return entry.first.m_model == version.m_model && entry.first.m_version + m_settings.m_keptVersionsPerModel <= version.m_version;
     });
     for (const Waiter &waiter : m_waiters) {
         if (waiter.m_version == version) {
--- a/Libraries/LibStaging/ManifestSharing.h
+++ b/Libraries/LibStaging/ManifestSharing.h
@@ -15,10 +15,10 @@
 
 struct ManifestSharingSettings
 {
-    std::size_t m_originAskers = 16; ///< Agents that ask the origin at once; it takes some dozens of connections from the whole fleet.
+    std::size_t m_originFetchers = 16; ///< Agents that ask the origin at once; it takes some dozens of connections from the whole fleet.
     Core::Duration m_peerTimeout{400}; ///< After it an agent that asked a peer asks the origin: many times what an answer takes.
-    std::size_t m_mostWaiting = 1024; ///< Peers that wait for manifests which are not known here yet.
-    std::uint64_t m_keptVersions = 4; ///< Of each model.
+    std::size_t m_maximumWaiters = 1024; ///< Peers that wait for manifests which are not known here yet.
+    std::uint64_t m_keptVersionsPerModel = 4; ///< Of each model.
 
     bool operator==(const ManifestSharingSettings &) const = default;
 };
@@ -51,9 +51,9 @@
 class ManifestSharing
 {
 public:
-    using AskOrigin = std::function<void(const Core::Address &origin, const std::string &model, std::uint64_t version, Done<Weights::Manifest> done)>;
+    using OriginFetch = std::function<void(const Core::Address &origin, const std::string &model, std::uint64_t version, Done<Weights::Manifest> done)>;
 
-    ManifestSharing(Http::EventLoop &loop, Wire::Node &node, AskOrigin askOrigin, ManifestSharingSettings settings = {});
+    ManifestSharing(Http::EventLoop &loop, Wire::Node &node, OriginFetch askOrigin, ManifestSharingSettings settings = {});
     ~ManifestSharing();
 
     ManifestSharing(const ManifestSharing &) = delete;
@@ -74,16 +74,16 @@
 
     void fetchFromOrigin(const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done);
     void fetchFromPeer(const Core::Address &peer, const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done);
-    void keep(const ModelVersion &version, const Weights::Manifest &manifest);
-    void answer(const ModelVersion &version, const Wire::Responder &responder);
+    void storeManifest(const ModelVersion &version, const Weights::Manifest &manifest);
+    void handleRequest(const ModelVersion &version, const Wire::Responder &responder);
 
     Http::EventLoop &m_loop;
     Wire::Node &m_node;
-    const AskOrigin m_askOrigin;
+    const OriginFetch m_originFetch;
     const ManifestSharingSettings m_settings;
     std::string m_self;
-    std::vector<Gossip::Member> m_others;
-    std::map<ModelVersion, std::string> m_versions; ///< Those asked for here, with the encoded manifest; empty until it is known.
+    std::vector<Gossip::Member> m_otherAgents;
+    std::map<ModelVersion, std::string> m_manifests; ///< Those asked for here, with the encoded manifest; empty until it is known.
     std::vector<Waiter> m_waiters; ///< At most m_mostWaiting.
     std::shared_ptr<bool> m_isAlive; ///< False once the object is gone; answers can outlive it.
 };
--- a/Libraries/LibStaging/Turns.cpp
+++ b/Libraries/LibStaging/Turns.cpp
@@ -8,7 +8,7 @@
 
 namespace Staging {
 
-std::size_t turnRank(const std::string &self, const std::vector<std::string> &others, std::uint64_t version)
+std::size_t loadRank(const std::string &self, const std::vector<std::string> &others, std::uint64_t version)
 {
     const std::string key = std::to_string(version);
     const std::uint64_t own = Core::rendezvousWeight(key, self);
@@ -16,10 +16,10 @@
         std::count_if(others.begin(), others.end(), [&key, own](const std::string &other) { return Core::rendezvousWeight(key, other) > own; }));
 }
 
-Core::Duration turnAfter(std::size_t rank, std::size_t count, Core::Duration head, const TurnSettings &settings)
+Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration head, const LoadScheduleSettings &settings)
 {
-    const Core::Duration last = std::max(Core::Duration(0), settings.m_last - head);
-    const Core::Duration first = std::min(settings.m_first, last);
+    const Core::Duration last = std::max(Core::Duration(0), settings.m_lastDelay - head);
+    const Core::Duration first = std::min(settings.m_firstDelay, last);
     if (count < 2) {
         return first;
     }
--- a/Libraries/LibStaging/WeightsKeeper.cpp
+++ b/Libraries/LibStaging/WeightsKeeper.cpp
@@ -23,33 +23,33 @@
 
 }
 
-WeightsKeeper::WeightsKeeper(KeeperParts parts, KeeperSettings settings, EngineControl engine)
+WeightsManager::WeightsManager(WeightsManagerParts parts, WeightsManagerSettings settings, EngineControl engine)
     : m_parts(parts)
     , m_settings(std::move(settings))
     , m_engine(std::move(engine))
-    , m_lookTimer(parts.m_loop)
-    , m_ordersGiven(parts.m_metrics.counter("staging_orders_total"))
-    , m_stagedSpoilt(parts.m_metrics.counter("staging_chunks_spoilt_total"))
+    , m_statusTimer(parts.m_loop)
+    , m_ordersSent(parts.m_metrics.counter("staging_orders_total"))
+    , m_corruptStagedChunks(parts.m_metrics.counter("staging_chunks_spoilt_total"))
     , m_isAlive(std::make_shared<bool>(true))
 {
 }
 
-WeightsKeeper::~WeightsKeeper()
+WeightsManager::~WeightsManager()
 {
     *m_isAlive = false;
 }
 
-void WeightsKeeper::onStatus(std::function<void(const EngineStatus &, bool, bool)> callback)
+void WeightsManager::onStatus(std::function<void(const EngineStatus &, bool, bool)> callback)
 {
     m_onStatus = std::move(callback);
 }
 
-void WeightsKeeper::start()
+void WeightsManager::start()
 {
-    look();
+    pollStatus();
 }
 
-void WeightsKeeper::setAgents(std::vector<Gossip::Member> agents, const Gossip::Member &self)
+void WeightsManager::setAgents(std::vector<Gossip::Member> agents, const Gossip::Member &self)
 {
     const bool isChanged = agents.size() != m_agents.size()
         || !std::equal(agents.begin(), agents.end(), m_agents.begin(), [](const Gossip::Member &left, const Gossip::Member &right) {
@@ -58,11 +58,11 @@
     m_agents = std::move(agents);
     m_self = self;
     if (isChanged) {
-        applyTargets();
+        updateTransferTargets();
     }
 }
 
-void WeightsKeeper::beliefsChanged()
+void WeightsManager::onFleetStateChanged()
 {
     const Fleet::Service *origin = m_parts.m_beliefs.configuration() ? m_parts.m_beliefs.configuration()->origin() : nullptr;
     if (origin) {
@@ -71,57 +71,57 @@
     advance();
 }
 
-void WeightsKeeper::look()
+void WeightsManager::pollStatus()
 {
-    if (m_isLooking) {
+    if (m_isStatusPending) {
         return;
     }
-    m_isLooking = true;
+    m_isStatusPending = true;
     m_engine.m_readStatus([this, alive = m_isAlive](Core::Result<EngineStatus> status) {
         if (!*alive) {
             return;
         }
-        m_isLooking = false;
-        statusCame(std::move(status));
-        m_lookTimer.expires_after(lookInterval());
-        m_lookTimer.async_wait([this, alive](const boost::system::error_code &error) {
+        m_isStatusPending = false;
+        handleStatus(std::move(status));
+        m_statusTimer.expires_after(statusPollInterval());
+        m_statusTimer.async_wait([this, alive](const boost::system::error_code &error) {
             if (*alive && !error) {
-                look();
+                pollStatus();
             }
         });
     });
 }
 
-bool WeightsKeeper::isNearlyFull() const
+bool WeightsManager::isNearlyFull() const
 {
     constexpr double nearlyFull = 0.75; // Of the slots: from here on a burst of a few requests queues.
-    const Fleet::Service *own = service();
+    const Fleet::Service *own = ownService();
     return m_status && own && m_status->m_running + m_status->m_waiting >= own->m_engine.m_slots * nearlyFull;
 }
 
-Core::Duration WeightsKeeper::lookInterval() const
+Core::Duration WeightsManager::statusPollInterval() const
 {
     if (!m_status) {
-        return m_settings.m_absentInterval;
+        return m_settings.m_unreachableStatusInterval;
     }
     if (m_step == Step::Loading) {
-        return m_settings.m_loadingInterval;
+        return m_settings.m_loadingStatusInterval;
     }
-    return isNearlyFull() ? m_settings.m_loadedInterval : m_settings.m_statusInterval;
+    return isNearlyFull() ? m_settings.m_nearlyFullStatusInterval : m_settings.m_statusInterval;
 }
 
-void WeightsKeeper::statusCame(Core::Result<EngineStatus> status)
+void WeightsManager::handleStatus(Core::Result<EngineStatus> status)
 {
     if (!status) {
         if (m_status) {
             m_parts.m_log.write(Telemetry::LogLine("engine_unreachable").text("error", status.error().message()));
         }
         m_status.reset();
-        m_isEngineAbsent = true;
+        m_isEngineUnreachable = true;
         advance();
         return;
     }
-    m_isEngineAbsent = false;
+    m_isEngineUnreachable = false;
     const EngineStatus &next = status.value();
     const bool isOtherEngine = !m_status || m_status->m_startedMilliseconds != next.m_startedMilliseconds;
     const bool isChange = isOtherEngine || m_status->m_weights != next.m_weights || m_status->m_isBusy != next.m_isBusy;
@@ -135,19 +135,19 @@
     if (isOtherEngine) {
         // A new engine knows nothing of orders, and what was read from the stage may be gone.
         ++m_run;
-        keepManifest();
+        preserveManifest();
         m_target.reset();
-        m_staged.clear();
-        enter(Step::Idle);
+        m_stagedChunks.clear();
+        enterStep(Step::Idle);
     }
     if (m_onStatus) {
-        m_onStatus(next, isAway(), isChange);
+        m_onStatus(next, isEngineUnavailable(), isChange);
     }
     advance();
 }
 
 /// The manifest is the same for the engine that comes next. The origin may be away by then, while every chunk is here or at other agents.
-void WeightsKeeper::keepManifest()
+void WeightsManager::preserveManifest()
 {
     if (m_target && m_manifest && !m_nextTarget) {
         m_nextTarget = m_target;
@@ -155,14 +155,14 @@
     }
 }
 
-const Fleet::Service *WeightsKeeper::service() const
+const Fleet::Service *WeightsManager::ownService() const
 {
     return m_parts.m_beliefs.configuration() ? m_parts.m_beliefs.configuration()->service(m_settings.m_service) : nullptr;
 }
 
-std::optional<TargetVersion> WeightsKeeper::wantedTarget() const
+std::optional<TargetVersion> WeightsManager::wantedTarget() const
 {
-    const Fleet::Service *own = service();
+    const Fleet::Service *own = ownService();
     if (!own || own->m_engine.m_models.empty()) {
         return std::nullopt;
     }
@@ -171,16 +171,16 @@
     return declared ? TargetVersion{model, declared->m_version, declared->m_offset} : TargetVersion{model, FirstVersion, 0};
 }
 
-bool WeightsKeeper::hasTarget() const
+bool WeightsManager::hasLoadedTarget() const
 {
-    const Fleet::Service *own = service();
+    const Fleet::Service *own = ownService();
     const std::uint32_t layers = own ? own->m_engine.m_layers : 0;
     return m_status && m_target && std::any_of(m_status->m_weights.begin(), m_status->m_weights.end(), [this, layers](const Fleet::LoadedWeights &loaded) {
                return loaded.m_model == m_target->m_model && loaded.m_version >= m_target->m_version && Fleet::holdsEveryLayer(loaded, layers);
            });
 }
 
-void WeightsKeeper::enter(Step step)
+void WeightsManager::enterStep(Step step)
 {
     if (m_step != step) {
         Telemetry::LogLine line("weights_step");
@@ -191,63 +191,63 @@
     m_step = step;
 }
 
-bool WeightsKeeper::isCurrent(std::uint64_t run) const
+bool WeightsManager::isCurrentRun(std::uint64_t run) const
 {
     return run == m_run;
 }
 
-void WeightsKeeper::later(Core::Duration pause, std::uint64_t run, std::function<void()> action)
+void WeightsManager::runAfter(Core::Duration pause, std::uint64_t run, std::function<void()> action)
 {
     const std::shared_ptr<Http::Timer> timer = std::make_shared<Http::Timer>(m_parts.m_loop, pause);
     timer->async_wait([this, alive = m_isAlive, run, timer, act = std::move(action)](const boost::system::error_code &error) {
-        if (*alive && !error && isCurrent(run)) {
+        if (*alive && !error && isCurrentRun(run)) {
             act();
         }
     });
 }
 
-void WeightsKeeper::advance()
+void WeightsManager::advance()
 {
     const std::optional<TargetVersion> wanted = wantedTarget();
     const bool isNew = wanted && wanted != m_target;
     if (!m_status) {
-        if (isNew && m_isEngineAbsent && !(m_settings.m_mayHoldWeights && m_run == 0)) {
+        if (isNew && m_isEngineUnreachable && !(m_settings.m_mayHoldWeights && m_run == 0)) {
             prefetch(*wanted);
         }
         return;
     }
-    if (isNew && (isNearOrder() || isWorthFinishing())) {
+    if (isNew && (isReadyToLoad() || shouldFinishTarget())) {
         prefetch(*wanted);
         return;
     }
     if (isNew) {
-        begin(*wanted);
+        beginTarget(*wanted);
         return;
     }
-    if (m_step == Step::Idle && m_target && !hasTarget()) {
+    if (m_step == Step::Idle && m_target && !hasLoadedTarget()) {
         // It restarted between two looks and holds nothing; an engine that states no time of its start shows it by this alone.
-        begin(TargetVersion(*m_target));
+        beginTarget(TargetVersion(*m_target));
         return;
     }
-    if (m_step == Step::Loading && hasTarget()) {
-        enter(Step::Idle);
+    if (m_step == Step::Loading && hasLoadedTarget()) {
+        enterStep(Step::Idle);
         return;
     }
-    if (m_step == Step::Loading && !m_status->m_isBusy && Core::Clock::now() - m_orderedAt > OrderSettles) {
+    if (m_step == Step::Loading && !m_status->m_isBusy && Core::Clock::now() - m_orderSentAt > OrderSettles) {
         // The order was accepted, or its answer lost, and the engine neither loads nor has the version: start over from the stage.
         ++m_run;
-        m_staged.clear();
-        listStaged();
+        m_stagedChunks.clear();
+        listStagedChunks();
     }
 }
 
-void WeightsKeeper::begin(const TargetVersion &target)
+void WeightsManager::beginTarget(const TargetVersion &target)
 {
     ++m_run;
     m_target = target;
     m_manifest.reset();
     m_manifestDigest.clear();
-    m_staged.clear();
+    m_stagedChunks.clear();
     Telemetry::LogLine line("weights_wanted");
     line.text("model", target.m_model).number("version", static_cast<std::int64_t>(target.m_version));
     m_parts.m_log.write(line);
@@ -256,8 +256,8 @@
     m_nextTarget.reset();
     m_nextManifest.reset();
     if (known) {
-        enter(Step::Manifest);
-        manifestCame(m_run, *known);
+        enterStep(Step::FetchManifest);
+        handleManifest(m_run, *known);
         return;
     }
     fetchManifest();
@@ -267,26 +267,26 @@
  * A version that is staged whole is loaded in its turn though a newer one has been declared. If it were dropped, its bound would make every
  * engine that has not had its turn change to the newer version at one moment, as soon as that is staged, and callers would be refused meanwhile.
  */
-bool WeightsKeeper::isNearOrder() const
+bool WeightsManager::isReadyToLoad() const
 {
-    return m_step == Step::Turn || m_step == Step::Quiet || m_step == Step::Verify || m_step == Step::Order;
+    return m_step == Step::AwaitLoadTime || m_step == Step::Drain || m_step == Step::Verify || m_step == Step::SendOrder;
 }
 
 /**
  * A version whose draw has begun is finished before a newer one is drawn. The origin may go away before the newer one has left it, and then an engine
  * that had dropped the older one would have neither when its bound comes.
  */
-bool WeightsKeeper::isWorthFinishing() const
+bool WeightsManager::shouldFinishTarget() const
 {
-    if (!m_target || m_step == Step::Idle || m_step == Step::Loading || drawnShare() < m_settings.m_finishFromShare) {
+    if (!m_target || m_step == Step::Idle || m_step == Step::Loading || heldChunkShare() < m_settings.m_minimumShareToFinish) {
         return false;
     }
     const std::optional<Core::Duration> age = m_parts.m_versions.knownAge(m_target->m_model, m_target->m_version, Core::Clock::now());
-    return age && *age < m_settings.m_finishWithin;
+    return age && *age < m_settings.m_finishAgeLimit;
 }
 
 /// Of the target's chunks, from 0 to 1.
-double WeightsKeeper::drawnShare() const
+double WeightsManager::heldChunkShare() const
 {
     for (const Protocol::TransferProgress &progress : m_parts.m_transfer.progress()) {
         if (progress.m_digest == m_manifestDigest && progress.m_chunksTotal > 0) {
@@ -300,17 +300,17 @@
  * Draws a version before its own run begins: while an older one is staged or loaded, or before the engine has answered. An engine that starts with its
  * instance answers about a second after the agent, and would have its weights so much later.
  */
-void WeightsKeeper::prefetch(const TargetVersion &target)
+void WeightsManager::prefetch(const TargetVersion &target)
 {
     if (m_nextTarget == target) {
         return;
     }
     m_nextTarget = target;
     m_nextManifest.reset();
-    askForNextManifest(target);
+    fetchNextManifest(target);
 }
 
-void WeightsKeeper::askForNextManifest(const TargetVersion &target)
+void WeightsManager::fetchNextManifest(const TargetVersion &target)
 {
     const Fleet::Service *origin = m_parts.m_beliefs.configuration()->origin();
     if (!origin || m_nextTarget != target) {
@@ -319,61 +319,61 @@
     m_engine.m_fetchManifest(
         *origin->m_origin, target.m_model, target.m_version, [this, alive = m_isAlive, target](const Core::Result<Weights::Manifest> &manifest) {
             if (*alive) {
-                prefetched(target, manifest);
+                handleNextManifest(target, manifest);
             }
         });
 }
 
-void WeightsKeeper::prefetched(const TargetVersion &target, const Core::Result<Weights::Manifest> &manifest)
+void WeightsManager::handleNextManifest(const TargetVersion &target, const Core::Result<Weights::Manifest> &manifest)
 {
     if (m_nextTarget != target) {
         return;
     }
     if (!manifest) {
         m_parts.m_log.write(Telemetry::LogLine("manifest_failed").text("error", manifest.error().message()));
-        later(m_settings.m_retryPause, m_run, [this, target] { askForNextManifest(target); });
+        runAfter(m_settings.m_retryDelay, m_run, [this, target] { fetchNextManifest(target); });
         return;
     }
     m_nextManifest = manifest.value();
-    applyTargets();
+    updateTransferTargets();
     const std::string encoded = Weights::encodeManifest(*m_nextManifest);
     m_parts.m_transfer.offerManifest(Weights::manifestDigest(encoded), encoded);
 }
 
-void WeightsKeeper::fetchManifest()
+void WeightsManager::fetchManifest()
 {
-    enter(Step::Manifest);
+    enterStep(Step::FetchManifest);
     const std::uint64_t run = m_run;
     const Fleet::Service *origin = m_parts.m_beliefs.configuration()->origin();
     if (!origin) {
-        later(m_settings.m_retryPause, run, [this] { fetchManifest(); });
+        runAfter(m_settings.m_retryDelay, run, [this] { fetchManifest(); });
         return;
     }
     m_engine.m_fetchManifest(
         *origin->m_origin, m_target->m_model, m_target->m_version, [this, alive = m_isAlive, run](Core::Result<Weights::Manifest> manifest) {
-            if (*alive && isCurrent(run)) {
-                manifestCame(run, std::move(manifest));
+            if (*alive && isCurrentRun(run)) {
+                handleManifest(run, std::move(manifest));
             }
         });
 }
 
-void WeightsKeeper::manifestCame(std::uint64_t run, Core::Result<Weights::Manifest> manifest)
+void WeightsManager::handleManifest(std::uint64_t run, Core::Result<Weights::Manifest> manifest)
 {
     if (!manifest) {
         m_parts.m_log.write(Telemetry::LogLine("manifest_failed").text("error", manifest.error().message()));
-        later(m_settings.m_retryPause, run, [this] { fetchManifest(); });
+        runAfter(m_settings.m_retryDelay, run, [this] { fetchManifest(); });
         return;
     }
     m_manifest = manifest.value();
     const std::string encoded = Weights::encodeManifest(*m_manifest);
     m_manifestDigest = Weights::manifestDigest(encoded);
-    m_manifestAt = Core::Clock::now();
-    applyTargets();
+    m_manifestReceivedAt = Core::Clock::now();
+    updateTransferTargets();
     m_parts.m_transfer.offerManifest(m_manifestDigest, encoded);
-    listStaged();
+    listStagedChunks();
 }
 
-Control::Deployment WeightsKeeper::deployment(const TargetVersion &target, const Weights::Manifest &manifest) const
+Control::Deployment WeightsManager::makeDeployment(const TargetVersion &target, const Weights::Manifest &manifest) const
 {
     Control::Deployment deployment;
     deployment.m_model = target.m_model;
@@ -389,16 +389,16 @@
     return deployment;
 }
 
-void WeightsKeeper::applyTargets()
+void WeightsManager::updateTransferTargets()
 {
     std::vector<Control::Deployment> wanted;
     const bool isNextKnown = m_nextManifest && m_nextTarget;
     // Once the target is staged, to hold both versions in memory would double the agent's peak.
-    if (m_manifest && m_target && !(isNextKnown && isNearOrder())) {
-        wanted.push_back(deployment(*m_target, *m_manifest));
+    if (m_manifest && m_target && !(isNextKnown && isReadyToLoad())) {
+        wanted.push_back(makeDeployment(*m_target, *m_manifest));
     }
     if (isNextKnown) {
-        wanted.push_back(deployment(*m_nextTarget, *m_nextManifest));
+        wanted.push_back(makeDeployment(*m_nextTarget, *m_nextManifest));
     }
     if (wanted.empty()) {
         return;
@@ -415,67 +415,67 @@
     }
 }
 
-void WeightsKeeper::listStaged()
+void WeightsManager::listStagedChunks()
 {
-    enter(Step::Stage);
+    enterStep(Step::ReadStage);
     const std::uint64_t run = m_run;
     m_engine.m_listStagedChunks(m_target->m_model, [this, alive = m_isAlive, run](Core::Result<std::vector<Weights::ChunkIndex>> held) {
-        if (!*alive || !isCurrent(run)) {
+        if (!*alive || !isCurrentRun(run)) {
             return;
         }
         if (!held) {
-            later(m_settings.m_retryPause, run, [this] { listStaged(); });
+            runAfter(m_settings.m_retryDelay, run, [this] { listStagedChunks(); });
             return;
         }
-        readStaged(run, std::move(held.value()));
+        readStagedChunks(run, std::move(held.value()));
     });
 }
 
-void WeightsKeeper::readStaged(std::uint64_t run, std::vector<Weights::ChunkIndex> chunks)
+void WeightsManager::readStagedChunks(std::uint64_t run, std::vector<Weights::ChunkIndex> chunks)
 {
     const ChunkStep step = [this, run](Weights::ChunkIndex chunk, const std::function<void()> &done) {
         m_engine.m_readStagedChunk(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
-            if (!*alive || !isCurrent(run)) {
+            if (!*alive || !isCurrentRun(run)) {
                 return;
             }
-            if (bytes && Weights::isChunk(*m_manifest, chunk, bytes.value())) {
-                m_staged.insert(chunk);
+            if (bytes && Weights::isValidChunk(*m_manifest, chunk, bytes.value())) {
+                m_stagedChunks.insert(chunk);
                 m_parts.m_transfer.offerChunk(m_manifestDigest, chunk, bytes.value());
             }
             done();
         });
     };
-    sweepChunks(std::move(chunks), m_settings.m_chunksAtOnce, step, [this] {
-        if (hasTarget()) {
-            enter(Step::Idle);
+    forEachChunk(std::move(chunks), m_settings.m_concurrentChunks, step, [this] {
+        if (hasLoadedTarget()) {
+            enterStep(Step::Idle);
             return;
         }
         awaitTransfer();
     });
 }
 
-void WeightsKeeper::awaitTransfer()
+void WeightsManager::awaitTransfer()
 {
-    enter(Step::Transfer);
+    enterStep(Step::AwaitTransfer);
     const std::uint64_t run = m_run;
     if (m_parts.m_transfer.heldVersion(m_manifestDigest)) {
-        putMissing(run);
+        stageMissingChunks(run);
         return;
     }
-    if (Core::Clock::now() - m_manifestAt > m_settings.m_manifestLifetime) {
+    if (Core::Clock::now() - m_manifestReceivedAt > m_settings.m_manifestLifetime) {
         fetchManifest();
         return;
     }
-    later(TransferLook, run, [this] { awaitTransfer(); });
+    runAfter(TransferLook, run, [this] { awaitTransfer(); });
 }
 
-void WeightsKeeper::putMissing(std::uint64_t run)
+void WeightsManager::stageMissingChunks(std::uint64_t run)
 {
-    enter(Step::Put);
+    enterStep(Step::StageChunks);
     const std::shared_ptr<const Weights::HeldVersion> held = m_parts.m_transfer.heldVersion(m_manifestDigest);
     if (!held) {
         if (m_nextTarget) {
-            begin(TargetVersion(*m_nextTarget)); // A chunk was spoilt whose version is not drawn any more.
+            beginTarget(TargetVersion(*m_nextTarget)); // A chunk was spoilt whose version is not drawn any more.
             return;
         }
         awaitTransfer();
@@ -483,32 +483,32 @@
     }
     std::vector<Weights::ChunkIndex> missing;
     for (Weights::ChunkIndex chunk = 0; chunk < m_manifest->chunkCount(); ++chunk) {
-        if (!m_staged.contains(chunk)) {
+        if (!m_stagedChunks.contains(chunk)) {
             missing.push_back(chunk);
         }
     }
     const ChunkStep step = [this, run, held](Weights::ChunkIndex chunk, const std::function<void()> &done) {
         m_engine.m_stageChunk(m_target->m_model, chunk, *held->m_chunks[chunk], [this, alive = m_isAlive, run, chunk, done](const Core::Result<void> &result) {
-            if (!*alive || !isCurrent(run)) {
+            if (!*alive || !isCurrentRun(run)) {
                 return;
             }
             if (result) {
-                m_staged.insert(chunk);
+                m_stagedChunks.insert(chunk);
             }
             done();
         });
     };
-    sweepChunks(std::move(missing), m_settings.m_chunksAtOnce, step, [this, run] {
-        if (m_staged.size() < m_manifest->chunkCount()) {
-            later(m_settings.m_retryPause, run, [this, run] { putMissing(run); });
+    forEachChunk(std::move(missing), m_settings.m_concurrentChunks, step, [this, run] {
+        if (m_stagedChunks.size() < m_manifest->chunkCount()) {
+            runAfter(m_settings.m_retryDelay, run, [this, run] { stageMissingChunks(run); });
             return;
         }
-        awaitTurn();
-        applyTargets();
+        awaitLoadTime();
+        updateTransferTargets();
     });
 }
 
-bool WeightsKeeper::isTurn() const
+bool WeightsManager::hasReachedLoadTime() const
 {
     if (m_status && m_status->m_weights.empty()) {
         return true; // It serves nothing that a load could interrupt.
@@ -522,70 +522,70 @@
     for (const Gossip::Member &agent : m_agents) {
         others.push_back(agent.m_id);
     }
-    const std::size_t rank = turnRank(m_self.m_id, others, m_target->m_version);
+    const std::size_t rank = loadRank(m_self.m_id, others, m_target->m_version);
     std::uint64_t loaded = 0;
     for (const Fleet::LoadedWeights &weights : m_status->m_weights) {
         loaded = std::max(loaded, weights.m_model == m_target->m_model ? weights.m_version : 0);
     }
     const Core::Duration oldest = m_parts.m_versions.oldestAgeAfter(m_target->m_model, loaded, now).value_or(*age);
-    return *age >= turnAfter(rank, others.size() + 1, std::max(Core::Duration(0), oldest - *age), m_settings.m_turns);
+    return *age >= loadDelay(rank, others.size() + 1, std::max(Core::Duration(0), oldest - *age), m_settings.m_loadSchedule);
 }
 
-void WeightsKeeper::awaitTurn()
+void WeightsManager::awaitLoadTime()
 {
-    enter(Step::Turn);
+    enterStep(Step::AwaitLoadTime);
     const std::uint64_t run = m_run;
-    if (!m_status || m_status->m_isBusy || !isTurn()) {
-        later(TransferLook, run, [this] { awaitTurn(); });
+    if (!m_status || m_status->m_isBusy || !hasReachedLoadTime()) {
+        runAfter(TransferLook, run, [this] { awaitLoadTime(); });
         return;
     }
-    quieten();
+    drainEngine();
 }
 
-bool WeightsKeeper::isAway() const
+bool WeightsManager::isEngineUnavailable() const
 {
-    return m_step == Step::Quiet || m_step == Step::Verify || m_step == Step::Order || m_step == Step::Loading;
+    return m_step == Step::Drain || m_step == Step::Verify || m_step == Step::SendOrder || m_step == Step::Loading;
 }
 
-void WeightsKeeper::quieten()
+void WeightsManager::drainEngine()
 {
-    enter(Step::Quiet);
+    enterStep(Step::Drain);
     const std::uint64_t run = m_run;
     if (m_onStatus) {
         // Entries must hear of the pause before the engine begins to refuse.
         m_onStatus(*m_status, true, true);
     }
     const bool isServing = !m_status->m_weights.empty() && m_status->m_running > 0;
-    const bool willCut = runningRequests() == RunningRequests::Abort;
-    later(isServing && willCut ? m_settings.m_quietTime : Core::Duration(0), run, [this, run] {
-        enter(Step::Verify);
-        verify(run);
+    const bool willCut = runningRequestPolicy() == RunningRequests::Abort;
+    runAfter(isServing && willCut ? m_settings.m_drainTime : Core::Duration(0), run, [this, run] {
+        enterStep(Step::Verify);
+        verifyStagedChunks(run);
     });
 }
 
-void WeightsKeeper::verify(std::uint64_t run)
+void WeightsManager::verifyStagedChunks(std::uint64_t run)
 {
     std::vector<Weights::ChunkIndex> chunks(m_manifest->chunkCount());
     std::iota(chunks.begin(), chunks.end(), Weights::ChunkIndex{0});
     const ChunkStep step = [this, run](Weights::ChunkIndex chunk, const std::function<void()> &done) {
         m_engine.m_readStagedChunk(m_target->m_model, chunk, [this, alive = m_isAlive, run, chunk, done](const Core::Result<std::string> &bytes) {
-            if (!*alive || !isCurrent(run)) {
+            if (!*alive || !isCurrentRun(run)) {
                 return;
             }
-            if (!bytes || !Weights::isChunk(*m_manifest, chunk, bytes.value())) {
-                m_stagedSpoilt.add();
-                m_staged.erase(chunk);
+            if (!bytes || !Weights::isValidChunk(*m_manifest, chunk, bytes.value())) {
+                m_corruptStagedChunks.add();
+                m_stagedChunks.erase(chunk);
                 m_parts.m_log.write(Telemetry::LogLine("staged_chunk_spoilt").number("chunk", static_cast<std::int64_t>(chunk)));
             }
             done();
         });
     };
-    sweepChunks(std::move(chunks), m_settings.m_chunksAtOnce, step, [this, run] {
-        if (m_staged.size() < m_manifest->chunkCount()) {
-            putMissing(run);
+    forEachChunk(std::move(chunks), m_settings.m_concurrentChunks, step, [this, run] {
+        if (m_stagedChunks.size() < m_manifest->chunkCount()) {
+            stageMissingChunks(run);
             return;
         }
-        order(run);
+        sendLoadOrder(run);
     });
 }
 
@@ -593,40 +593,40 @@
  * Streams that another engine may continue are cut. To wait for the longest of them keeps an engine idle for about two seconds, which for a whole
  * fleet within the bound of a version takes over a quarter of its capacity; a stream that moves pauses for the reading of its prompt.
  */
-RunningRequests WeightsKeeper::runningRequests() const
+RunningRequests WeightsManager::runningRequestPolicy() const
 {
-    const Fleet::Service *own = service();
+    const Fleet::Service *own = ownService();
     return own && own->m_mayMoveRequests ? RunningRequests::Abort : RunningRequests::Finish;
 }
 
-void WeightsKeeper::order(std::uint64_t run)
+void WeightsManager::sendLoadOrder(std::uint64_t run)
 {
-    enter(Step::Order);
+    enterStep(Step::SendOrder);
     if (!m_status) {
-        later(m_settings.m_retryPause, run, [this] { awaitTurn(); });
+        runAfter(m_settings.m_retryDelay, run, [this] { awaitLoadTime(); });
         return;
     }
-    m_ordersGiven.add();
-    m_orderedAt = Core::Clock::now();
-    const RunningRequests running = runningRequests();
+    m_ordersSent.add();
+    m_orderSentAt = Core::Clock::now();
+    const RunningRequests running = runningRequestPolicy();
     const LoadOrder order{m_target->m_model, m_target->m_version, running, m_target->m_fence, m_status->m_acceptedOrders};
     m_engine.m_load(order, [this, alive = m_isAlive, run](const Core::Result<void> &result) {
-        if (*alive && isCurrent(run)) {
-            orderEnded(run, result);
+        if (*alive && isCurrentRun(run)) {
+            handleOrderResult(run, result);
         }
     });
 }
 
-void WeightsKeeper::orderEnded(std::uint64_t run, const Core::Result<void> &result)
+void WeightsManager::handleOrderResult(std::uint64_t run, const Core::Result<void> &result)
 {
     Telemetry::LogLine line("order");
     line.text("model", m_target->m_model).number("version", static_cast<std::int64_t>(m_target->m_version)).flag("accepted", result.has_value());
     m_parts.m_log.write(result ? line : line.text("error", result.error().message()));
     if (result || result.error().m_code == Core::ErrorCode::Ambiguous) {
-        enter(Step::Loading);
+        enterStep(Step::Loading);
         return;
     }
-    later(m_settings.m_retryPause, run, [this] { awaitTurn(); });
+    runAfter(m_settings.m_retryDelay, run, [this] { awaitLoadTime(); });
 }
 
 }
--- a/Libraries/LibStaging/WeightsKeeper.h
+++ b/Libraries/LibStaging/WeightsKeeper.h
@@ -17,35 +17,35 @@
 
 namespace Staging {
 
-struct KeeperSettings
+struct WeightsManagerSettings
 {
     std::string m_service; ///< Of the engine.
     /// The whole site starts, and engines may hold their first version: nothing is drawn before the engine has said what it holds.
     bool m_mayHoldWeights = false;
     Core::Duration m_statusInterval{250}; ///< Between looks at the engine: half of the interval at which its load is passed on.
-    Core::Duration m_loadingInterval{60}; ///< The same while it loads, so that it is used again at once.
+    Core::Duration m_loadingStatusInterval{60}; ///< The same while it loads, so that it is used again at once.
     /// The same while it is nearly full, when each look is passed on: half a second is several requests then.
-    Core::Duration m_loadedInterval{180};
-    Core::Duration m_absentInterval{100}; ///< The same while it does not answer, as after a start: a fraction of the time that its weights take.
-    Core::Duration m_retryPause{200}; ///< After a failed step.
-    std::size_t m_chunksAtOnce = 4; ///< Calls to the engine under way while chunks are staged or read back.
+    Core::Duration m_nearlyFullStatusInterval{180};
+    Core::Duration m_unreachableStatusInterval{100}; ///< The same while it does not answer, as after a start: a fraction of the time that its weights take.
+    Core::Duration m_retryDelay{200}; ///< After a failed step.
+    std::size_t m_concurrentChunks = 4; ///< Calls to the engine under way while chunks are staged or read back.
     Core::Duration m_manifestLifetime{6000}; ///< A manifest whose chunks do not come within it may itself be spoilt and is asked for again.
     /**
      * From telling the entries until the order, if running streams will be cut. About half of them end within it. Without it more streams move and
      * pause; to wait for the last one keeps the engine away for seconds.
      */
-    Core::Duration m_quietTime{500};
+    Core::Duration m_drainTime{500};
     /// Share of the chunks that must be here for a superseded version to be finished. After an outage of the log two versions are read at once; to load both
     /// takes the engines away twice, and the first delays the second by 4 s.
-    double m_finishFromShare = 0.25;
-    Core::Duration m_finishWithin{6000}; ///< A superseded version that is not staged so long after its declaration is dropped: its last turn is near.
-    TurnSettings m_turns;
+    double m_minimumShareToFinish = 0.25;
+    Core::Duration m_finishAgeLimit{6000}; ///< A superseded version that is not staged so long after its declaration is dropped: its last turn is near.
+    LoadScheduleSettings m_loadSchedule;
 
-    bool operator==(const KeeperSettings &) const = default;
+    bool operator==(const WeightsManagerSettings &) const = default;
 };
 
 /// What the keeper works with. Everything outlives it.
-struct KeeperParts
+struct WeightsManagerParts
 {
     Http::EventLoop &m_loop;
     Fleet::FleetState &m_beliefs;
@@ -73,14 +73,14 @@
  * as a model that nobody published; therefore every chunk is read back and compared with its digest right before the order. Used on the loop's
  * thread.
  */
-class WeightsKeeper
+class WeightsManager
 {
 public:
-    WeightsKeeper(KeeperParts parts, KeeperSettings settings, EngineControl engine);
-    ~WeightsKeeper();
+    WeightsManager(WeightsManagerParts parts, WeightsManagerSettings settings, EngineControl engine);
+    ~WeightsManager();
 
-    WeightsKeeper(const WeightsKeeper &) = delete;
-    WeightsKeeper &operator=(const WeightsKeeper &) = delete;
+    WeightsManager(const WeightsManager &) = delete;
+    WeightsManager &operator=(const WeightsManager &) = delete;
 
     /// Called with each report of the engine. @p isAway: it should get nothing new. @p isChange: the report differs in more than its load.
     void onStatus(std::function<void(const EngineStatus &status, bool isAway, bool isChange)> callback);
@@ -88,7 +88,7 @@
     /// Tells who the other agents of the service are.
     void setAgents(std::vector<Gossip::Member> agents, const Gossip::Member &self);
     /// Looks again at once, since the beliefs have changed.
-    void beliefsChanged();
+    void onFleetStateChanged();
 
     /// The engine has its target, or there is none.
     bool isSettled() const
@@ -101,54 +101,54 @@
 private:
     enum class Step {
         Idle, ///< The engine has the target, or there is none.
-        Manifest, ///< The manifest is awaited.
-        Stage, ///< What is staged is read, to be used and passed on.
-        Transfer, ///< Chunks are awaited.
-        Put, ///< Chunks are staged.
-        Turn, ///< Everything is staged; the turn is awaited.
-        Quiet, ///< Entries have been told to send nothing new; some of what runs ends.
+        FetchManifest, ///< The manifest is awaited.
+        ReadStage, ///< What is staged is read, to be used and passed on.
+        AwaitTransfer, ///< Chunks are awaited.
+        StageChunks, ///< Chunks are staged.
+        AwaitLoadTime, ///< Everything is staged; the turn is awaited.
+        Drain, ///< Entries have been told to send nothing new; some of what runs ends.
         Verify, ///< What is staged is read back.
-        Order, ///< The order is under way.
+        SendOrder, ///< The order is under way.
         Loading, ///< The engine has the order.
     };
 
-    void look();
-    Core::Duration lookInterval() const;
-    void statusCame(Core::Result<EngineStatus> status);
-    void keepManifest();
+    void pollStatus();
+    Core::Duration statusPollInterval() const;
+    void handleStatus(Core::Result<EngineStatus> status);
+    void preserveManifest();
     std::optional<TargetVersion> wantedTarget() const;
-    bool hasTarget() const;
-    const Fleet::Service *service() const;
-    void begin(const TargetVersion &target);
-    bool isNearOrder() const;
-    bool isWorthFinishing() const;
-    double drawnShare() const;
+    bool hasLoadedTarget() const;
+    const Fleet::Service *ownService() const;
+    void beginTarget(const TargetVersion &target);
+    bool isReadyToLoad() const;
+    bool shouldFinishTarget() const;
+    double heldChunkShare() const;
     void prefetch(const TargetVersion &target);
-    void askForNextManifest(const TargetVersion &target);
-    void prefetched(const TargetVersion &target, const Core::Result<Weights::Manifest> &manifest);
+    void fetchNextManifest(const TargetVersion &target);
+    void handleNextManifest(const TargetVersion &target, const Core::Result<Weights::Manifest> &manifest);
     void advance();
     void fetchManifest();
-    void manifestCame(std::uint64_t run, Core::Result<Weights::Manifest> manifest);
-    Control::Deployment deployment(const TargetVersion &target, const Weights::Manifest &manifest) const;
-    void applyTargets();
-    void listStaged();
-    void readStaged(std::uint64_t run, std::vector<Weights::ChunkIndex> chunks);
+    void handleManifest(std::uint64_t run, Core::Result<Weights::Manifest> manifest);
+    Control::Deployment makeDeployment(const TargetVersion &target, const Weights::Manifest &manifest) const;
+    void updateTransferTargets();
+    void listStagedChunks();
+    void readStagedChunks(std::uint64_t run, std::vector<Weights::ChunkIndex> chunks);
     void awaitTransfer();
-    void putMissing(std::uint64_t run);
-    void awaitTurn();
-    bool isTurn() const;
-    void quieten();
-    bool isAway() const;
-    void verify(std::uint64_t run);
-    RunningRequests runningRequests() const;
-    void order(std::uint64_t run);
-    void orderEnded(std::uint64_t run, const Core::Result<void> &result);
-    void enter(Step step);
-    void later(Core::Duration pause, std::uint64_t run, std::function<void()> action);
-    bool isCurrent(std::uint64_t run) const;
-
-    const KeeperParts m_parts;
-    const KeeperSettings m_settings;
+    void stageMissingChunks(std::uint64_t run);
+    void awaitLoadTime();
+    bool hasReachedLoadTime() const;
+    void drainEngine();
+    bool isEngineUnavailable() const;
+    void verifyStagedChunks(std::uint64_t run);
+    RunningRequests runningRequestPolicy() const;
+    void sendLoadOrder(std::uint64_t run);
+    void handleOrderResult(std::uint64_t run, const Core::Result<void> &result);
+    void enterStep(Step step);
+    void runAfter(Core::Duration pause, std::uint64_t run, std::function<void()> action);
+    bool isCurrentRun(std::uint64_t run) const;
+
+    const WeightsManagerParts m_parts;
+    const WeightsManagerSettings m_settings;
     const EngineControl m_engine;
     std::function<void(const EngineStatus &, bool, bool)> m_onStatus;
     std::optional<EngineStatus> m_status;
@@ -157,18 +157,18 @@
     std::string m_manifestDigest;
     std::optional<TargetVersion> m_nextTarget; ///< Newer than the target; its chunks are drawn while the target is staged and loaded.
     std::optional<Weights::Manifest> m_nextManifest; ///< Of the next target, once known.
-    Core::Instant m_manifestAt;
-    Core::Instant m_orderedAt; ///< When the engine was last given an order.
-    std::set<Weights::ChunkIndex> m_staged; ///< Chunks of the target that were seen in the stage, whole.
+    Core::Instant m_manifestReceivedAt;
+    Core::Instant m_orderSentAt; ///< When the engine was last given an order.
+    std::set<Weights::ChunkIndex> m_stagedChunks; ///< Chunks of the target that were seen in the stage, whole.
     Step m_step = Step::Idle;
     std::uint64_t m_run = 0; ///< Grows with each new target or engine; what belongs to an earlier one is dropped.
     std::vector<Gossip::Member> m_agents;
     Gossip::Member m_self;
-    Http::Timer m_lookTimer;
-    bool m_isLooking = false;
-    bool m_isEngineAbsent = false; ///< It did not answer the last look.
-    Telemetry::Counter &m_ordersGiven;
-    Telemetry::Counter &m_stagedSpoilt;
+    Http::Timer m_statusTimer;
+    bool m_isStatusPending = false;
+    bool m_isEngineUnreachable = false; ///< It did not answer the last look.
+    Telemetry::Counter &m_ordersSent;
+    Telemetry::Counter &m_corruptStagedChunks;
     std::shared_ptr<bool> m_isAlive; ///< False once the keeper is gone; answers can outlive it.
 };
 
--- a/Libraries/LibTransfer/Coordinator.cpp
+++ b/Libraries/LibTransfer/Coordinator.cpp
@@ -38,9 +38,9 @@
 
 Coordinator::Coordinator(TransferParts parts)
     : m_parts(std::move(parts))
-    , m_events(std::make_shared<EventSink>(EventCapacity, m_parts.m_metrics->counter("transfer_events_lost_total")))
-    , m_originDuty(m_parts.m_network, m_parts.m_settings.m_originTimeout, m_parts.m_settings.m_originConnections, m_parts.m_originDialect)
-    , m_uploads(m_parts.m_settings, *m_parts.m_metrics)
+    , m_events(std::make_shared<EventQueue>(EventCapacity, m_parts.m_metrics->counter("transfer_events_lost_total")))
+    , m_originWorker(m_parts.m_network, m_parts.m_settings.m_originTimeout, m_parts.m_settings.m_originConnections, m_parts.m_originDialect)
+    , m_uploadWorker(m_parts.m_settings, *m_parts.m_metrics)
     , m_origin(m_parts.m_origin)
     , m_download(m_parts.m_settings.m_downloadBytesPerSecond, downloadBurst(m_parts.m_settings), Core::Clock::now())
     , m_random(Core::stableHash(m_parts.m_self.m_id + m_parts.m_self.m_incarnation))
@@ -50,7 +50,7 @@
     , m_bytesReused(m_parts.m_metrics->counter("transfer_bytes_reused_total"))
     , m_chunksBad(m_parts.m_metrics->counter("transfer_chunks_bad_total"))
     , m_manifestsBad(m_parts.m_metrics->counter("transfer_manifests_bad_total"))
-    , m_chunksTwice(m_parts.m_metrics->counter("transfer_chunks_twice_total"))
+    , m_duplicateChunks(m_parts.m_metrics->counter("transfer_chunks_twice_total"))
 {
     registerMethods();
 }
@@ -63,8 +63,8 @@
 void Coordinator::start()
 {
     m_running = true;
-    m_originDuty.start();
-    m_uploads.start();
+    m_originWorker.start();
+    m_uploadWorker.start();
     m_thread = std::thread([this] { run(); });
 }
 
@@ -72,8 +72,8 @@
 {
     m_running = false;
     m_events->close();
-    m_originDuty.stop();
-    m_uploads.stop();
+    m_originWorker.stop();
+    m_uploadWorker.stop();
     if (m_thread.joinable()) {
         m_thread.join();
     }
@@ -82,30 +82,30 @@
 void Coordinator::setTargets(std::vector<Control::Deployment> wanted)
 {
     {
-        const std::lock_guard<std::mutex> lock(m_ordersMutex);
-        m_orderedTargets = std::move(wanted);
+        const std::lock_guard<std::mutex> lock(m_pendingMutex);
+        m_pendingTargets = std::move(wanted);
     }
-    m_events->push(Woken{});
+    m_events->push(WakeUp{});
 }
 
 void Coordinator::release(const std::string &digest)
 {
     {
-        const std::lock_guard<std::mutex> lock(m_ordersMutex);
-        m_orderedReleases.insert(digest);
+        const std::lock_guard<std::mutex> lock(m_pendingMutex);
+        m_pendingReleases.insert(digest);
     }
-    m_events->push(Woken{});
+    m_events->push(WakeUp{});
 }
 
 void Coordinator::setOrigin(const Core::Address &origin)
 {
-    const std::lock_guard<std::mutex> lock(m_ordersMutex);
+    const std::lock_guard<std::mutex> lock(m_pendingMutex);
     m_origin = origin;
 }
 
 Core::Address Coordinator::origin()
 {
-    const std::lock_guard<std::mutex> lock(m_ordersMutex);
+    const std::lock_guard<std::mutex> lock(m_pendingMutex);
     return m_origin;
 }
 
@@ -121,27 +121,27 @@
 
 void Coordinator::onManifestVerified(std::function<void(const std::string &)> callback)
 {
-    m_onManifest = std::move(callback);
+    m_onManifestVerified = std::move(callback);
 }
 
 void Coordinator::onVersionComplete(std::function<void(const std::string &)> callback)
 {
-    m_onComplete = std::move(callback);
+    m_onVersionComplete = std::move(callback);
 }
 
 void Coordinator::recordLiveBytes(std::uint64_t bytes)
 {
     m_liveBytes.fetch_add(bytes, std::memory_order_relaxed);
-    m_uploads.charge(bytes);
+    m_uploadWorker.charge(bytes);
 }
 
-Published Coordinator::published() const
+PublishedState Coordinator::published() const
 {
     const std::lock_guard<std::mutex> lock(m_publishedMutex);
     return m_published;
 }
 
-Version *Coordinator::find(const std::string &digest)
+Version *Coordinator::findVersion(const std::string &digest)
 {
     const std::map<std::string, Version>::iterator found = m_versions.find(digest);
     return found == m_versions.end() ? nullptr : &found->second;
@@ -166,14 +166,14 @@
         if (event) {
             std::visit([this](const auto &concrete) { handle(concrete); }, *event);
         }
-        takeOrders();
+        applyPendingChanges();
         const Core::Instant now = Core::Clock::now();
         if (now >= nextTurn) {
-            turn(now);
+            makeDecisions(now);
             nextTurn = now + TurnInterval;
         }
-        if (m_isChanged) {
-            m_isChanged = false;
+        if (m_hasUnpublishedChanges) {
+            m_hasUnpublishedChanges = false;
             publish();
         }
     }
@@ -182,20 +182,20 @@
     }
 }
 
-void Coordinator::takeOrders()
+void Coordinator::applyPendingChanges()
 {
     std::optional<std::vector<Control::Deployment>> targets;
     std::set<std::string> releases;
     {
-        const std::lock_guard<std::mutex> lock(m_ordersMutex);
-        targets.swap(m_orderedTargets);
-        releases.swap(m_orderedReleases);
+        const std::lock_guard<std::mutex> lock(m_pendingMutex);
+        targets.swap(m_pendingTargets);
+        releases.swap(m_pendingReleases);
     }
     if (targets) {
         applyTargets(*targets);
     }
     for (const std::string &digest : releases) {
-        const Version *version = find(digest);
+        const Version *version = findVersion(digest);
         if (version && !version->m_isWanted) {
             dropVersion(digest);
         }
@@ -211,7 +211,7 @@
         const Control::Deployment &deployment = wanted[rank];
         Version &version = m_versions[deployment.m_digest];
         version.m_isWanted = true;
-        version.m_rank = rank;
+        version.m_priority = rank;
         updateVersion(version, deployment);
     }
     std::vector<std::string> superseded;
@@ -223,7 +223,7 @@
     for (const std::string &digest : superseded) {
         dropVersion(digest);
     }
-    m_isChanged = true;
+    m_hasUnpublishedChanges = true;
 }
 
 void Coordinator::updateVersion(Version &version, const Control::Deployment &deployment)
@@ -238,14 +238,14 @@
     if (version.m_exchange) {
         version.m_exchange->setReplicas(deployment.m_replicas, originCopies(deployment));
     }
-    for (std::vector<Waiter>::iterator it = m_strangers.begin(); it != m_strangers.end();) {
+    for (std::vector<Waiter>::iterator it = m_unknownVersionFollowers.begin(); it != m_unknownVersionFollowers.end();) {
         if (it->m_digest != deployment.m_digest) {
             ++it;
             continue;
         }
         it->m_responder.send(Wire::pack(snapshot(version)));
         version.m_followers.push_back(it->m_responder);
-        it = m_strangers.erase(it);
+        it = m_unknownVersionFollowers.erase(it);
     }
 }
 
@@ -268,24 +268,24 @@
     Version &version = m_versions.at(digest);
     stopTransfer(version);
     for (const Wire::Responder &follower : version.m_followers) {
-        if (m_strangers.size() < MaximumStrangers) {
-            m_strangers.push_back(Waiter{digest, follower});
+        if (m_unknownVersionFollowers.size() < MaximumUnknownVersionFollowers) {
+            m_unknownVersionFollowers.push_back(Waiter{digest, follower});
         }
     }
     LOG(INFO) << "transfer of " << version.m_deployment.m_model << " " << version.m_deployment.m_version << " dropped, digest " << digest;
     m_versions.erase(digest);
     std::erase_if(m_chunkStore, [](const std::pair<const std::string, std::weak_ptr<const std::string>> &entry) { return entry.second.expired(); });
-    m_isChanged = true;
+    m_hasUnpublishedChanges = true;
 }
 
-void Coordinator::turn(Core::Instant now)
+void Coordinator::makeDecisions(Core::Instant now)
 {
     m_download.charge(m_liveBytes.exchange(0, std::memory_order_relaxed), now);
     const Version *first = firstIncomplete();
     for (std::pair<const std::string, Version> &entry : m_versions) {
         Version &version = entry.second;
         if (version.m_isWanted && !version.m_manifest) {
-            searchManifest(version, now);
+            fetchManifest(version, now);
         }
         if (version.m_manifest && !version.m_exchange && !beginExchange(version, now)) {
             continue;
@@ -294,13 +294,13 @@
             continue;
         }
         for (const std::pair<const RequestId, OpenRequest> &request : version.m_requests) {
-            if (request.second.m_reception) {
-                version.m_exchange->requestProgressed(request.first, request.second.m_reception->m_received.load(std::memory_order_relaxed), now);
+            if (request.second.m_buffer) {
+                version.m_exchange->onRequestProgress(request.first, request.second.m_buffer->m_received.load(std::memory_order_relaxed), now);
             }
         }
-        perform(version, version.m_exchange->decide(m_download, now, effortFor(version, first, now)));
+        performActions(version, version.m_exchange->decide(m_download, now, transferModeFor(version, first, now)));
         if (version.m_exchange->isComplete() && !version.m_held) {
-            finishVersion(version);
+            completeVersion(version);
         }
     }
     announce(now);
@@ -311,7 +311,7 @@
     const Version *first = nullptr;
     for (const std::pair<const std::string, Version> &entry : m_versions) {
         const Version &version = entry.second;
-        if (version.m_isWanted && !version.m_held && (!first || version.m_rank < first->m_rank)) {
+        if (version.m_isWanted && !version.m_held && (!first || version.m_priority < first->m_priority)) {
             first = &version;
         }
     }
@@ -319,12 +319,12 @@
 }
 
 /// Draws of a later version wait until those of the first are due: side by side, each would take twice as long on the origin's link.
-Effort Coordinator::effortFor(const Version &version, const Version *first, Core::Instant now) const
+Effort Coordinator::transferModeFor(const Version &version, const Version *first, Core::Instant now) const
 {
-    if (!version.m_isWanted || !first || version.m_rank <= first->m_rank) {
+    if (!version.m_isWanted || !first || version.m_priority <= first->m_priority) {
         return Effort::Full;
     }
-    return first->m_exchange && first->m_exchange->areDrawsDue(now) ? Effort::OwnDraws : Effort::None;
+    return first->m_exchange && first->m_exchange->areDownloadsDue(now) ? Effort::OwnDownloadsOnly : Effort::MonitorOnly;
 }
 
 std::uint64_t Coordinator::memoryUsed() const
@@ -353,10 +353,10 @@
         needed += isHere ? 0 : version.m_manifest->chunkLength(chunk);
     }
     const bool fits = memoryUsed() + needed <= m_parts.m_settings.m_memoryMebibytes * BytesPerMebibyte;
-    if (version.m_awaitsMemory == fits) {
-        version.m_awaitsMemory = !fits;
+    if (version.m_isWaitingForMemory == fits) {
+        version.m_isWaitingForMemory = !fits;
         LOG(INFO) << "transfer of digest " << version.m_deployment.m_digest << (fits ? " goes on" : " waits for memory: release a version first");
-        m_isChanged = true;
+        m_hasUnpublishedChanges = true;
     }
     if (!fits) {
         return false;
@@ -369,7 +369,7 @@
     for (const Wire::Responder &follower : version.m_followers) {
         follower.send(Wire::pack(snapshot(version)));
     }
-    version.m_unannounced.clear();
+    version.m_unannouncedChunks.clear();
     return true;
 }
 
@@ -380,12 +380,12 @@
         Weights::ChunkBytes bytes = known == m_chunkStore.end() ? nullptr : known->second.lock();
         if (bytes) {
             m_bytesReused.add(bytes->size());
-            keepChunk(version, chunk, std::move(bytes), now);
+            storeChunk(version, chunk, std::move(bytes), now);
         }
     }
 }
 
-void Coordinator::finishVersion(Version &version)
+void Coordinator::completeVersion(Version &version)
 {
     const std::string &digest = version.m_deployment.m_digest;
     const Core::Result<std::shared_ptr<const Weights::HeldVersion>> whole = Weights::assembleVersion(digest, *version.m_manifest, version.m_chunks);
@@ -397,20 +397,20 @@
     version.m_held = whole.value();
     LOG(INFO) << "transfer of " << version.m_deployment.m_model << " " << version.m_deployment.m_version << " complete, digest " << digest;
     publish();
-    if (m_onComplete) {
-        m_onComplete(digest);
+    if (m_onVersionComplete) {
+        m_onVersionComplete(digest);
     }
 }
 
 HaveUpdate Coordinator::snapshot(const Version &version) const
 {
     HaveUpdate update;
-    update.m_takesPart = true;
-    update.m_queued = m_uploads.load();
+    update.m_participates = true;
+    update.m_queuedUploads = m_uploadWorker.uploadCount();
     if (version.m_exchange) {
         update.m_isSnapshot = true;
         update.m_bitmap = encodeBitmap(version.m_exchange->heldChunks());
-        update.m_drawsFromOrigin = version.m_exchange->drawsFromOrigin();
+        update.m_canDownloadFromOrigin = version.m_exchange->canDownloadFromOrigin();
     }
     return update;
 }
@@ -421,25 +421,25 @@
         return;
     }
     m_nextAnnouncement = now + AnnouncementInterval;
-    const bool isSignOfLife = now >= m_nextSignOfLife;
+    const bool isSignOfLife = now >= m_nextHeartbeat;
     if (isSignOfLife) {
-        m_nextSignOfLife = now + SignOfLifeInterval;
-        m_isChanged = true;
-        std::erase_if(m_strangers, [](const Waiter &stranger) { return stranger.m_responder.isCancelled(); });
-        for (const Waiter &stranger : m_strangers) {
+        m_nextHeartbeat = now + SignOfLifeInterval;
+        m_hasUnpublishedChanges = true;
+        std::erase_if(m_unknownVersionFollowers, [](const Waiter &stranger) { return stranger.m_responder.isCancelled(); });
+        for (const Waiter &stranger : m_unknownVersionFollowers) {
             stranger.m_responder.send(Wire::pack(HaveUpdate{}));
         }
     }
     for (std::pair<const std::string, Version> &entry : m_versions) {
         Version &version = entry.second;
-        if (version.m_unannounced.empty() && !isSignOfLife) {
+        if (version.m_unannouncedChunks.empty() && !isSignOfLife) {
             continue;
         }
         HaveUpdate update;
-        update.m_takesPart = true;
-        update.m_drawsFromOrigin = !version.m_exchange || version.m_exchange->drawsFromOrigin();
-        update.m_queued = m_uploads.load();
-        update.m_added.swap(version.m_unannounced);
+        update.m_participates = true;
+        update.m_canDownloadFromOrigin = !version.m_exchange || version.m_exchange->canDownloadFromOrigin();
+        update.m_queuedUploads = m_uploadWorker.uploadCount();
+        update.m_added.swap(version.m_unannouncedChunks);
         const std::string encoded = Wire::pack(update);
         std::erase_if(version.m_followers, [&encoded](const Wire::Responder &follower) { return follower.isCancelled() || !follower.send(encoded); });
     }
@@ -447,7 +447,7 @@
 
 void Coordinator::publish()
 {
-    Published next;
+    PublishedState next;
     Poco::JSON::Object::Ptr dump(new Poco::JSON::Object);
     for (const std::pair<const std::string, Version> &entry : m_versions) {
         const Version &version = entry.second;
@@ -467,7 +467,7 @@
         object->set("version", version.m_deployment.m_version);
         object->set("wanted", version.m_isWanted);
         object->set("whole", version.m_held != nullptr);
-        object->set("awaits_memory", version.m_awaitsMemory);
+        object->set("awaits_memory", version.m_isWaitingForMemory);
         object->set("chunks_held", progress.m_chunksHeld);
         object->set("chunks_total", progress.m_chunksTotal);
         object->set("followed", version.m_follows.size());
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -16,7 +16,7 @@
 namespace Transfer {
 
 /// What other threads may read, as of the coordinator's last turn.
-struct Published
+struct PublishedState
 {
     std::map<std::string, std::shared_ptr<const Weights::HeldVersion>> m_held; ///< By manifest digest; none is null.
     std::vector<KnownVersion> m_known;
@@ -41,7 +41,7 @@
     void onManifestVerified(std::function<void(const std::string &)> callback);
     void onVersionComplete(std::function<void(const std::string &)> callback);
     void recordLiveBytes(std::uint64_t bytes);
-    Published published() const;
+    PublishedState published() const;
 
 private:
     /// A peer that waits for something of a version.
@@ -53,76 +53,76 @@
 
     void registerMethods();
     void run();
-    void takeOrders();
+    void applyPendingChanges();
     void applyTargets(const std::vector<Control::Deployment> &wanted);
     void updateVersion(Version &version, const Control::Deployment &deployment);
     void dropVersion(const std::string &digest);
     void stopTransfer(Version &version);
 
-    void handle(const Woken &event);
+    void handle(const WakeUp &event);
     void handle(const ManifestOffered &event);
     void handle(const ChunkOffered &event);
     void handle(const UpdateReceived &event);
     void handle(const FollowEnded &event);
-    void handle(const PeerAnswered &event);
-    void handle(const OriginAnswered &event);
-    void handle(const ManifestAnswered &event);
-    void handle(const ManifestAsked &event);
-    void handle(const FollowerArrived &event);
-    void handle(const ChunkAsked &event);
-
-    void turn(Core::Instant now);
+    void handle(const PeerRequestEnded &event);
+    void handle(const OriginRequestEnded &event);
+    void handle(const ManifestRequestEnded &event);
+    void handle(const ManifestRequested &event);
+    void handle(const FollowRequested &event);
+    void handle(const ChunkRequested &event);
+
+    void makeDecisions(Core::Instant now);
     /// The most urgent wanted version that is not whole; null if there is none.
     const Version *firstIncomplete() const;
-    Effort effortFor(const Version &version, const Version *first, Core::Instant now) const;
-    void searchManifest(Version &version, Core::Instant now);
+    Effort transferModeFor(const Version &version, const Version *first, Core::Instant now) const;
+    void fetchManifest(Version &version, Core::Instant now);
     std::optional<Core::Address> manifestSource(const Version &version);
     void adoptManifest(Version &version, const std::string &encoded, const Weights::Manifest &manifest);
     bool beginExchange(Version &version, Core::Instant now);
     void reuseChunks(Version &version, Core::Instant now);
-    void perform(Version &version, const std::vector<Action> &actions);
-    void follow(Version &version, const Core::Address &peer);
-    void askPeer(Version &version, const Action &action);
-    void askOrigin(Version &version, const Action &action);
-    void takeChunk(Version &version, Weights::ChunkIndex chunk, std::string bytes, Core::Instant now);
-    void keepChunk(Version &version, Weights::ChunkIndex chunk, Weights::ChunkBytes bytes, Core::Instant now);
-    void finishVersion(Version &version);
+    void performActions(Version &version, const std::vector<Action> &actions);
+    void followPeer(Version &version, const Core::Address &peer);
+    void requestFromPeer(Version &version, const Action &action);
+    void requestFromOrigin(Version &version, const Action &action);
+    void acceptChunk(Version &version, Weights::ChunkIndex chunk, std::string bytes, Core::Instant now);
+    void storeChunk(Version &version, Weights::ChunkIndex chunk, Weights::ChunkBytes bytes, Core::Instant now);
+    void completeVersion(Version &version);
     void announce(Core::Instant now);
     HaveUpdate snapshot(const Version &version) const;
     std::uint64_t memoryUsed() const;
-    Version *find(const std::string &digest);
+    Version *findVersion(const std::string &digest);
     Core::Address origin();
     bool isBusy() const;
     void publish();
 
     const TransferParts m_parts;
-    const std::shared_ptr<EventSink> m_events;
-    OriginDuty m_originDuty;
-    UploadDuty m_uploads;
-    std::function<void(const std::string &)> m_onManifest; ///< Fixed once started.
-    std::function<void(const std::string &)> m_onComplete; ///< Fixed once started.
-
-    std::mutex m_ordersMutex;
-    std::optional<std::vector<Control::Deployment>> m_orderedTargets; ///< The newest list that has not been applied.
-    std::set<std::string> m_orderedReleases;
+    const std::shared_ptr<EventQueue> m_events;
+    OriginWorker m_originWorker;
+    UploadWorker m_uploadWorker;
+    std::function<void(const std::string &)> m_onManifestVerified; ///< Fixed once started.
+    std::function<void(const std::string &)> m_onVersionComplete; ///< Fixed once started.
+
+    std::mutex m_pendingMutex;
+    std::optional<std::vector<Control::Deployment>> m_pendingTargets; ///< The newest list that has not been applied.
+    std::set<std::string> m_pendingReleases;
     Core::Address m_origin; ///< Guarded by m_ordersMutex, as are the targets; empty while it is not known.
     std::atomic<std::uint64_t> m_liveBytes = 0; ///< Not yet charged.
 
     mutable std::mutex m_publishedMutex;
-    Published m_published;
+    PublishedState m_published;
 
     // From here on, used by the coordinator's thread only.
     std::map<std::string, Version> m_versions; ///< By manifest digest.
-    static constexpr std::size_t MaximumStrangers = 8192;
-    std::vector<Waiter> m_strangers; ///< Followers of versions that are unknown here; at most MaximumStrangers.
+    static constexpr std::size_t MaximumUnknownVersionFollowers = 8192;
+    std::vector<Waiter> m_unknownVersionFollowers; ///< Followers of versions that are unknown here; at most MaximumStrangers.
     std::vector<Waiter> m_manifestWaiters;
     std::map<std::string, std::weak_ptr<const std::string>> m_chunkStore; ///< By chunk digest, so that versions share chunks.
     Pacer m_download;
     Core::Random m_random;
     std::uint64_t m_nextSerial = 1;
     Core::Instant m_nextAnnouncement;
-    Core::Instant m_nextSignOfLife;
-    bool m_isChanged = true; ///< Something is to be published.
+    Core::Instant m_nextHeartbeat;
+    bool m_hasUnpublishedChanges = true; ///< Something is to be published.
 
     Telemetry::Counter &m_bytesFromOrigin;
     Telemetry::Counter &m_bytesFromPeers;
@@ -130,7 +130,7 @@
     Telemetry::Counter &m_bytesReused;
     Telemetry::Counter &m_chunksBad;
     Telemetry::Counter &m_manifestsBad;
-    Telemetry::Counter &m_chunksTwice;
+    Telemetry::Counter &m_duplicateChunks;
 
     std::atomic<bool> m_running = false;
     std::thread m_thread;
--- a/Libraries/LibTransfer/CoordinatorEvents.cpp
+++ b/Libraries/LibTransfer/CoordinatorEvents.cpp
@@ -16,7 +16,7 @@
 
 Failure failureOf(const Wire::CallEnd &end)
 {
-    return end.m_error.m_code == Core::ErrorCode::Overloaded ? Failure::Busy : Failure::Lost;
+    return end.m_error.m_code == Core::ErrorCode::Overloaded ? Failure::Busy : Failure::Unavailable;
 }
 
 }
@@ -29,7 +29,7 @@
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(ManifestAsked{request.value().m_digest, call.m_responder});
+        sink->push(ManifestRequested{request.value().m_digest, call.m_responder});
     });
     m_parts.m_node->handle("transfer.have", [sink = m_events](const Wire::IncomingCall &call) {
         const Core::Result<HaveRequest> request = Wire::unpack<HaveRequest>(call.m_body, call.m_peer);
@@ -37,7 +37,7 @@
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(FollowerArrived{request.value().m_digest, call.m_responder});
+        sink->push(FollowRequested{request.value().m_digest, call.m_responder});
     });
     m_parts.m_node->handle("transfer.chunk", [sink = m_events](const Wire::IncomingCall &call) {
         const Core::Result<ChunkRequest> request = Wire::unpack<ChunkRequest>(call.m_body, call.m_peer);
@@ -45,18 +45,18 @@
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(ChunkAsked{request.value(), call.m_responder});
+        sink->push(ChunkRequested{request.value(), call.m_responder});
     });
 }
 
-void Coordinator::handle(const Woken &)
+void Coordinator::handle(const WakeUp &)
 {
 }
 
 void Coordinator::handle(const ManifestOffered &event)
 {
-    takeOrders(); // The targets that name this version may have been set just before.
-    Version *version = find(event.m_digest);
+    applyPendingChanges(); // The targets that name this version may have been set just before.
+    Version *version = findVersion(event.m_digest);
     if (!version || version->m_manifest) {
         return;
     }
@@ -68,71 +68,71 @@
 
 void Coordinator::handle(const ChunkOffered &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     const Core::Instant now = Core::Clock::now();
     if (!version || !version->m_manifest || (!version->m_exchange && !beginExchange(*version, now))) {
         return;
     }
     const bool isMissing = event.m_chunk < version->m_chunks.size() && !version->m_chunks[event.m_chunk];
-    if (isMissing && Weights::isChunk(*version->m_manifest, event.m_chunk, event.m_bytes)) {
+    if (isMissing && Weights::isValidChunk(*version->m_manifest, event.m_chunk, event.m_bytes)) {
         m_bytesReused.add(event.m_bytes.size());
-        takeChunk(*version, event.m_chunk, event.m_bytes, now);
+        acceptChunk(*version, event.m_chunk, event.m_bytes, now);
     }
 }
 
 void Coordinator::handle(const UpdateReceived &event)
 {
-    const Version *version = find(event.m_digest);
+    const Version *version = findVersion(event.m_digest);
     if (!version || !version->m_exchange) {
         return;
     }
     const std::map<Core::Address, OpenFollow>::const_iterator open = version->m_follows.find(event.m_peer);
     if (open != version->m_follows.end() && open->second.m_serial == event.m_serial) {
-        version->m_exchange->updateReceived(event.m_peer, event.m_update, Core::Clock::now());
+        version->m_exchange->onUpdate(event.m_peer, event.m_update, Core::Clock::now());
     }
 }
 
 void Coordinator::handle(const FollowEnded &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     if (!version) {
         return;
     }
     const std::map<Core::Address, OpenFollow>::iterator open = version->m_follows.find(event.m_peer);
     if (open != version->m_follows.end() && open->second.m_serial == event.m_serial) {
         version->m_follows.erase(open);
-        version->m_exchange->followEnded(event.m_peer, Core::Clock::now());
+        version->m_exchange->onFollowEnded(event.m_peer, Core::Clock::now());
     }
 }
 
-void Coordinator::handle(const PeerAnswered &event)
+void Coordinator::handle(const PeerRequestEnded &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     if (!version || !version->m_requests.contains(event.m_request)) {
         return;
     }
     const OpenRequest request = version->m_requests.at(event.m_request);
     version->m_requests.erase(event.m_request);
     const Core::Instant now = Core::Clock::now();
-    m_bytesFromPeers.add(event.m_reception->m_bytes.size());
+    m_bytesFromPeers.add(event.m_buffer->m_bytes.size());
     if (!event.m_end.m_succeeded) {
         m_download.refund(version->m_manifest->chunkLength(request.m_chunk));
-        version->m_exchange->requestFailed(event.m_request, failureOf(event.m_end), now);
+        version->m_exchange->onRequestFailed(event.m_request, failureOf(event.m_end), now);
         return;
     }
-    if (!Weights::isChunk(*version->m_manifest, request.m_chunk, event.m_reception->m_bytes)) {
+    if (!Weights::isValidChunk(*version->m_manifest, request.m_chunk, event.m_buffer->m_bytes)) {
         m_chunksBad.add();
         LOG(WARNING) << "chunk " << request.m_chunk << " of " << event.m_digest << " from " << request.m_peer.toString() << " does not match its digest";
-        version->m_exchange->requestFailed(event.m_request, Failure::Corrupt, now);
+        version->m_exchange->onRequestFailed(event.m_request, Failure::Corrupt, now);
         return;
     }
-    version->m_exchange->requestSucceeded(event.m_request, now);
-    takeChunk(*version, request.m_chunk, std::move(event.m_reception->m_bytes), now);
+    version->m_exchange->onRequestSucceeded(event.m_request, now);
+    acceptChunk(*version, request.m_chunk, std::move(event.m_buffer->m_bytes), now);
 }
 
-void Coordinator::handle(const OriginAnswered &event)
+void Coordinator::handle(const OriginRequestEnded &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     if (event.m_bytes) {
         m_bytesFromOrigin.add(event.m_bytes.value().size());
     }
@@ -144,43 +144,43 @@
     const Core::Instant now = Core::Clock::now();
     if (!event.m_bytes) {
         LOG_EVERY_N(WARNING, 16) << event.m_bytes.error(); // Each chunk may fail many times while the origin is away.
-        version->m_exchange->requestFailed(event.m_request, Failure::Lost, now);
+        version->m_exchange->onRequestFailed(event.m_request, Failure::Unavailable, now);
         return;
     }
-    if (!Weights::isChunk(*version->m_manifest, request.m_chunk, event.m_bytes.value())) {
+    if (!Weights::isValidChunk(*version->m_manifest, request.m_chunk, event.m_bytes.value())) {
         m_chunksBad.add();
         LOG(WARNING) << "chunk " << request.m_chunk << " of " << event.m_digest << " from the origin does not match its digest";
-        version->m_exchange->requestFailed(event.m_request, Failure::Corrupt, now);
+        version->m_exchange->onRequestFailed(event.m_request, Failure::Corrupt, now);
         return;
     }
-    version->m_exchange->requestSucceeded(event.m_request, now);
-    takeChunk(*version, request.m_chunk, event.m_bytes.value(), now);
+    version->m_exchange->onRequestSucceeded(event.m_request, now);
+    acceptChunk(*version, request.m_chunk, event.m_bytes.value(), now);
 }
 
-void Coordinator::handle(const ManifestAnswered &event)
+void Coordinator::handle(const ManifestRequestEnded &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     if (!version || version->m_manifest) {
         return;
     }
-    version->m_search.m_isOpen = false;
+    version->m_manifestFetch.m_isOpen = false;
     const Core::Result<Weights::Manifest> manifest = event.m_encoded ? Weights::verifyManifest(event.m_encoded.value(), event.m_digest, event.m_from)
                                                                      : Core::Result<Weights::Manifest>(event.m_encoded.error());
     if (manifest) {
         adoptManifest(*version, event.m_encoded.value(), manifest.value());
         return;
     }
-    const std::uint32_t doublings = std::min(version->m_search.m_attempts, MaximumManifestDoublings);
-    version->m_search.m_next = Core::Clock::now() + ManifestRetry * (std::int64_t{1} << doublings);
+    const std::uint32_t doublings = std::min(version->m_manifestFetch.m_attempts, MaximumManifestDoublings);
+    version->m_manifestFetch.m_nextAttemptAt = Core::Clock::now() + ManifestRetry * (std::int64_t{1} << doublings);
     if (manifest.error().m_code == Core::ErrorCode::Corrupt) {
         m_manifestsBad.add();
         LOG(WARNING) << manifest.error();
     }
 }
 
-void Coordinator::handle(const ManifestAsked &event)
+void Coordinator::handle(const ManifestRequested &event)
 {
-    const Version *version = find(event.m_digest);
+    const Version *version = findVersion(event.m_digest);
     if (version && version->m_manifest) {
         event.m_responder.reply(version->m_encodedManifest);
         return;
@@ -194,32 +194,32 @@
     m_manifestWaiters.push_back(Waiter{event.m_digest, event.m_responder});
 }
 
-void Coordinator::handle(const FollowerArrived &event)
+void Coordinator::handle(const FollowRequested &event)
 {
-    Version *version = find(event.m_digest);
+    Version *version = findVersion(event.m_digest);
     if (version) {
         event.m_responder.send(Wire::pack(snapshot(*version)));
         version->m_followers.push_back(event.m_responder);
         return;
     }
-    if (m_strangers.size() >= MaximumStrangers) {
+    if (m_unknownVersionFollowers.size() >= MaximumUnknownVersionFollowers) {
         event.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "follow holdings", "", "too many followers of unknown versions"));
         return;
     }
     event.m_responder.send(Wire::pack(HaveUpdate{}));
-    m_strangers.push_back(Waiter{event.m_digest, event.m_responder});
+    m_unknownVersionFollowers.push_back(Waiter{event.m_digest, event.m_responder});
 }
 
-void Coordinator::handle(const ChunkAsked &event)
+void Coordinator::handle(const ChunkRequested &event)
 {
-    const Version *version = find(event.m_request.m_digest);
+    const Version *version = findVersion(event.m_request.m_digest);
     const bool isHeld = version && event.m_request.m_chunk < version->m_chunks.size() && version->m_chunks[event.m_request.m_chunk];
     if (!isHeld) {
         event.m_responder.fail(Core::makeError(Core::ErrorCode::NotFound, "send chunk", "", "not held"));
         return;
     }
     const QueuedUpload what{0, event.m_request.m_digest, event.m_request.m_chunk, event.m_request.m_forRegion};
-    m_uploads.offer(UploadJob{what, version->m_chunks[event.m_request.m_chunk], event.m_responder});
+    m_uploadWorker.offer(UploadJob{what, version->m_chunks[event.m_request.m_chunk], event.m_responder});
 }
 
 }
--- a/Libraries/LibTransfer/CoordinatorRequests.cpp
+++ b/Libraries/LibTransfer/CoordinatorRequests.cpp
@@ -20,7 +20,7 @@
 std::optional<Core::Address> Coordinator::manifestSource(const Version &version)
 {
     const std::vector<Control::PlannedReplica> &replicas = version.m_deployment.m_replicas;
-    const std::uint32_t attempt = version.m_search.m_attempts;
+    const std::uint32_t attempt = version.m_manifestFetch.m_attempts;
     const bool isOriginsTurn = attempt % OriginEveryAttempts == OriginEveryAttempts - 1;
     if (m_parts.m_settings.m_strategy == Strategy::Origin || replicas.size() < 2 || isOriginsTurn) {
         return std::nullopt;
@@ -54,22 +54,22 @@
     return replicas[topRanked(item, near, rank)[(rank - 1) / ManifestFanOut]].m_wire;
 }
 
-void Coordinator::searchManifest(Version &version, Core::Instant now)
+void Coordinator::fetchManifest(Version &version, Core::Instant now)
 {
-    if (version.m_search.m_isOpen || now < version.m_search.m_next) {
+    if (version.m_manifestFetch.m_isOpen || now < version.m_manifestFetch.m_nextAttemptAt) {
         return;
     }
     const std::string digest = version.m_deployment.m_digest;
     const std::optional<Core::Address> peer = manifestSource(version);
-    version.m_search.m_isOpen = true;
-    ++version.m_search.m_attempts;
+    version.m_manifestFetch.m_isOpen = true;
+    ++version.m_manifestFetch.m_attempts;
     if (!peer) {
         const Core::Address origin = this->origin();
         const std::string from = origin.toString();
         OriginJob job{origin, OriginChunk{version.m_deployment.m_model, version.m_deployment.m_version, 0, 0, 0}, {}};
-        job.m_done = [sink = m_events, digest, from](Core::Result<std::string> bytes) { sink->push(ManifestAnswered{digest, from, std::move(bytes)}); };
-        if (!m_originDuty.offer(std::move(job))) {
-            version.m_search.m_isOpen = false;
+        job.m_done = [sink = m_events, digest, from](Core::Result<std::string> bytes) { sink->push(ManifestRequestEnded{digest, from, std::move(bytes)}); };
+        if (!m_originWorker.offer(std::move(job))) {
+            version.m_manifestFetch.m_isOpen = false;
         }
         return;
     }
@@ -78,7 +78,8 @@
     Wire::CallEvents events;
     events.m_onFrame = [encoded](std::string frame) { *encoded = std::move(frame); };
     events.m_onEnd = [sink = m_events, digest, from, encoded](const Wire::CallEnd &end) {
-        sink->push(ManifestAnswered{digest, from, end.m_succeeded ? Core::Result<std::string>(std::move(*encoded)) : Core::Result<std::string>(end.m_error)});
+        sink->push(
+            ManifestRequestEnded{digest, from, end.m_succeeded ? Core::Result<std::string>(std::move(*encoded)) : Core::Result<std::string>(end.m_error)});
     };
     m_parts.m_node->call(*peer, "transfer.manifest", Wire::pack(ManifestRequest{digest}), Wire::CallOptions{ManifestTimeout}, std::move(events));
 }
@@ -96,19 +97,19 @@
             ++it;
         }
     }
-    m_isChanged = true;
+    m_hasUnpublishedChanges = true;
     publish();
-    if (m_onManifest) {
-        m_onManifest(version.m_deployment.m_digest);
+    if (m_onManifestVerified) {
+        m_onManifestVerified(version.m_deployment.m_digest);
     }
 }
 
-void Coordinator::perform(Version &version, const std::vector<Action> &actions)
+void Coordinator::performActions(Version &version, const std::vector<Action> &actions)
 {
     for (const Action &action : actions) {
         switch (action.m_kind) {
         case ActionKind::Follow:
-            follow(version, action.m_peer);
+            followPeer(version, action.m_peer);
             break;
         case ActionKind::Unfollow: {
             const std::map<Core::Address, OpenFollow>::iterator open = version.m_follows.find(action.m_peer);
@@ -118,11 +119,11 @@
             }
             break;
         }
-        case ActionKind::AskPeer:
-            askPeer(version, action);
+        case ActionKind::RequestFromPeer:
+            requestFromPeer(version, action);
             break;
-        case ActionKind::AskOrigin:
-            askOrigin(version, action);
+        case ActionKind::RequestFromOrigin:
+            requestFromOrigin(version, action);
             break;
         case ActionKind::Cancel: {
             const std::map<RequestId, OpenRequest>::iterator open = version.m_requests.find(action.m_request);
@@ -131,7 +132,7 @@
             }
             if (open->second.m_call != 0) {
                 m_parts.m_node->cancel(open->second.m_call);
-                m_bytesFromPeers.add(open->second.m_reception->m_received.load(std::memory_order_relaxed));
+                m_bytesFromPeers.add(open->second.m_buffer->m_received.load(std::memory_order_relaxed));
             }
             version.m_requests.erase(open);
             break;
@@ -140,7 +141,7 @@
     }
 }
 
-void Coordinator::follow(Version &version, const Core::Address &peer)
+void Coordinator::followPeer(Version &version, const Core::Address &peer)
 {
     const std::string digest = version.m_deployment.m_digest;
     const std::uint64_t serial = m_nextSerial++;
@@ -158,11 +159,11 @@
         peer, "transfer.have", Wire::pack(HaveRequest{digest, m_parts.m_self.m_id}), Wire::CallOptions{Core::Duration(0)}, std::move(events));
 }
 
-void Coordinator::askPeer(Version &version, const Action &action)
+void Coordinator::requestFromPeer(Version &version, const Action &action)
 {
     const std::string digest = version.m_deployment.m_digest;
     const RequestId id = action.m_request;
-    const std::shared_ptr<Reception> reception = std::make_shared<Reception>(version.m_manifest->chunkLength(action.m_chunk));
+    const std::shared_ptr<ChunkBuffer> reception = std::make_shared<ChunkBuffer>(version.m_manifest->chunkLength(action.m_chunk));
     Wire::CallEvents events;
     events.m_onFrame = [reception](const std::string &frame) {
         if (reception->m_bytes.size() <= reception->m_expected) {
@@ -170,10 +171,10 @@
             reception->m_received.store(reception->m_bytes.size(), std::memory_order_relaxed);
         }
     };
-    events.m_onEnd = [sink = m_events, digest, id, reception](const Wire::CallEnd &end) { sink->push(PeerAnswered{digest, id, end, reception}); };
+    events.m_onEnd = [sink = m_events, digest, id, reception](const Wire::CallEnd &end) { sink->push(PeerRequestEnded{digest, id, end, reception}); };
     OpenRequest &open = version.m_requests[id];
     open.m_chunk = action.m_chunk;
-    open.m_reception = reception;
+    open.m_buffer = reception;
     open.m_peer = action.m_peer;
     open.m_call = m_parts.m_node->call(action.m_peer,
                                        "transfer.chunk",
@@ -185,7 +186,7 @@
     }
 }
 
-void Coordinator::askOrigin(Version &version, const Action &action)
+void Coordinator::requestFromOrigin(Version &version, const Action &action)
 {
     const std::string digest = version.m_deployment.m_digest;
     const RequestId id = action.m_request;
@@ -197,29 +198,29 @@
                             version.m_manifest->chunkOffset(action.m_chunk),
                             version.m_manifest->chunkLength(action.m_chunk)};
     OriginJob job{origin(), chunk, {}};
-    job.m_done = [sink = m_events, digest, id](Core::Result<std::string> bytes) { sink->push(OriginAnswered{digest, id, std::move(bytes)}); };
-    if (!m_originDuty.offer(std::move(job))) {
+    job.m_done = [sink = m_events, digest, id](Core::Result<std::string> bytes) { sink->push(OriginRequestEnded{digest, id, std::move(bytes)}); };
+    if (!m_originWorker.offer(std::move(job))) {
         version.m_requests.erase(id);
-        version.m_exchange->requestFailed(id, Failure::Lost, Core::Clock::now());
+        version.m_exchange->onRequestFailed(id, Failure::Unavailable, Core::Clock::now());
     }
 }
 
-void Coordinator::takeChunk(Version &version, Weights::ChunkIndex chunk, std::string bytes, Core::Instant now)
+void Coordinator::acceptChunk(Version &version, Weights::ChunkIndex chunk, std::string bytes, Core::Instant now)
 {
     if (version.m_chunks[chunk]) {
-        m_chunksTwice.add();
+        m_duplicateChunks.add();
         return;
     }
-    keepChunk(version, chunk, std::make_shared<const std::string>(std::move(bytes)), now);
+    storeChunk(version, chunk, std::make_shared<const std::string>(std::move(bytes)), now);
 }
 
-void Coordinator::keepChunk(Version &version, Weights::ChunkIndex chunk, Weights::ChunkBytes bytes, Core::Instant now)
+void Coordinator::storeChunk(Version &version, Weights::ChunkIndex chunk, Weights::ChunkBytes bytes, Core::Instant now)
 {
     m_chunkStore[version.m_manifest->m_chunkDigests[chunk]] = bytes;
     version.m_chunks[chunk] = std::move(bytes);
-    version.m_unannounced.push_back(chunk);
-    perform(version, version.m_exchange->chunkHeld(chunk, now));
-    m_isChanged = true;
+    version.m_unannouncedChunks.push_back(chunk);
+    performActions(version, version.m_exchange->onChunkHeld(chunk, now));
+    m_hasUnpublishedChanges = true;
 }
 
 }
--- a/Libraries/LibTransfer/Events.h
+++ b/Libraries/LibTransfer/Events.h
@@ -17,9 +17,9 @@
 namespace Transfer {
 
 /// Collects a chunk's bytes on the node's thread. The coordinator reads m_bytes only after the end of the call.
-struct Reception
+struct ChunkBuffer
 {
-    explicit Reception(std::size_t expected)
+    explicit ChunkBuffer(std::size_t expected)
         : m_expected(expected)
     {
     }
@@ -30,7 +30,7 @@
 };
 
 /// Something that was set from outside waits to be looked at.
-struct Woken
+struct WakeUp
 {
 };
 
@@ -51,22 +51,22 @@
 };
 
 /// A peer's answer to a request for a chunk is over.
-struct PeerAnswered
+struct PeerRequestEnded
 {
     std::string m_digest;
     RequestId m_request = 0;
     Wire::CallEnd m_end;
-    std::shared_ptr<Reception> m_reception;
+    std::shared_ptr<ChunkBuffer> m_buffer;
 };
 
-struct OriginAnswered
+struct OriginRequestEnded
 {
     std::string m_digest;
     RequestId m_request = 0;
     Core::Result<std::string> m_bytes;
 };
 
-struct ManifestAnswered
+struct ManifestRequestEnded
 {
     std::string m_digest;
     std::string m_from;
@@ -74,19 +74,19 @@
 };
 
 /// Calls of peers.
-struct ManifestAsked
+struct ManifestRequested
 {
     std::string m_digest;
     Wire::Responder m_responder;
 };
 
-struct FollowerArrived
+struct FollowRequested
 {
     std::string m_digest;
     Wire::Responder m_responder;
 };
 
-struct ChunkAsked
+struct ChunkRequested
 {
     ChunkRequest m_request;
     Wire::Responder m_responder;
@@ -107,27 +107,27 @@
     std::string m_bytes;
 };
 
-using Event = std::variant<Woken,
+using Event = std::variant<WakeUp,
                            ManifestOffered,
                            ChunkOffered,
                            UpdateReceived,
                            FollowEnded,
-                           PeerAnswered,
-                           OriginAnswered,
-                           ManifestAnswered,
-                           ManifestAsked,
-                           FollowerArrived,
-                           ChunkAsked>;
+                           PeerRequestEnded,
+                           OriginRequestEnded,
+                           ManifestRequestEnded,
+                           ManifestRequested,
+                           FollowRequested,
+                           ChunkRequested>;
 
 /**
  * Where other threads leave events for the coordinator. Shared with the callbacks of calls, which can outlive the coordinator.
  */
-class EventSink
+class EventQueue
 {
 public:
-    EventSink(std::size_t capacity, Telemetry::Counter &lost)
+    EventQueue(std::size_t capacity, Telemetry::Counter &lost)
         : m_ring(capacity)
-        , m_lost(lost)
+        , m_lostEvents(lost)
     {
     }
 
@@ -135,7 +135,7 @@
     void push(Event event)
     {
         if (!m_ring.tryPush(std::move(event))) {
-            m_lost.add();
+            m_lostEvents.add();
         }
     }
 
@@ -151,7 +151,7 @@
 
 private:
     Core::Ring<Event> m_ring;
-    Telemetry::Counter &m_lost;
+    Telemetry::Counter &m_lostEvents;
 };
 
 }
--- a/Libraries/LibTransfer/Exchange.cpp
+++ b/Libraries/LibTransfer/Exchange.cpp
@@ -60,10 +60,10 @@
     : m_settings(settings)
     , m_identity(std::move(identity))
     , m_manifest(manifest)
-    , m_started(now)
+    , m_startedAt(now)
     , m_random(m_identity.m_seed)
-    , m_drawSlot(drawSlot(settings, manifest.m_chunkBytes))
-    , m_probeAfter(probeAfter(settings, manifest))
+    , m_originChunkTime(drawSlot(settings, manifest.m_chunkBytes))
+    , m_probeDelay(probeAfter(settings, manifest))
     , m_chunks(manifest.chunkCount())
     , m_held(manifest.chunkCount(), false)
     , m_nextRequest(m_random.next() >> 8U)
@@ -89,13 +89,13 @@
         peer.m_candidate = Candidate{*index, candidateHash(replica.m_instance)};
         peer.m_isListed = true;
         peer.m_isSelf = replica.m_instance == m_identity.m_instance;
-        peer.m_isNear = replica.m_region == m_identity.m_region;
+        peer.m_isSameRegion = replica.m_region == m_identity.m_region;
         if (peer.m_isSelf) {
             m_self = index;
         }
     }
     rankChunks();
-    chooseFollowed();
+    selectFollowedPeers();
 }
 
 void Exchange::rankChunks()
@@ -109,7 +109,7 @@
         }
         everybody.push_back(peer.m_candidate);
         regions[peer.m_replica.m_region].push_back(peer.m_candidate);
-        if (peer.m_isNear) {
+        if (peer.m_isSameRegion) {
             near.push_back(peer.m_candidate);
         }
     }
@@ -120,60 +120,60 @@
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
         Chunk &chunk = m_chunks[index];
         const std::uint64_t item = itemHash(m_identity.m_digest, index);
-        chunk.m_drawers = topRanked(item, everybody, RankedPeers);
+        chunk.m_downloaders = topRanked(item, everybody, RankedPeers);
         chunk.m_importers = topRanked(item, near, RankedPeers);
-        chunk.m_isDrawer = m_self && std::find(chunk.m_drawers.begin(), chunk.m_drawers.end(), *m_self) != chunk.m_drawers.end();
+        chunk.m_isDownloader = m_self && std::find(chunk.m_downloaders.begin(), chunk.m_downloaders.end(), *m_self) != chunk.m_downloaders.end();
         chunk.m_isImporter = m_self && std::find(chunk.m_importers.begin(), chunk.m_importers.end(), *m_self) != chunk.m_importers.end();
-        chunk.m_originRank = m_self ? static_cast<std::uint32_t>(rankOf(m_peers[*m_self].m_candidate, item, everybody)) : ~std::uint32_t{0};
+        chunk.m_downloadRank = m_self ? static_cast<std::uint32_t>(rankOf(m_peers[*m_self].m_candidate, item, everybody)) : ~std::uint32_t{0};
     }
     if (m_settings.m_strategy != Strategy::Tree || !m_self) {
         return;
     }
     const std::vector<PeerIndex> order = topRanked(itemHash(m_identity.m_digest, ManifestItem), everybody, everybody.size());
     const std::size_t position = static_cast<std::size_t>(std::find(order.begin(), order.end(), *m_self) - order.begin());
-    m_parent = position == 0 ? std::nullopt : std::optional<PeerIndex>(order[(position - 1) / TreeFanOut]);
+    m_treeParent = position == 0 ? std::nullopt : std::optional<PeerIndex>(order[(position - 1) / TreeFanOut]);
 }
 
-void Exchange::want(PeerIndex index)
+void Exchange::markForFollowing(PeerIndex index)
 {
     Peer &peer = m_peers[index];
-    peer.m_isWanted = peer.m_isListed && !peer.m_isSelf && !peer.m_sentBadChunk;
+    peer.m_shouldFollow = peer.m_isListed && !peer.m_isSelf && !peer.m_sentCorruptChunk;
 }
 
-void Exchange::chooseFollowed()
+void Exchange::selectFollowedPeers()
 {
     for (Peer &peer : m_peers) {
-        peer.m_isWanted = false;
+        peer.m_shouldFollow = false;
     }
     if (m_settings.m_strategy == Strategy::Origin || !m_self) {
         return;
     }
     if (m_settings.m_strategy == Strategy::Tree) {
-        if (m_parent) {
-            want(*m_parent);
+        if (m_treeParent) {
+            markForFollowing(*m_treeParent);
         }
         return;
     }
     std::vector<Candidate> near;
     for (const Peer &peer : m_peers) {
-        if (peer.m_isListed && peer.m_isNear) {
+        if (peer.m_isListed && peer.m_isSameRegion) {
             near.push_back(peer.m_candidate);
         }
     }
     for (const PeerIndex neighbour : ringNeighbours(m_peers[*m_self].m_candidate, near, m_settings.m_neighbours)) {
-        want(neighbour);
+        markForFollowing(neighbour);
     }
     for (const Chunk &chunk : m_chunks) {
         const auto followPredecessors = [this](const std::vector<PeerIndex> &ranked) {
             const std::size_t own = static_cast<std::size_t>(std::find(ranked.begin(), ranked.end(), *m_self) - ranked.begin());
             for (std::size_t rank = 0; own <= FollowedPredecessors && rank < own && own < ranked.size(); ++rank) {
-                want(ranked[rank]);
+                markForFollowing(ranked[rank]);
             }
         };
-        followPredecessors(chunk.m_drawers);
+        followPredecessors(chunk.m_downloaders);
         followPredecessors(chunk.m_importers);
-        if (!chunk.m_importers.empty() && chunk.m_importers.front() == *m_self && chunk.m_drawers.front() != *m_self) {
-            want(chunk.m_drawers.front());
+        if (!chunk.m_importers.empty() && chunk.m_importers.front() == *m_self && chunk.m_downloaders.front() != *m_self) {
+            markForFollowing(chunk.m_downloaders.front());
         }
     }
 }
@@ -188,7 +188,7 @@
     return std::nullopt;
 }
 
-std::vector<Action> Exchange::chunkHeld(Weights::ChunkIndex chunk, Core::Instant)
+std::vector<Action> Exchange::onChunkHeld(Weights::ChunkIndex chunk, Core::Instant)
 {
     std::vector<Action> actions;
     if (m_held[chunk]) {
@@ -208,9 +208,9 @@
 
 void Exchange::closeRequest(std::map<RequestId, Request>::iterator request)
 {
-    --m_chunks[request->second.m_chunk].m_requests;
+    --m_chunks[request->second.m_chunk].m_openRequests;
     if (request->second.m_peer) {
-        --m_peers[*request->second.m_peer].m_outstanding;
+        --m_peers[*request->second.m_peer].m_openRequests;
         --m_peerRequests;
     } else {
         --m_originRequests;
@@ -218,24 +218,24 @@
     m_requests.erase(request);
 }
 
-void Exchange::requestSucceeded(RequestId id, Core::Instant now)
+void Exchange::onRequestSucceeded(RequestId id, Core::Instant now)
 {
     const std::map<RequestId, Request>::iterator found = m_requests.find(id);
     if (found == m_requests.end()) {
         return;
     }
     if (found->second.m_peer) {
-        const double seconds = Core::secondsBetween(found->second.m_asked, now);
+        const double seconds = Core::secondsBetween(found->second.m_sentAt, now);
         m_peers[*found->second.m_peer].m_consecutiveFailures = 0;
-        m_usualSeconds = m_usualSeconds == 0 ? seconds : m_usualSeconds + Smoothing * (seconds - m_usualSeconds);
+        m_smoothedRequestSeconds = m_smoothedRequestSeconds == 0 ? seconds : m_smoothedRequestSeconds + Smoothing * (seconds - m_smoothedRequestSeconds);
     } else {
-        m_originBackAt = drawsFromOrigin() ? m_originBackAt : std::optional<Core::Instant>(now);
-        m_originFailures = 0;
+        m_originRecoveredAt = canDownloadFromOrigin() ? m_originRecoveredAt : std::optional<Core::Instant>(now);
+        m_consecutiveOriginFailures = 0;
     }
     closeRequest(found);
 }
 
-void Exchange::requestFailed(RequestId id, Failure failure, Core::Instant now)
+void Exchange::onRequestFailed(RequestId id, Failure failure, Core::Instant now)
 {
     const std::map<RequestId, Request>::iterator found = m_requests.find(id);
     if (found == m_requests.end()) {
@@ -247,8 +247,8 @@
         ++m_counts.m_badChunks;
     }
     if (!request.m_peer) {
-        ++m_originFailures;
-        m_originAfter = now + doubled(OriginRetry, m_originFailures, MaximumOriginDoublings);
+        ++m_consecutiveOriginFailures;
+        m_nextOriginRequestAt = now + doubled(OriginRetry, m_consecutiveOriginFailures, MaximumOriginDoublings);
         return;
     }
     Peer &peer = m_peers[*request.m_peer];
@@ -257,18 +257,18 @@
         ++m_counts.m_busy;
         peer.m_usableAfter = now + BusyPause;
         break;
-    case Failure::Lost:
-        noteFailure(peer, now);
+    case Failure::Unavailable:
+        recordFailure(peer, now);
         break;
     case Failure::Corrupt:
         // One bad chunk can be a damaged link, but nothing tells it from a peer whose memory is bad, and there are other peers.
-        peer.m_sentBadChunk = true;
-        peer.m_isWanted = false;
+        peer.m_sentCorruptChunk = true;
+        peer.m_shouldFollow = false;
         break;
     }
 }
 
-void Exchange::noteFailure(Peer &peer, Core::Instant now)
+void Exchange::recordFailure(Peer &peer, Core::Instant now)
 {
     peer.m_usableAfter = now + LostPause;
     if (++peer.m_consecutiveFailures < FailuresUntilSetAside) {
@@ -276,41 +276,41 @@
     }
     // A peer that announces chunks and never delivers them would keep everybody from fetching them elsewhere.
     peer.m_consecutiveFailures = 0;
-    peer.m_setAsideUntil = now + SetAsideFor;
+    peer.m_excludedUntil = now + SetAsideFor;
 }
 
-bool Exchange::isSetAside(const Peer &peer, Core::Instant now)
+bool Exchange::isExcluded(const Peer &peer, Core::Instant now)
 {
-    return peer.m_sentBadChunk || now < peer.m_setAsideUntil;
+    return peer.m_sentCorruptChunk || now < peer.m_excludedUntil;
 }
 
-bool Exchange::drawsFromOrigin() const
+bool Exchange::canDownloadFromOrigin() const
 {
-    return m_originFailures < OriginFailuresUntilOthersTry;
+    return m_consecutiveOriginFailures < OriginFailuresUntilOthersTry;
 }
 
-void Exchange::requestProgressed(RequestId id, std::uint64_t bytes, Core::Instant now)
+void Exchange::onRequestProgress(RequestId id, std::uint64_t bytes, Core::Instant now)
 {
     const std::map<RequestId, Request>::iterator found = m_requests.find(id);
     if (found != m_requests.end() && bytes > found->second.m_bytes) {
         found->second.m_bytes = bytes;
-        found->second.m_progressed = now;
+        found->second.m_progressAt = now;
     }
 }
 
-void Exchange::updateReceived(const Core::Address &address, const HaveUpdate &update, Core::Instant now)
+void Exchange::onUpdate(const Core::Address &address, const HaveUpdate &update, Core::Instant now)
 {
     const std::optional<PeerIndex> index = findPeer(address);
-    if (!index || m_peers[*index].m_follow != FollowState::Open) {
+    if (!index || m_peers[*index].m_followState != FollowState::Following) {
         return;
     }
     Peer &peer = m_peers[*index];
-    peer.m_heard = now;
+    peer.m_lastHeardAt = now;
     peer.m_followFailures = 0;
     peer.m_hasAnswered = true;
-    peer.m_drawsFromOrigin = update.m_drawsFromOrigin;
-    peer.m_queued = update.m_queued;
-    if (update.m_takesPart || now - m_started < JoinGrace) {
+    peer.m_canDownloadFromOrigin = update.m_canDownloadFromOrigin;
+    peer.m_queuedUploads = update.m_queuedUploads;
+    if (update.m_participates || now - m_startedAt < JoinGrace) {
         peer.m_absentSince.reset();
     } else {
         markAbsent(peer, now);
@@ -327,16 +327,16 @@
     }
 }
 
-void Exchange::followEnded(const Core::Address &address, Core::Instant now)
+void Exchange::onFollowEnded(const Core::Address &address, Core::Instant now)
 {
     const std::optional<PeerIndex> index = findPeer(address);
-    if (!index || m_peers[*index].m_follow == FollowState::Not) {
+    if (!index || m_peers[*index].m_followState == FollowState::NotFollowing) {
         return;
     }
     Peer &peer = m_peers[*index];
-    peer.m_follow = FollowState::Not;
+    peer.m_followState = FollowState::NotFollowing;
     ++peer.m_followFailures;
-    peer.m_followAfter = now + doubled(FollowRetry, peer.m_followFailures, MaximumBackoffDoublings);
+    peer.m_nextFollowAt = now + doubled(FollowRetry, peer.m_followFailures, MaximumBackoffDoublings);
     peer.m_holds.assign(m_manifest.chunkCount(), false);
     peer.m_heldCount = 0;
     markAbsent(peer, now);
@@ -351,7 +351,7 @@
 
 bool Exchange::isAbsent(const Peer &peer, Core::Instant now) const
 {
-    if (!peer.m_isListed || isSetAside(peer, now)) {
+    if (!peer.m_isListed || isExcluded(peer, now)) {
         return true;
     }
     return peer.m_absentSince && now - *peer.m_absentSince >= TakeoverGrace;
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -24,8 +24,8 @@
 enum class ActionKind {
     Follow, ///< Open a stream of a peer's holdings.
     Unfollow,
-    AskPeer, ///< Ask a peer for a chunk.
-    AskOrigin, ///< Draw a chunk from the origin.
+    RequestFromPeer, ///< Ask a peer for a chunk.
+    RequestFromOrigin, ///< Draw a chunk from the origin.
     Cancel, ///< Give up a request; nothing of it is reported back.
 };
 
@@ -44,15 +44,15 @@
 /// How a request ended without its chunk.
 enum class Failure {
     Busy, ///< The peer refused for now.
-    Lost, ///< The peer or the origin could not be reached, or the answer broke off.
+    Unavailable, ///< The peer or the origin could not be reached, or the answer broke off.
     Corrupt, ///< The answer does not match the chunk's digest.
 };
 
 /// How much of its part a replica does.
-enum class Effort {
-    None, ///< It only watches its requests.
+enum class TransferMode {
+    MonitorOnly, ///< It only watches its requests.
     Full,
-    OwnDraws, ///< It draws from the origin what it is the first to draw, and asks nothing of peers.
+    OwnDownloadsOnly, ///< It draws from the origin what it is the first to draw, and asks nothing of peers.
 };
 
 /// Counted events, for metrics.
@@ -92,21 +92,21 @@
     void setReplicas(const std::vector<Control::PlannedReplica> &replicas, std::uint32_t originCopies);
 
     /// A chunk is held and verified, from wherever it came. Returns what that makes superfluous.
-    std::vector<Action> chunkHeld(Weights::ChunkIndex chunk, Core::Instant now);
+    std::vector<Action> onChunkHeld(Weights::ChunkIndex chunk, Core::Instant now);
     /// The request brought its chunk; chunkHeld() must follow.
-    void requestSucceeded(RequestId request, Core::Instant now);
-    void requestFailed(RequestId request, Failure failure, Core::Instant now);
+    void onRequestSucceeded(RequestId request, Core::Instant now);
+    void onRequestFailed(RequestId request, Failure failure, Core::Instant now);
     /// Bytes of the answer so far.
-    void requestProgressed(RequestId request, std::uint64_t bytes, Core::Instant now);
+    void onRequestProgress(RequestId request, std::uint64_t bytes, Core::Instant now);
 
-    void updateReceived(const Core::Address &peer, const HaveUpdate &update, Core::Instant now);
-    void followEnded(const Core::Address &peer, Core::Instant now);
+    void onUpdate(const Core::Address &peer, const HaveUpdate &update, Core::Instant now);
+    void onFollowEnded(const Core::Address &peer, Core::Instant now);
 
     /// Everything that is to be done now.
     std::vector<Action> decide(Pacer &download, Core::Instant now, Effort effort = Effort::Full);
 
     /// Every chunk's turn on the origin's link has come, by the rate that is known of it.
-    bool areDrawsDue(Core::Instant now) const;
+    bool areDownloadsDue(Core::Instant now) const;
 
     bool isComplete() const
     {
@@ -121,7 +121,7 @@
         return m_held;
     }
     /// False if several draws in a row failed, so that others should try.
-    bool drawsFromOrigin() const;
+    bool canDownloadFromOrigin() const;
     const ExchangeCounts &counts() const
     {
         return m_counts;
@@ -135,8 +135,8 @@
 
 private:
     enum class FollowState {
-        Not,
-        Open,
+        NotFollowing,
+        Following,
     };
 
     struct Peer
@@ -144,35 +144,35 @@
         Control::PlannedReplica m_replica;
         Candidate m_candidate;
         bool m_isSelf = false;
-        bool m_isNear = false; ///< Of the own region.
+        bool m_isSameRegion = false; ///< Of the own region.
         bool m_isListed = false; ///< In the newest plan.
-        bool m_isWanted = false; ///< To be followed.
-        FollowState m_follow = FollowState::Not;
-        Core::Instant m_followAfter; ///< No new attempt before.
+        bool m_shouldFollow = false; ///< To be followed.
+        FollowState m_followState = FollowState::NotFollowing;
+        Core::Instant m_nextFollowAt; ///< No new attempt before.
         std::uint32_t m_followFailures = 0;
         std::optional<Core::Instant> m_absentSince; ///< Known not to do its part since then.
-        Core::Instant m_heard;
+        Core::Instant m_lastHeardAt;
         bool m_hasAnswered = false; ///< An update has come since it was first followed.
-        bool m_drawsFromOrigin = true;
-        bool m_sentBadChunk = false; ///< Set aside for good.
-        Core::Instant m_setAsideUntil; ///< Set aside for a while, because it held requests up again and again.
+        bool m_canDownloadFromOrigin = true;
+        bool m_sentCorruptChunk = false; ///< Set aside for good.
+        Core::Instant m_excludedUntil; ///< Set aside for a while, because it held requests up again and again.
         std::uint32_t m_consecutiveFailures = 0; ///< Requests that stalled or broke off since the last good chunk.
         Core::Instant m_usableAfter;
-        std::uint32_t m_outstanding = 0;
-        std::uint32_t m_queued = 0;
+        std::uint32_t m_openRequests = 0;
+        std::uint32_t m_queuedUploads = 0;
         std::uint32_t m_heldCount = 0;
         std::vector<bool> m_holds; ///< One element for each chunk.
     };
 
     struct Chunk
     {
-        std::vector<PeerIndex> m_drawers; ///< First in rank first; only the first few.
+        std::vector<PeerIndex> m_downloaders; ///< First in rank first; only the first few.
         std::vector<PeerIndex> m_importers; ///< Of the own region, in the same order; the first drawer is the first importer of its region.
-        std::uint32_t m_requests = 0;
-        std::uint32_t m_originRank = 0; ///< Own rank as a drawer.
-        bool m_isDrawer = false; ///< The own replica is in m_drawers.
+        std::uint32_t m_openRequests = 0;
+        std::uint32_t m_downloadRank = 0; ///< Own rank as a drawer.
+        bool m_isDownloader = false; ///< The own replica is in m_drawers.
         bool m_isImporter = false; ///< The own replica is in m_importers.
-        bool m_isLateDraw = false; ///< See noteLateChunks().
+        bool m_isLateDownload = false; ///< See noteLateChunks().
         bool m_isLateImport = false;
     };
 
@@ -180,57 +180,57 @@
     {
         Weights::ChunkIndex m_chunk = 0;
         std::optional<PeerIndex> m_peer; ///< Empty for the origin.
-        Core::Instant m_asked;
-        Core::Instant m_progressed;
+        Core::Instant m_sentAt;
+        Core::Instant m_progressAt;
         std::uint64_t m_bytes = 0;
         bool m_isHedged = false;
     };
 
     void rankChunks();
-    void chooseFollowed();
-    void want(PeerIndex peer);
+    void selectFollowedPeers();
+    void markForFollowing(PeerIndex peer);
     std::optional<PeerIndex> findPeer(const Core::Address &address) const;
     void markAbsent(Peer &peer, Core::Instant now);
     bool isAbsent(const Peer &peer, Core::Instant now) const;
-    bool isFirstPresent(const std::vector<PeerIndex> &ranked, bool needsOrigin, Core::Instant now) const;
+    bool isFirstAvailable(const std::vector<PeerIndex> &ranked, bool needsOrigin, Core::Instant now) const;
     /// Whether this replica may draw what others before it say they cannot draw.
-    bool mayReplaceDrawers(Core::Instant now) const;
+    bool mayReplaceDownloaders(Core::Instant now) const;
     bool mayImport(const Chunk &chunk, Core::Instant now) const;
     /// Notes the chunks whose first drawer or importer lags behind all others, so that this replica should do its part.
-    void noteLateChunks(Core::Instant now);
+    void markLateChunks(Core::Instant now);
     bool isScarce(Weights::ChunkIndex index, bool onlyNear, Core::Instant now) const;
     /// Whether few of the chunks that are due are scarce: then those few have slow replicas in common, not a slow origin.
-    bool isMostAbout(bool onlyNear, Core::Instant now) const;
+    bool areFewChunksScarce(bool onlyNear, Core::Instant now) const;
     std::optional<std::size_t> ownRank(const std::vector<PeerIndex> &ranked) const;
-    bool isAskedOfOrigin(Weights::ChunkIndex index) const;
-    bool mayDraw(Weights::ChunkIndex index, Core::Instant now) const;
-    bool isVisible(Weights::ChunkIndex index, Core::Instant now) const;
-    void noteFailure(Peer &peer, Core::Instant now);
-    static bool isSetAside(const Peer &peer, Core::Instant now);
-    bool knowsNeighbours(Core::Instant now) const;
+    bool isRequestedFromOrigin(Weights::ChunkIndex index) const;
+    bool mayDownload(Weights::ChunkIndex index, Core::Instant now) const;
+    bool isHeldByPeer(Weights::ChunkIndex index, Core::Instant now) const;
+    void recordFailure(Peer &peer, Core::Instant now);
+    static bool isExcluded(const Peer &peer, Core::Instant now);
+    bool haveNeighboursAnswered(Core::Instant now) const;
     void followSources(Weights::ChunkIndex index, Core::Instant now);
-    bool isDrawTime(Weights::ChunkIndex index, std::uint32_t round, Core::Instant now) const;
-    std::vector<PickPeer> pickPeers(Core::Instant now) const;
+    bool isDownloadDue(Weights::ChunkIndex index, std::uint32_t round, Core::Instant now) const;
+    std::vector<SourcePeer> sourcePeers(Core::Instant now) const;
     void decideFollows(std::vector<Action> &actions, Core::Instant now);
     bool isStalled(const Request &request, Core::Instant now) const;
     void decideStalls(std::vector<Action> &actions, Core::Instant now);
-    void decideDraws(std::vector<Action> &actions, Pacer &download, Core::Instant now);
+    void decideDownloads(std::vector<Action> &actions, Pacer &download, Core::Instant now);
     void decideRequests(std::vector<Action> &actions, Pacer &download, Core::Instant now);
     void decideHedges(std::vector<Action> &actions, Pacer &download, Core::Instant now);
-    Action ask(Weights::ChunkIndex chunk, PeerIndex peer, Core::Instant now);
+    Action openPeerRequest(Weights::ChunkIndex chunk, PeerIndex peer, Core::Instant now);
     void closeRequest(std::map<RequestId, Request>::iterator request);
 
     const TransferSettings m_settings;
     const Identity m_identity;
     const Weights::Manifest m_manifest;
-    const Core::Instant m_started;
+    const Core::Instant m_startedAt;
     Core::Random m_random;
-    Core::Duration m_drawSlot{0}; ///< Time that one chunk takes on the origin's link.
-    Core::Duration m_probeAfter{0};
+    Core::Duration m_originChunkTime{0}; ///< Time that one chunk takes on the origin's link.
+    Core::Duration m_probeDelay{0};
     std::uint32_t m_originCopies = 1;
     std::vector<Peer> m_peers; ///< Positions never change; peers that left the plan stay, unlisted.
     std::optional<PeerIndex> m_self;
-    std::optional<PeerIndex> m_parent; ///< For the tree only; empty at its root.
+    std::optional<PeerIndex> m_treeParent; ///< For the tree only; empty at its root.
     std::vector<std::vector<Candidate>> m_regions; ///< Listed peers of each region.
     std::vector<Chunk> m_chunks;
     std::vector<bool> m_held; ///< m_heldCount elements are true.
@@ -239,11 +239,11 @@
     RequestId m_nextRequest = 1;
     std::uint32_t m_peerRequests = 0; ///< Open requests to peers.
     std::uint32_t m_originRequests = 0; ///< Open requests to the origin.
-    std::uint32_t m_originFailures = 0; ///< In a row.
-    std::optional<Core::Instant> m_originBackAt; ///< First success after failures that made others try; empty if there were none.
-    Core::Instant m_originAfter; ///< No draw before.
-    Core::Instant m_nextSources; ///< When to look again at whom to follow for chunks that are missing.
-    double m_usualSeconds = 0; ///< Smoothed time from asking a peer to the whole chunk; 0 while unknown.
+    std::uint32_t m_consecutiveOriginFailures = 0; ///< In a row.
+    std::optional<Core::Instant> m_originRecoveredAt; ///< First success after failures that made others try; empty if there were none.
+    Core::Instant m_nextOriginRequestAt; ///< No draw before.
+    Core::Instant m_nextSourceCheck; ///< When to look again at whom to follow for chunks that are missing.
+    double m_smoothedRequestSeconds = 0; ///< Smoothed time from asking a peer to the whole chunk; 0 while unknown.
     ExchangeCounts m_counts;
 };
 
--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -30,14 +30,14 @@
 
 }
 
-bool Exchange::isFirstPresent(const std::vector<PeerIndex> &ranked, bool needsOrigin, Core::Instant now) const
+bool Exchange::isFirstAvailable(const std::vector<PeerIndex> &ranked, bool needsOrigin, Core::Instant now) const
 {
     for (const PeerIndex index : ranked) {
         const Peer &peer = m_peers[index];
         if (peer.m_isSelf) {
             return true;
         }
-        const bool cannotDraw = needsOrigin && mayReplaceDrawers(now) && peer.m_follow == FollowState::Open && !peer.m_drawsFromOrigin;
+        const bool cannotDraw = needsOrigin && mayReplaceDownloaders(now) && peer.m_followState == FollowState::Following && !peer.m_canDownloadFromOrigin;
         if (!isAbsent(peer, now) && !cannotDraw) {
             return false;
         }
@@ -49,43 +49,43 @@
  * When the origin is away from everybody, everybody says that it cannot draw. If each then stood in for all before it, the origin would be asked for every
  * chunk by every successor on its return, and its link would carry each chunk several times.
  */
-bool Exchange::mayReplaceDrawers(Core::Instant now) const
+bool Exchange::mayReplaceDownloaders(Core::Instant now) const
 {
-    const bool isSettled = !m_originBackAt || now - *m_originBackAt >= OriginSettles;
-    return drawsFromOrigin() && isSettled;
+    const bool isSettled = !m_originRecoveredAt || now - *m_originRecoveredAt >= OriginSettles;
+    return canDownloadFromOrigin() && isSettled;
 }
 
-bool Exchange::isVisible(Weights::ChunkIndex index, Core::Instant now) const
+bool Exchange::isHeldByPeer(Weights::ChunkIndex index, Core::Instant now) const
 {
-    return std::any_of(m_peers.begin(), m_peers.end(), [index, now](const Peer &peer) { return peer.m_holds[index] && !isSetAside(peer, now); });
+    return std::any_of(m_peers.begin(), m_peers.end(), [index, now](const Peer &peer) { return peer.m_holds[index] && !isExcluded(peer, now); });
 }
 
-bool Exchange::knowsNeighbours(Core::Instant now) const
+bool Exchange::haveNeighboursAnswered(Core::Instant now) const
 {
     // A replica that joins late finds everything nearby; drawing before it has looked would cost origin bytes for nothing.
-    if (now - m_started >= NeighboursAnswerWithin) {
+    if (now - m_startedAt >= NeighboursAnswerWithin) {
         return true;
     }
-    return std::none_of(m_peers.begin(), m_peers.end(), [](const Peer &peer) { return peer.m_isWanted && !peer.m_hasAnswered; });
+    return std::none_of(m_peers.begin(), m_peers.end(), [](const Peer &peer) { return peer.m_shouldFollow && !peer.m_hasAnswered; });
 }
 
-bool Exchange::isDrawTime(Weights::ChunkIndex index, std::uint32_t round, Core::Instant now) const
+bool Exchange::isDownloadDue(Weights::ChunkIndex index, std::uint32_t round, Core::Instant now) const
 {
     // Draws that all began at once would share the origin's link and all end late, with nothing to pass on before.
     // Slots by the chunk's position keep them in a row without a word between the drawers.
     const std::uint64_t position = std::uint64_t{round} * m_manifest.chunkCount() + index;
     const std::uint64_t slots = position > DrawsAhead ? position - DrawsAhead : 0;
-    return now - m_started >= m_drawSlot * static_cast<std::int64_t>(slots);
+    return now - m_startedAt >= m_originChunkTime * static_cast<std::int64_t>(slots);
 }
 
-bool Exchange::areDrawsDue(Core::Instant now) const
+bool Exchange::areDownloadsDue(Core::Instant now) const
 {
-    return m_manifest.chunkCount() == 0 || isDrawTime(m_manifest.chunkCount() - 1, 0, now);
+    return m_manifest.chunkCount() == 0 || isDownloadDue(m_manifest.chunkCount() - 1, 0, now);
 }
 
 bool Exchange::mayImport(const Chunk &chunk, Core::Instant now) const
 {
-    return chunk.m_isLateImport || (chunk.m_isImporter && isFirstPresent(chunk.m_importers, false, now));
+    return chunk.m_isLateImport || (chunk.m_isImporter && isFirstAvailable(chunk.m_importers, false, now));
 }
 
 std::optional<std::size_t> Exchange::ownRank(const std::vector<PeerIndex> &ranked) const
@@ -100,82 +100,82 @@
         return false;
     }
     const std::int64_t holders = std::count_if(m_peers.begin(), m_peers.end(), [index, onlyNear, now](const Peer &peer) {
-        return peer.m_holds[index] && (peer.m_isNear || !onlyNear) && !isSetAside(peer, now);
+        return peer.m_holds[index] && (peer.m_isSameRegion || !onlyNear) && !isExcluded(peer, now);
     });
     return static_cast<std::size_t>(holders) <= ScarceHolders;
 }
 
-bool Exchange::isMostAbout(bool onlyNear, Core::Instant now) const
+bool Exchange::areFewChunksScarce(bool onlyNear, Core::Instant now) const
 {
     std::size_t due = 0;
     std::size_t scarce = 0;
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
-        const bool isDue = isDrawTime(index, 0, now - LateAfter);
+        const bool isDue = isDownloadDue(index, 0, now - LateAfter);
         due += isDue ? 1 : 0;
         scarce += isDue && isScarce(index, onlyNear, now) ? 1 : 0;
     }
     return scarce * MostAbout <= due;
 }
 
-void Exchange::noteLateChunks(Core::Instant now)
+void Exchange::markLateChunks(Core::Instant now)
 {
-    const bool isDrawDue = isMostAbout(false, now);
-    const bool isImportDue = isMostAbout(true, now);
+    const bool isDrawDue = areFewChunksScarce(false, now);
+    const bool isImportDue = areFewChunksScarce(true, now);
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
         const auto isLate = [this, index, now](const std::vector<PeerIndex> &ranked, bool onlyNear) {
             const std::optional<std::size_t> rank = ownRank(ranked);
-            return rank && *rank > 0 && *rank <= LateRanks && isDrawTime(index, 0, now - LateAfter * static_cast<std::int64_t>(*rank))
+            return rank && *rank > 0 && *rank <= LateRanks && isDownloadDue(index, 0, now - LateAfter * static_cast<std::int64_t>(*rank))
                 && isScarce(index, onlyNear, now);
         };
-        m_chunks[index].m_isLateDraw = isDrawDue && isLate(m_chunks[index].m_drawers, false);
+        m_chunks[index].m_isLateDownload = isDrawDue && isLate(m_chunks[index].m_downloaders, false);
         m_chunks[index].m_isLateImport = isImportDue && isLate(m_chunks[index].m_importers, true);
     }
 }
 
-bool Exchange::isAskedOfOrigin(Weights::ChunkIndex index) const
+bool Exchange::isRequestedFromOrigin(Weights::ChunkIndex index) const
 {
     return std::any_of(m_requests.begin(), m_requests.end(), [index](const std::pair<const RequestId, Request> &entry) {
         return entry.second.m_chunk == index && !entry.second.m_peer;
     });
 }
 
-bool Exchange::mayDraw(Weights::ChunkIndex index, Core::Instant now) const
+bool Exchange::mayDownload(Weights::ChunkIndex index, Core::Instant now) const
 {
     const Chunk &chunk = m_chunks[index];
     if (m_settings.m_strategy == Strategy::Origin) {
         return true;
     }
     if (m_settings.m_strategy == Strategy::Tree) {
-        return !m_parent;
+        return !m_treeParent;
     }
-    if (chunk.m_isDrawer && isFirstPresent(chunk.m_drawers, true, now)) {
-        return isDrawTime(index, 0, now) && knowsNeighbours(now) && !isVisible(index, now);
+    if (chunk.m_isDownloader && isFirstAvailable(chunk.m_downloaders, true, now)) {
+        return isDownloadDue(index, 0, now) && haveNeighboursAnswered(now) && !isHeldByPeer(index, now);
     }
-    if (chunk.m_isLateDraw) {
+    if (chunk.m_isLateDownload) {
         return true;
     }
-    if (isDrawTime(index, 0, now - LastResort * (chunk.m_originRank + 1)) && !isVisible(index, now)) {
+    if (isDownloadDue(index, 0, now - LastResort * (chunk.m_downloadRank + 1)) && !isHeldByPeer(index, now)) {
         return true;
     }
     // Within the origin budget, further ranks draw a second and later copy when nothing nearer has brought the chunk by their turn.
-    return chunk.m_originRank < m_originCopies && isDrawTime(index, chunk.m_originRank, now);
+    return chunk.m_downloadRank < m_originCopies && isDownloadDue(index, chunk.m_downloadRank, now);
 }
 
-std::vector<PickPeer> Exchange::pickPeers(Core::Instant now) const
+std::vector<SourcePeer> Exchange::sourcePeers(Core::Instant now) const
 {
-    std::vector<PickPeer> peers;
+    std::vector<SourcePeer> peers;
     for (PeerIndex index = 0; index < m_peers.size(); ++index) {
         const Peer &peer = m_peers[index];
         const bool waitsForAll = m_settings.m_strategy == Strategy::Tree && peer.m_heldCount < m_manifest.chunkCount();
-        if (peer.m_follow != FollowState::Open || peer.m_heldCount == 0 || isSetAside(peer, now) || waitsForAll) {
+        if (peer.m_followState != FollowState::Following || peer.m_heldCount == 0 || isExcluded(peer, now) || waitsForAll) {
             continue;
         }
-        PickPeer pick;
+        SourcePeer pick;
         pick.m_peer = index;
         // The tree crosses regions as it comes.
-        pick.m_sameRegion = peer.m_isNear || m_settings.m_strategy == Strategy::Tree;
-        pick.m_usable = now >= peer.m_usableAfter && peer.m_outstanding < RequestsPerPeer && now - peer.m_heard < PeerSilence;
-        pick.m_load = peer.m_outstanding + peer.m_queued;
+        pick.m_isSameRegion = peer.m_isSameRegion || m_settings.m_strategy == Strategy::Tree;
+        pick.m_isUsable = now >= peer.m_usableAfter && peer.m_openRequests < RequestsPerPeer && now - peer.m_lastHeardAt < PeerSilence;
+        pick.m_load = peer.m_openRequests + peer.m_queuedUploads;
         pick.m_holds = &peer.m_holds;
         peers.push_back(pick);
     }
@@ -198,12 +198,12 @@
         return actions;
     }
     decideStalls(actions, now);
-    if (effort == Effort::None) {
+    if (effort == Effort::MonitorOnly) {
         return actions;
     }
     decideFollows(actions, now);
     if (!isComplete()) {
-        decideDraws(actions, download, now);
+        decideDownloads(actions, download, now);
     }
     if (!isComplete() && effort == Effort::Full) {
         decideRequests(actions, download, now);
@@ -214,27 +214,27 @@
 
 void Exchange::decideFollows(std::vector<Action> &actions, Core::Instant now)
 {
-    const bool looks = m_settings.m_strategy == Strategy::Swarm && now >= m_nextSources;
-    m_nextSources = looks ? now + SourcesInterval : m_nextSources;
+    const bool looks = m_settings.m_strategy == Strategy::Swarm && now >= m_nextSourceCheck;
+    m_nextSourceCheck = looks ? now + SourcesInterval : m_nextSourceCheck;
     if (looks && !isComplete()) {
-        noteLateChunks(now);
+        markLateChunks(now);
     }
     for (Weights::ChunkIndex index = 0; looks && index < m_manifest.chunkCount(); ++index) {
-        if (!m_held[index] && (m_chunks[index].m_requests == 0 || m_chunks[index].m_isLateImport)) {
+        if (!m_held[index] && (m_chunks[index].m_openRequests == 0 || m_chunks[index].m_isLateImport)) {
             followSources(index, now);
         }
     }
     for (Peer &peer : m_peers) {
-        const bool wanted = peer.m_isWanted && !isComplete();
-        if (wanted && peer.m_follow == FollowState::Not && now >= peer.m_followAfter) {
-            peer.m_follow = FollowState::Open;
-            peer.m_heard = now;
+        const bool wanted = peer.m_shouldFollow && !isComplete();
+        if (wanted && peer.m_followState == FollowState::NotFollowing && now >= peer.m_nextFollowAt) {
+            peer.m_followState = FollowState::Following;
+            peer.m_lastHeardAt = now;
             actions.push_back(Action{ActionKind::Follow, peer.m_replica.m_wire, 0, 0, false});
-        } else if (!wanted && peer.m_follow == FollowState::Open && peer.m_outstanding == 0) {
-            peer.m_follow = FollowState::Not;
+        } else if (!wanted && peer.m_followState == FollowState::Following && peer.m_openRequests == 0) {
+            peer.m_followState = FollowState::NotFollowing;
             actions.push_back(Action{ActionKind::Unfollow, peer.m_replica.m_wire, 0, 0, false});
         }
-        if (peer.m_follow == FollowState::Open && now - peer.m_heard > PeerSilence) {
+        if (peer.m_followState == FollowState::Following && now - peer.m_lastHeardAt > PeerSilence) {
             // The socket may stay open for long after the peer froze; signs of life are what counts.
             markAbsent(peer, now);
         }
@@ -246,26 +246,26 @@
 {
     const Chunk &chunk = m_chunks[index];
     if (mayImport(chunk, now)) {
-        for (const PeerIndex drawer : chunk.m_drawers) {
-            want(drawer);
+        for (const PeerIndex drawer : chunk.m_downloaders) {
+            markForFollowing(drawer);
             if (!isAbsent(m_peers[drawer], now)) {
                 break;
             }
         }
     }
-    if (!(chunk.m_isDrawer || chunk.m_isImporter) || !isDrawTime(index, 0, now - m_probeAfter) || isVisible(index, now)) {
+    if (!(chunk.m_isDownloader || chunk.m_isImporter) || !isDownloadDue(index, 0, now - m_probeDelay) || isHeldByPeer(index, now)) {
         return;
     }
     // The chunk should be about by now. Look at everybody who could have brought it, also by way of a third region.
-    for (const PeerIndex peer : chunk.m_drawers) {
-        want(peer);
+    for (const PeerIndex peer : chunk.m_downloaders) {
+        markForFollowing(peer);
     }
     for (const PeerIndex peer : chunk.m_importers) {
-        want(peer);
+        markForFollowing(peer);
     }
     for (const std::vector<Candidate> &region : m_regions) {
         for (const PeerIndex peer : topRanked(itemHash(m_identity.m_digest, index), region, 1)) {
-            want(peer);
+            markForFollowing(peer);
         }
     }
 }
@@ -273,11 +273,11 @@
 bool Exchange::isStalled(const Request &request, Core::Instant now) const
 {
     if (request.m_bytes > 0) {
-        return now - request.m_progressed >= m_settings.m_stallLimit;
+        return now - request.m_progressAt >= m_settings.m_stallLimit;
     }
     // The answer has not begun: it waits behind others at a peer that shows signs of life, or at one that froze.
-    const bool isSilent = now - m_peers[*request.m_peer].m_heard > PeerSilence;
-    return now - request.m_asked >= (isSilent ? m_settings.m_stallLimit : QueueLimitInStallLimits * m_settings.m_stallLimit);
+    const bool isSilent = now - m_peers[*request.m_peer].m_lastHeardAt > PeerSilence;
+    return now - request.m_sentAt >= (isSilent ? m_settings.m_stallLimit : QueueLimitInStallLimits * m_settings.m_stallLimit);
 }
 
 void Exchange::decideStalls(std::vector<Action> &actions, Core::Instant now)
@@ -289,93 +289,93 @@
             continue;
         }
         ++m_counts.m_stalls;
-        noteFailure(m_peers[*request.m_peer], now);
+        recordFailure(m_peers[*request.m_peer], now);
         actions.push_back(Action{ActionKind::Cancel, {}, current->first, request.m_chunk, false});
         closeRequest(current);
     }
 }
 
-void Exchange::decideDraws(std::vector<Action> &actions, Pacer &download, Core::Instant now)
+void Exchange::decideDownloads(std::vector<Action> &actions, Pacer &download, Core::Instant now)
 {
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
-        if (m_originRequests >= m_settings.m_originConnections || now < m_originAfter) {
+        if (m_originRequests >= m_settings.m_originConnections || now < m_nextOriginRequestAt) {
             return;
         }
         Chunk &chunk = m_chunks[index];
-        const bool isOpen = chunk.m_isLateDraw ? isAskedOfOrigin(index) : chunk.m_requests > 0;
-        if (m_held[index] || isOpen || !mayDraw(index, now)) {
+        const bool isOpen = chunk.m_isLateDownload ? isRequestedFromOrigin(index) : chunk.m_openRequests > 0;
+        if (m_held[index] || isOpen || !mayDownload(index, now)) {
             continue;
         }
         if (!download.tryTake(m_manifest.chunkLength(index), now)) {
             return;
         }
-        if (m_settings.m_strategy == Strategy::Swarm && chunk.m_originRank >= m_originCopies) {
+        if (m_settings.m_strategy == Strategy::Swarm && chunk.m_downloadRank >= m_originCopies) {
             ++m_counts.m_takeovers;
         }
         const RequestId id = m_nextRequest++;
         m_requests[id] = Request{index, std::nullopt, now, now, 0, false};
-        ++chunk.m_requests;
+        ++chunk.m_openRequests;
         ++m_originRequests;
-        actions.push_back(Action{ActionKind::AskOrigin, {}, id, index, false});
+        actions.push_back(Action{ActionKind::RequestFromOrigin, {}, id, index, false});
     }
 }
 
-Action Exchange::ask(Weights::ChunkIndex index, PeerIndex peer, Core::Instant now)
+Action Exchange::openPeerRequest(Weights::ChunkIndex index, PeerIndex peer, Core::Instant now)
 {
     const RequestId id = m_nextRequest++;
     m_requests[id] = Request{index, peer, now, now, 0, false};
-    ++m_chunks[index].m_requests;
-    ++m_peers[peer].m_outstanding;
+    ++m_chunks[index].m_openRequests;
+    ++m_peers[peer].m_openRequests;
     ++m_peerRequests;
-    return Action{ActionKind::AskPeer, m_peers[peer].m_replica.m_wire, id, index, !m_peers[peer].m_isNear};
+    return Action{ActionKind::RequestFromPeer, m_peers[peer].m_replica.m_wire, id, index, !m_peers[peer].m_isSameRegion};
 }
 
 void Exchange::decideRequests(std::vector<Action> &actions, Pacer &download, Core::Instant now)
 {
-    if (m_settings.m_strategy == Strategy::Origin || m_peerRequests >= m_settings.m_requestsAhead) {
+    if (m_settings.m_strategy == Strategy::Origin || m_peerRequests >= m_settings.m_concurrentPeerRequests) {
         return;
     }
-    std::vector<PickChunk> wanted;
+    std::vector<WantedChunk> wanted;
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
-        if (!m_held[index] && m_chunks[index].m_requests == 0) {
-            wanted.push_back(PickChunk{index, mayImport(m_chunks[index], now)});
+        if (!m_held[index] && m_chunks[index].m_openRequests == 0) {
+            wanted.push_back(WantedChunk{index, mayImport(m_chunks[index], now)});
         }
     }
-    while (m_peerRequests < m_settings.m_requestsAhead) {
-        const std::optional<Pick> pick = pickChunk(wanted, pickPeers(now), m_random);
+    while (m_peerRequests < m_settings.m_concurrentPeerRequests) {
+        const std::optional<ChunkSelection> pick = selectChunk(wanted, sourcePeers(now), m_random);
         if (!pick || !download.tryTake(m_manifest.chunkLength(pick->m_chunk), now)) {
             return;
         }
-        actions.push_back(ask(pick->m_chunk, pick->m_peer, now));
-        std::erase_if(wanted, [&pick](const PickChunk &chunk) { return chunk.m_chunk == pick->m_chunk; });
+        actions.push_back(openPeerRequest(pick->m_chunk, pick->m_peer, now));
+        std::erase_if(wanted, [&pick](const WantedChunk &chunk) { return chunk.m_chunk == pick->m_chunk; });
     }
 }
 
 void Exchange::decideHedges(std::vector<Action> &actions, Pacer &download, Core::Instant now)
 {
     // A peer that is slow but not dead holds up the end of the burst, when nothing else is left to ask for.
-    const double patience = std::max(HedgeFactor * m_usualSeconds, std::chrono::duration<double>(MinimumHedgeAge).count());
+    const double patience = std::max(HedgeFactor * m_smoothedRequestSeconds, std::chrono::duration<double>(MinimumHedgeAge).count());
     std::vector<RequestId> slow;
     for (const std::pair<const RequestId, Request> &entry : m_requests) {
-        const bool isLate = Core::secondsBetween(entry.second.m_asked, now) > patience;
-        if (entry.second.m_peer && !entry.second.m_isHedged && isLate && m_chunks[entry.second.m_chunk].m_requests == 1) {
+        const bool isLate = Core::secondsBetween(entry.second.m_sentAt, now) > patience;
+        if (entry.second.m_peer && !entry.second.m_isHedged && isLate && m_chunks[entry.second.m_chunk].m_openRequests == 1) {
             slow.push_back(entry.first);
         }
     }
     for (const RequestId id : slow) {
-        if (m_peerRequests >= m_settings.m_requestsAhead) {
+        if (m_peerRequests >= m_settings.m_concurrentPeerRequests) {
             return;
         }
         Request &request = m_requests.at(id);
-        std::vector<PickPeer> peers = pickPeers(now);
-        std::erase_if(peers, [&request](const PickPeer &peer) { return peer.m_peer == *request.m_peer; });
-        const std::optional<PeerIndex> peer = pickPeer(PickChunk{request.m_chunk, mayImport(m_chunks[request.m_chunk], now)}, peers, m_random);
+        std::vector<SourcePeer> peers = sourcePeers(now);
+        std::erase_if(peers, [&request](const SourcePeer &peer) { return peer.m_peer == *request.m_peer; });
+        const std::optional<PeerIndex> peer = selectPeer(WantedChunk{request.m_chunk, mayImport(m_chunks[request.m_chunk], now)}, peers, m_random);
         if (!peer || !download.tryTake(m_manifest.chunkLength(request.m_chunk), now)) {
             continue;
         }
         request.m_isHedged = true;
         ++m_counts.m_hedges;
-        actions.push_back(ask(request.m_chunk, *peer, now));
+        actions.push_back(openPeerRequest(request.m_chunk, *peer, now));
     }
 }
 
--- a/Libraries/LibTransfer/Messages.h
+++ b/Libraries/LibTransfer/Messages.h
@@ -28,21 +28,21 @@
 /// What changed since the update before; without changes it comes as a sign of life.
 struct HaveUpdate
 {
-    bool m_takesPart = false; ///< The peer is fetching or holding the version.
-    bool m_drawsFromOrigin = true; ///< False while the peer's attempts at the origin fail.
+    bool m_participates = false; ///< The peer is fetching or holding the version.
+    bool m_canDownloadFromOrigin = true; ///< False while the peer's attempts at the origin fail.
     bool m_isSnapshot = false; ///< m_bitmap replaces everything known before.
     std::string m_bitmap; ///< One bit for each chunk, lowest bit first.
     std::vector<std::uint32_t> m_added; ///< Chunks that are held since the last update.
-    std::uint32_t m_queued = 0; ///< Uploads that wait at the peer.
+    std::uint32_t m_queuedUploads = 0; ///< Uploads that wait at the peer.
 
     bool operator==(const HaveUpdate &) const = default;
 
-    MSGPACK_DEFINE_MAP(MSGPACK_NVP("takes_part", m_takesPart),
-                       MSGPACK_NVP("draws", m_drawsFromOrigin),
+    MSGPACK_DEFINE_MAP(MSGPACK_NVP("takes_part", m_participates),
+                       MSGPACK_NVP("draws", m_canDownloadFromOrigin),
                        MSGPACK_NVP("snapshot", m_isSnapshot),
                        MSGPACK_NVP("bitmap", m_bitmap),
                        MSGPACK_NVP("added", m_added),
-                       MSGPACK_NVP("queued", m_queued));
+                       MSGPACK_NVP("queued", m_queuedUploads));
 };
 
 /// Asks for one chunk (method transfer.chunk). Answered with its bytes in several frames; Overloaded means busy.
--- a/Libraries/LibTransfer/OriginClient.cpp
+++ b/Libraries/LibTransfer/OriginClient.cpp
@@ -94,14 +94,15 @@
         if (!keeps) {
             m_session.reset();
         }
-        return checked(response, std::move(body), maximumBytes, question.m_expectedStatus);
+        return checkResponse(response, std::move(body), maximumBytes, question.m_expectedStatus);
     } catch (const Poco::Exception &exception) {
         m_session.reset();
         return Core::makeError(Core::ErrorCode::Unavailable, "read from origin", m_origin.toString(), exception.displayText());
     }
 }
 
-Core::Result<std::string> OriginClient::checked(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const
+Core::Result<std::string>
+OriginClient::checkResponse(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const
 {
     if (body.size() > maximumBytes) {
         return Core::makeError(Core::ErrorCode::Corrupt, "read from origin", m_origin.toString(), "the answer is too long");
--- a/Libraries/LibTransfer/OriginClient.h
+++ b/Libraries/LibTransfer/OriginClient.h
@@ -32,7 +32,7 @@
 private:
     Core::Result<std::string> get(const OriginRequest &question, std::size_t maximumBytes);
     Core::Result<std::string> tryGet(const OriginRequest &question, std::size_t maximumBytes);
-    Core::Result<std::string> checked(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const;
+    Core::Result<std::string> checkResponse(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const;
 
     const Network::NetworkSettings m_network;
     const Core::Address m_origin;
--- a/Libraries/LibTransfer/OriginDialect.cpp
+++ b/Libraries/LibTransfer/OriginDialect.cpp
@@ -23,7 +23,7 @@
 
 }
 
-OriginDialect ownOriginDialect()
+OriginDialect defaultOriginDialect()
 {
     OriginDialect dialect;
     dialect.m_makeManifestRequest = [](const std::string &model, const std::string &version) {
--- a/Libraries/LibTransfer/OriginDialect.h
+++ b/Libraries/LibTransfer/OriginDialect.h
@@ -40,6 +40,6 @@
 };
 
 /// The product's own interface: manifests as they are, chunks as ranges of one object.
-OriginDialect ownOriginDialect();
+OriginDialect defaultOriginDialect();
 
 }
--- a/Libraries/LibTransfer/OriginDuty.cpp
+++ b/Libraries/LibTransfer/OriginDuty.cpp
@@ -15,7 +15,7 @@
 
 }
 
-OriginDuty::OriginDuty(Network::NetworkSettings network, Core::Duration timeout, std::uint32_t connections, OriginDialect dialect)
+OriginWorker::OriginWorker(Network::NetworkSettings network, Core::Duration timeout, std::uint32_t connections, OriginDialect dialect)
     : m_network(std::move(network))
     , m_timeout(timeout)
     , m_connections(connections)
@@ -24,19 +24,19 @@
 {
 }
 
-OriginDuty::~OriginDuty()
+OriginWorker::~OriginWorker()
 {
     stop();
 }
 
-void OriginDuty::start()
+void OriginWorker::start()
 {
     for (std::uint32_t index = 0; index < m_connections; ++index) {
         m_threads.emplace_back([this] { run(); });
     }
 }
 
-void OriginDuty::stop()
+void OriginWorker::stop()
 {
     m_jobs.close();
     for (std::thread &thread : m_threads) {
@@ -45,12 +45,12 @@
     m_threads.clear();
 }
 
-bool OriginDuty::offer(OriginJob job)
+bool OriginWorker::offer(OriginJob job)
 {
     return m_jobs.tryPush(std::move(job));
 }
 
-void OriginDuty::run()
+void OriginWorker::run()
 {
     std::optional<OriginClient> client;
     while (!m_jobs.isClosed()) {
--- a/Libraries/LibTransfer/OriginDuty.h
+++ b/Libraries/LibTransfer/OriginDuty.h
@@ -20,11 +20,11 @@
 };
 
 /// Thread-safe.
-class OriginDuty
+class OriginWorker
 {
 public:
-    OriginDuty(Network::NetworkSettings network, Core::Duration timeout, std::uint32_t connections, OriginDialect dialect);
-    ~OriginDuty();
+    OriginWorker(Network::NetworkSettings network, Core::Duration timeout, std::uint32_t connections, OriginDialect dialect);
+    ~OriginWorker();
 
     void start();
     void stop();
--- a/Libraries/LibTransfer/Pacer.cpp
+++ b/Libraries/LibTransfer/Pacer.cpp
@@ -16,14 +16,14 @@
     : m_rate(rate)
     , m_burst(static_cast<double>(burst))
     , m_tokens(m_burst)
-    , m_filled(now)
+    , m_refilledAt(now)
 {
 }
 
 void Pacer::refill(Core::Instant now)
 {
-    const double seconds = std::max(0.0, Core::secondsBetween(m_filled, now));
-    m_filled = std::max(m_filled, now);
+    const double seconds = std::max(0.0, Core::secondsBetween(m_refilledAt, now));
+    m_refilledAt = std::max(m_refilledAt, now);
     m_tokens = std::min(m_burst, m_tokens + seconds * static_cast<double>(m_rate));
 }
 
@@ -56,7 +56,7 @@
     m_tokens = std::min(m_burst, m_tokens + static_cast<double>(bytes));
 }
 
-Core::Duration Pacer::untilReady(Core::Instant now)
+Core::Duration Pacer::timeUntilReady(Core::Instant now)
 {
     if (m_rate == 0) {
         return Core::Duration(0);
--- a/Libraries/LibTransfer/Pacer.h
+++ b/Libraries/LibTransfer/Pacer.h
@@ -21,7 +21,7 @@
     /// Gives back what was taken and not used.
     void refund(std::uint64_t bytes);
     /// Time until tryTake can succeed.
-    Core::Duration untilReady(Core::Instant now);
+    Core::Duration timeUntilReady(Core::Instant now);
 
 private:
     void refill(Core::Instant now);
@@ -29,7 +29,7 @@
     std::uint64_t m_rate;
     double m_burst;
     double m_tokens; ///< At most m_burst; negative while in debt.
-    Core::Instant m_filled;
+    Core::Instant m_refilledAt;
 };
 
 }
--- a/Libraries/LibTransfer/Picker.cpp
+++ b/Libraries/LibTransfer/Picker.cpp
@@ -12,19 +12,19 @@
     bool m_isAvailable = false; ///< Some usable peer may be asked for it.
 };
 
-Holders countHolders(const PickChunk &chunk, const std::vector<PickPeer> &peers)
+Holders countHolders(const WantedChunk &chunk, const std::vector<SourcePeer> &peers)
 {
     Holders holders;
     bool farAvailable = false;
-    for (const PickPeer &peer : peers) {
+    for (const SourcePeer &peer : peers) {
         if (!(*peer.m_holds)[chunk.m_chunk]) {
             continue;
         }
-        if (peer.m_sameRegion) {
+        if (peer.m_isSameRegion) {
             ++holders.m_near;
-            holders.m_isAvailable = holders.m_isAvailable || peer.m_usable;
+            holders.m_isAvailable = holders.m_isAvailable || peer.m_isUsable;
         } else {
-            farAvailable = farAvailable || peer.m_usable;
+            farAvailable = farAvailable || peer.m_isUsable;
         }
     }
     const bool mayImport = chunk.m_mayImport && holders.m_near == 0;
@@ -58,13 +58,13 @@
 
 }
 
-std::optional<PeerIndex> pickPeer(const PickChunk &chunk, const std::vector<PickPeer> &peers, Core::Random &random)
+std::optional<PeerIndex> selectPeer(const WantedChunk &chunk, const std::vector<SourcePeer> &peers, Core::Random &random)
 {
     const bool fromFar = chunk.m_mayImport && countHolders(chunk, peers).m_near == 0;
-    const PickPeer *best = nullptr;
+    const SourcePeer *best = nullptr;
     TieBreak tie(random);
-    for (const PickPeer &peer : peers) {
-        const bool eligible = peer.m_usable && peer.m_sameRegion != fromFar && (*peer.m_holds)[chunk.m_chunk];
+    for (const SourcePeer &peer : peers) {
+        const bool eligible = peer.m_isUsable && peer.m_isSameRegion != fromFar && (*peer.m_holds)[chunk.m_chunk];
         if (!eligible) {
             continue;
         }
@@ -78,26 +78,26 @@
     return best ? std::optional<PeerIndex>(best->m_peer) : std::nullopt;
 }
 
-std::optional<Pick> pickChunk(const std::vector<PickChunk> &wanted, const std::vector<PickPeer> &peers, Core::Random &random)
+std::optional<ChunkSelection> selectChunk(const std::vector<WantedChunk> &wanted, const std::vector<SourcePeer> &peers, Core::Random &random)
 {
-    std::optional<Pick> best;
+    std::optional<ChunkSelection> best;
     std::pair<std::uint32_t, std::uint32_t> bestKey;
     TieBreak tie(random);
-    for (const PickChunk &chunk : wanted) {
+    for (const WantedChunk &chunk : wanted) {
         const Holders holders = countHolders(chunk, peers);
         if (!holders.m_isAvailable) {
             continue;
         }
-        const std::optional<PeerIndex> index = pickPeer(chunk, peers, random);
-        const std::vector<PickPeer>::const_iterator peer =
-            std::find_if(peers.begin(), peers.end(), [&index](const PickPeer &candidate) { return candidate.m_peer == *index; });
+        const std::optional<PeerIndex> index = selectPeer(chunk, peers, random);
+        const std::vector<SourcePeer>::const_iterator peer =
+            std::find_if(peers.begin(), peers.end(), [&index](const SourcePeer &candidate) { return candidate.m_peer == *index; });
         const std::pair<std::uint32_t, std::uint32_t> key(holders.m_near == 0 ? 0 : peer->m_load, holders.m_near);
         if (!best || key < bestKey) {
-            best = Pick{chunk.m_chunk, *index};
+            best = ChunkSelection{chunk.m_chunk, *index};
             bestKey = key;
             tie.restart();
         } else if (key == bestKey && tie.takesNext()) {
-            best = Pick{chunk.m_chunk, *index};
+            best = ChunkSelection{chunk.m_chunk, *index};
         }
     }
     return best;
--- a/Libraries/LibTransfer/TransferManager.cpp
+++ b/Libraries/LibTransfer/TransferManager.cpp
@@ -30,7 +30,7 @@
 
 std::shared_ptr<const Weights::HeldVersion> TransferManager::heldVersion(const std::string &manifestDigest) const
 {
-    const Published published = m_coordinator->published();
+    const PublishedState published = m_coordinator->published();
     const std::map<std::string, std::shared_ptr<const Weights::HeldVersion>>::const_iterator found = published.m_held.find(manifestDigest);
     return found == published.m_held.end() ? nullptr : found->second;
 }
@@ -38,7 +38,7 @@
 std::vector<std::string> TransferManager::heldDigests() const
 {
     std::vector<std::string> digests;
-    const Published published = m_coordinator->published();
+    const PublishedState published = m_coordinator->published();
     for (const std::pair<const std::string, std::shared_ptr<const Weights::HeldVersion>> &entry : published.m_held) {
         digests.push_back(entry.first);
     }
--- a/Libraries/LibTransfer/TransferManager.h
+++ b/Libraries/LibTransfer/TransferManager.h
@@ -29,7 +29,7 @@
     Network::NetworkSettings m_network; ///< For the connections to the origin.
     Core::Address m_origin; ///< Empty if it is told later.
     std::string m_originRegion; ///< Where the origin stands; empty if unknown.
-    OriginDialect m_originDialect = ownOriginDialect();
+    OriginDialect m_originDialect = defaultOriginDialect();
     Telemetry::Metrics *m_metrics = nullptr;
 };
 
--- a/Libraries/LibTransfer/TransferSettings.cpp
+++ b/Libraries/LibTransfer/TransferSettings.cpp
@@ -44,7 +44,7 @@
     settings.m_memoryMebibytes = readCount(reader, "memory_mebibytes", MaximumMemoryMebibytes, settings.m_memoryMebibytes);
     settings.m_uploadSlots = readCount(reader, "upload_slots", MaximumSlots, settings.m_uploadSlots);
     settings.m_queuedUploads = readCount(reader, "queued_uploads", MaximumSlots, settings.m_queuedUploads);
-    settings.m_requestsAhead = readCount(reader, "requests_ahead", MaximumSlots, settings.m_requestsAhead);
+    settings.m_concurrentPeerRequests = readCount(reader, "requests_ahead", MaximumSlots, settings.m_concurrentPeerRequests);
     settings.m_neighbours = readCount(reader, "neighbours", MaximumNeighbours, settings.m_neighbours);
     settings.m_originConnections = readCount(reader, "origin_connections", MaximumSlots, settings.m_originConnections);
     settings.m_stallLimit = reader.milliseconds("stall_limit_ms", 10, MaximumWaitMilliseconds, settings.m_stallLimit.count());
--- a/Libraries/LibTransfer/TransferSettings.h
+++ b/Libraries/LibTransfer/TransferSettings.h
@@ -26,7 +26,7 @@
     std::uint32_t m_memoryMebibytes = 4096; ///< Bound on all chunks in memory, of every version held or in transfer.
     std::uint32_t m_uploadSlots = 2; ///< Chunks that are sent at the same time.
     std::uint32_t m_queuedUploads = 12; ///< Requests that wait for a slot; more are refused as busy.
-    std::uint32_t m_requestsAhead = 10; ///< Chunks asked of peers at the same time.
+    std::uint32_t m_concurrentPeerRequests = 10; ///< Chunks asked of peers at the same time.
     std::uint32_t m_neighbours = 10; ///< Peers whose holdings are followed.
     std::uint32_t m_originConnections = 2; ///< Simultaneous requests to the origin.
     Core::Duration m_stallLimit{1500}; ///< A chunk on its way without a byte for this long is asked of somebody else.
--- a/Libraries/LibTransfer/UploadDuty.cpp
+++ b/Libraries/LibTransfer/UploadDuty.cpp
@@ -22,27 +22,27 @@
 
 }
 
-UploadDuty::UploadDuty(const TransferSettings &settings, Telemetry::Metrics &metrics)
+UploadWorker::UploadWorker(const TransferSettings &settings, Telemetry::Metrics &metrics)
     : m_settings(settings)
     , m_bytesSent(metrics.counter("transfer_bytes_uploaded_total"))
     , m_refused(metrics.counter("transfer_uploads_refused_total"))
-    , m_givenUp(metrics.counter("transfer_uploads_given_up_total"))
+    , m_abandoned(metrics.counter("transfer_uploads_given_up_total"))
     , m_pacer(settings.m_uploadBytesPerSecond, settings.m_burstBytes, Core::Clock::now())
 {
 }
 
-UploadDuty::~UploadDuty()
+UploadWorker::~UploadWorker()
 {
     stop();
 }
 
-void UploadDuty::start()
+void UploadWorker::start()
 {
     m_running = true;
     m_thread = std::thread([this] { run(); });
 }
 
-void UploadDuty::stop()
+void UploadWorker::stop()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -54,76 +54,76 @@
     }
 }
 
-void UploadDuty::offer(UploadJob job)
+void UploadWorker::offer(UploadJob job)
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         std::vector<QueuedUpload> waiting;
         for (const UploadJob &other : m_waiting) {
-            waiting.push_back(other.m_what);
+            waiting.push_back(other.m_upload);
         }
         UploadLimits limits;
         limits.m_waiting = m_settings.m_queuedUploads;
-        if (!m_running || !admitsUpload(waiting, job.m_what.m_forRegion, limits)) {
+        if (!m_running || !canQueueUpload(waiting, job.m_upload.m_forRegion, limits)) {
             m_refused.add();
             job.m_responder.fail(busy());
             return;
         }
-        job.m_what.m_number = m_nextNumber++;
+        job.m_upload.m_sequence = m_nextSequence++;
         m_waiting.push_back(std::move(job));
     }
     m_changed.notify_all();
 }
 
-std::uint32_t UploadDuty::load() const
+std::uint32_t UploadWorker::uploadCount() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return static_cast<std::uint32_t>(m_waiting.size() + m_active.size());
 }
 
-void UploadDuty::charge(std::uint64_t bytes)
+void UploadWorker::charge(std::uint64_t bytes)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_pacer.charge(bytes, Core::Clock::now());
 }
 
-std::size_t UploadDuty::movingSlots(Core::Instant now) const
+std::size_t UploadWorker::countProgressingUploads(Core::Instant now) const
 {
     // A receiver that froze must not take a slot from those that still listen.
     const std::ptrdiff_t moving =
-        std::count_if(m_active.begin(), m_active.end(), [now](const Active &active) { return now - active.m_progressed < StuckAfter; });
+        std::count_if(m_active.begin(), m_active.end(), [now](const ActiveUpload &active) { return now - active.m_progressAt < StuckAfter; });
     return static_cast<std::size_t>(moving);
 }
 
-void UploadDuty::fillSlots(Core::Instant now)
+void UploadWorker::fillSlots(Core::Instant now)
 {
-    while (!m_waiting.empty() && movingSlots(now) < m_settings.m_uploadSlots && m_active.size() < MaximumActive) {
+    while (!m_waiting.empty() && countProgressingUploads(now) < m_settings.m_uploadSlots && m_active.size() < MaximumActive) {
         std::vector<QueuedUpload> waiting;
         for (const UploadJob &job : m_waiting) {
-            waiting.push_back(job.m_what);
+            waiting.push_back(job.m_upload);
         }
-        const std::optional<std::size_t> next = nextUpload(waiting, m_sent);
+        const std::optional<std::size_t> next = selectNextUpload(waiting, m_sentCounts);
         const std::vector<UploadJob>::iterator position = m_waiting.begin() + static_cast<std::ptrdiff_t>(*next);
         if (!position->m_responder.isCancelled()) {
-            if (m_sent.size() > MaximumCountedVersions) {
-                m_sent.clear();
+            if (m_sentCounts.size() > MaximumCountedVersions) {
+                m_sentCounts.clear();
             }
-            ++m_sent[position->m_what.m_digest][position->m_what.m_chunk];
-            m_active.push_back(Active{std::move(*position), 0, now});
+            ++m_sentCounts[position->m_upload.m_digest][position->m_upload.m_chunk];
+            m_active.push_back(ActiveUpload{std::move(*position), 0, now});
         }
         m_waiting.erase(position);
     }
 }
 
-void UploadDuty::dropEnded(Core::Instant now)
+void UploadWorker::removeEndedUploads(Core::Instant now)
 {
-    for (std::list<Active>::iterator it = m_active.begin(); it != m_active.end();) {
+    for (std::list<ActiveUpload>::iterator it = m_active.begin(); it != m_active.end();) {
         if (it->m_job.m_responder.isCancelled()) {
             it = m_active.erase(it);
             continue;
         }
-        if (now - it->m_progressed > GiveUpAfter) {
-            m_givenUp.add();
+        if (now - it->m_progressAt > GiveUpAfter) {
+            m_abandoned.add();
             it->m_job.m_responder.fail(Core::makeError(Core::ErrorCode::Timeout, "send chunk", "", "the receiver takes nothing"));
             it = m_active.erase(it);
             continue;
@@ -133,22 +133,22 @@
 }
 
 /// Sends a piece of the first stream that takes one; false if none does.
-bool UploadDuty::sendPiece(Core::Instant now)
+bool UploadWorker::sendFragment(Core::Instant now)
 {
-    for (std::list<Active>::iterator it = m_active.begin(); it != m_active.end(); ++it) {
+    for (std::list<ActiveUpload>::iterator it = m_active.begin(); it != m_active.end(); ++it) {
         if (it->m_job.m_responder.backlog() >= MaximumBacklog) {
             continue;
         }
-        const std::string_view rest = std::string_view(*it->m_job.m_bytes).substr(it->m_sent);
+        const std::string_view rest = std::string_view(*it->m_job.m_bytes).substr(it->m_sentBytes);
         const std::string_view piece = rest.substr(0, PieceBytes);
         if (!m_pacer.tryTake(piece.size(), now)) {
             return true;
         }
         it->m_job.m_responder.send(std::string(piece));
         m_bytesSent.add(piece.size());
-        it->m_sent += piece.size();
-        it->m_progressed = now;
-        if (it->m_sent == it->m_job.m_bytes->size()) {
+        it->m_sentBytes += piece.size();
+        it->m_progressAt = now;
+        if (it->m_sentBytes == it->m_job.m_bytes->size()) {
             it->m_job.m_responder.finish();
             m_active.erase(it);
         } else {
@@ -159,30 +159,30 @@
     return false;
 }
 
-void UploadDuty::run()
+void UploadWorker::run()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (m_running) {
         const Core::Instant now = Core::Clock::now();
-        dropEnded(now);
+        removeEndedUploads(now);
         fillSlots(now);
         if (m_active.empty()) {
             m_changed.wait_for(lock, IdlePause);
             continue;
         }
-        const Core::Duration pause = m_pacer.untilReady(now);
+        const Core::Duration pause = m_pacer.timeUntilReady(now);
         if (pause.count() > 0) {
             m_changed.wait_for(lock, pause);
             continue;
         }
-        if (!sendPiece(now)) {
+        if (!sendFragment(now)) {
             m_changed.wait_for(lock, BlockedPause);
         }
     }
     for (const UploadJob &job : m_waiting) {
         job.m_responder.fail(busy());
     }
-    for (const Active &active : m_active) {
+    for (const ActiveUpload &active : m_active) {
         active.m_job.m_responder.fail(busy());
     }
     m_waiting.clear();
--- a/Libraries/LibTransfer/UploadDuty.h
+++ b/Libraries/LibTransfer/UploadDuty.h
@@ -18,17 +18,17 @@
 /// One chunk on its way to one peer.
 struct UploadJob
 {
-    QueuedUpload m_what;
+    QueuedUpload m_upload;
     Weights::ChunkBytes m_bytes;
     Wire::Responder m_responder;
 };
 
 /// Thread-safe.
-class UploadDuty
+class UploadWorker
 {
 public:
-    UploadDuty(const TransferSettings &settings, Telemetry::Metrics &metrics);
-    ~UploadDuty();
+    UploadWorker(const TransferSettings &settings, Telemetry::Metrics &metrics);
+    ~UploadWorker();
 
     void start();
     void stop();
@@ -36,36 +36,36 @@
     /// Takes the job, or ends it as busy.
     void offer(UploadJob job);
     /// Jobs that wait or are being sent.
-    std::uint32_t load() const;
+    std::uint32_t uploadCount() const;
     /// Live traffic used the link.
     void charge(std::uint64_t bytes);
 
 private:
-    struct Active
+    struct ActiveUpload
     {
         UploadJob m_job;
-        std::size_t m_sent = 0;
-        Core::Instant m_progressed;
+        std::size_t m_sentBytes = 0;
+        Core::Instant m_progressAt;
     };
 
     void run();
     void fillSlots(Core::Instant now);
-    bool sendPiece(Core::Instant now);
-    void dropEnded(Core::Instant now);
-    std::size_t movingSlots(Core::Instant now) const;
+    bool sendFragment(Core::Instant now);
+    void removeEndedUploads(Core::Instant now);
+    std::size_t countProgressingUploads(Core::Instant now) const;
 
     const TransferSettings m_settings;
     Telemetry::Counter &m_bytesSent;
     Telemetry::Counter &m_refused;
-    Telemetry::Counter &m_givenUp;
+    Telemetry::Counter &m_abandoned;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     bool m_running = false;
     Pacer m_pacer;
-    std::uint64_t m_nextNumber = 0;
+    std::uint64_t m_nextSequence = 0;
     std::vector<UploadJob> m_waiting; ///< Bounded by admitsUpload().
-    std::list<Active> m_active; ///< The next one to send is in front.
-    std::map<std::string, SentCounts> m_sent;
+    std::list<ActiveUpload> m_active; ///< The next one to send is in front.
+    std::map<std::string, SentCounts> m_sentCounts;
     std::thread m_thread;
 };
 
--- a/Libraries/LibTransfer/UploadQueue.cpp
+++ b/Libraries/LibTransfer/UploadQueue.cpp
@@ -21,20 +21,20 @@
 
 }
 
-bool admitsUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits)
+bool canQueueUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits)
 {
     const std::ptrdiff_t alike =
         std::count_if(waiting.begin(), waiting.end(), [forRegion](const QueuedUpload &upload) { return upload.m_forRegion == forRegion; });
     return static_cast<std::size_t>(alike) < (forRegion ? limits.m_waitingForRegion : limits.m_waiting);
 }
 
-std::optional<std::size_t> nextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent)
+std::optional<std::size_t> selectNextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent)
 {
     std::optional<std::size_t> best;
     std::tuple<bool, std::uint32_t, std::uint64_t> bestKey;
     for (std::size_t index = 0; index < waiting.size(); ++index) {
         const QueuedUpload &upload = waiting[index];
-        const std::tuple<bool, std::uint32_t, std::uint64_t> key(!upload.m_forRegion, timesSent(upload, sent), upload.m_number);
+        const std::tuple<bool, std::uint32_t, std::uint64_t> key(!upload.m_forRegion, timesSent(upload, sent), upload.m_sequence);
         if (!best || key < bestKey) {
             best = index;
             bestKey = key;
--- a/Libraries/LibTransfer/UploadQueue.h
+++ b/Libraries/LibTransfer/UploadQueue.h
@@ -12,7 +12,7 @@
 /// What the decision needs to know of one request.
 struct QueuedUpload
 {
-    std::uint64_t m_number = 0; ///< Order of arrival.
+    std::uint64_t m_sequence = 0; ///< Order of arrival.
     std::string m_digest;
     std::uint32_t m_chunk = 0;
     bool m_forRegion = false;
@@ -28,7 +28,7 @@
 };
 
 /// True if one more request may wait.
-bool admitsUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits);
+bool canQueueUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits);
 
 /// How often each chunk of a version has been sent.
 using SentCounts = std::map<std::uint32_t, std::uint32_t>;
@@ -39,6 +39,6 @@
  * First copies for other regions go first, because a whole region waits for each; then the chunk that was sent least, because it
  * is likely the rarest and its receiver can pass it on; then the oldest request.
  */
-std::optional<std::size_t> nextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent);
+std::optional<std::size_t> selectNextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent);
 
 }
--- a/Libraries/LibTransfer/Version.h
+++ b/Libraries/LibTransfer/Version.h
@@ -20,7 +20,7 @@
 {
     Weights::ChunkIndex m_chunk = 0;
     Wire::CallId m_call = 0; ///< 0 for a draw from the origin.
-    std::shared_ptr<Reception> m_reception; ///< Null for a draw from the origin.
+    std::shared_ptr<ChunkBuffer> m_buffer; ///< Null for a draw from the origin.
     Core::Address m_peer;
 };
 
@@ -32,20 +32,20 @@
 };
 
 /// The search for the manifest.
-struct ManifestSearch
+struct ManifestFetch
 {
     bool m_isOpen = false; ///< An attempt is under way.
     std::uint32_t m_attempts = 0;
-    Core::Instant m_next; ///< No attempt before.
+    Core::Instant m_nextAttemptAt; ///< No attempt before.
 };
 
 struct Version
 {
     Control::Deployment m_deployment;
     bool m_isWanted = false;
-    std::size_t m_rank = 0; ///< Place among the wanted versions; lower ones are completed first.
-    bool m_awaitsMemory = false; ///< It would exceed the memory limit.
-    ManifestSearch m_search;
+    std::size_t m_priority = 0; ///< Place among the wanted versions; lower ones are completed first.
+    bool m_isWaitingForMemory = false; ///< It would exceed the memory limit.
+    ManifestFetch m_manifestFetch;
     std::optional<Weights::Manifest> m_manifest;
     std::string m_encodedManifest; ///< Empty until the manifest is known.
     std::unique_ptr<Exchange> m_exchange; ///< Null until the manifest is known.
@@ -54,7 +54,7 @@
     std::map<RequestId, OpenRequest> m_requests;
     std::map<Core::Address, OpenFollow> m_follows;
     std::vector<Wire::Responder> m_followers;
-    std::vector<std::uint32_t> m_unannounced; ///< Chunks that the followers have not been told of.
+    std::vector<std::uint32_t> m_unannouncedChunks; ///< Chunks that the followers have not been told of.
 };
 
 }
--- a/Libraries/LibWeights/HeldVersion.cpp
+++ b/Libraries/LibWeights/HeldVersion.cpp
@@ -4,7 +4,7 @@
 
 namespace Weights {
 
-std::string HeldVersion::wholeContent() const
+std::string HeldVersion::fullContent() const
 {
     std::string content;
     content.reserve(m_manifest.m_totalBytes);
--- a/Libraries/LibWeights/HeldVersion.h
+++ b/Libraries/LibWeights/HeldVersion.h
@@ -21,7 +21,7 @@
     std::vector<ChunkBytes> m_chunks; ///< In order; none is null. Their concatenation is the content.
 
     /// The weights in one piece, for an order that needs them so.
-    std::string wholeContent() const;
+    std::string fullContent() const;
 };
 
 /// Puts a version together. Fails with Corrupt unless the chunks' concatenation has the manifest's content digest, if that is stated.
--- a/Libraries/LibWeights/Manifest.cpp
+++ b/Libraries/LibWeights/Manifest.cpp
@@ -107,7 +107,7 @@
     return decodeManifest(encoded, peer);
 }
 
-bool isChunk(const Manifest &manifest, ChunkIndex chunk, std::string_view bytes)
+bool isValidChunk(const Manifest &manifest, ChunkIndex chunk, std::string_view bytes)
 {
     return chunk < manifest.chunkCount() && bytes.size() == manifest.chunkLength(chunk) && Core::sha256Raw(bytes) == manifest.m_chunkDigests[chunk];
 }
--- a/Libraries/LibWeights/Manifest.h
+++ b/Libraries/LibWeights/Manifest.h
@@ -70,6 +70,6 @@
 Core::Result<Manifest> verifyManifest(std::string_view encoded, const std::string &expectedDigest, const std::string &peer);
 
 /// True if @p bytes are exactly the given chunk.
-bool isChunk(const Manifest &manifest, ChunkIndex chunk, std::string_view bytes);
+bool isValidChunk(const Manifest &manifest, ChunkIndex chunk, std::string_view bytes);
 
 }
--- a/Tests/Benchmarks/Burst/BurstOptions.cpp
+++ b/Tests/Benchmarks/Burst/BurstOptions.cpp
@@ -48,7 +48,7 @@
         run.m_stallPercent = parsed["stall"].as<int>();
         run.m_downAfterCopies = parsed["down-after-copies"].as<double>();
         run.m_liveRate = parsed["live"].as<double>();
-        run.m_patienceSeconds = parsed["patience"].as<double>();
+        run.m_timeoutSeconds = parsed["patience"].as<double>();
         run.m_plotFile = parsed["plot"].as<std::string>();
         run.m_keepDirectory = parsed["keep"].as<std::string>();
         run.m_isDirect = parsed.count("direct") > 0;
--- a/Tests/Benchmarks/Burst/BurstOptions.h
+++ b/Tests/Benchmarks/Burst/BurstOptions.h
@@ -21,7 +21,7 @@
     int m_stallPercent = 0;
     double m_downAfterCopies = 0; ///< The origin goes down after as many copies; 0 means never.
     double m_liveRate = 0; ///< Requests a second beside the burst; 0 means none.
-    double m_patienceSeconds = 300;
+    double m_timeoutSeconds = 300;
     std::string m_plotFile;
     std::string m_keepDirectory; ///< Where logs and dumps go if given.
     bool m_isDirect = false; ///< Without the gateway that shapes links.
--- a/Tests/Benchmarks/Burst/BurstRun.cpp
+++ b/Tests/Benchmarks/Burst/BurstRun.cpp
@@ -128,7 +128,7 @@
 }
 
 /// Waits until the members' greetings are over, so that the burst alone is measured.
-void Run::awaitQuiet()
+void Run::awaitIdleNetwork()
 {
     const auto total = [this] {
         std::uint64_t sum = 0;
@@ -169,14 +169,14 @@
     return false;
 }
 
-void Run::breakSome()
+void Run::injectFaults()
 {
     const std::vector<const Bench::ProcessSpec *> agents = m_fleet->ofKind(Bench::ProcessKind::Agent);
     const std::size_t killed = agents.size() * static_cast<std::size_t>(m_options.m_killPercent) / Percent;
     const std::size_t frozen = agents.size() * static_cast<std::size_t>(m_options.m_stallPercent) / Percent;
     for (std::size_t index = 0; index < killed + frozen; ++index) {
         const Bench::ProcessSpec &agent = *agents[index * agents.size() / (killed + frozen)];
-        m_broken.insert(agent.m_instance);
+        m_faultyInstances.insert(agent.m_instance);
         const Core::Result<void> broken = index < killed ? m_fleet->kill(agent.m_name) : m_fleet->freeze(agent.m_name);
         if (!broken) {
             std::cerr << broken.error() << "\n";
@@ -197,18 +197,18 @@
         all.push_back(Waiting{engine, engine->m_name.substr(engine->m_name.find(':') + 1), {}});
     }
     bool isBroken = !hasFaults;
-    const auto elapsed = [this] { return Core::secondsBetween(m_published, Core::Clock::now()); };
-    while (elapsed() < m_options.m_patienceSeconds) {
+    const auto elapsed = [this] { return Core::secondsBetween(m_publishedAt, Core::Clock::now()); };
+    while (elapsed() < m_options.m_timeoutSeconds) {
         if (!isBroken && elapsed() >= figures.m_boundSeconds * FaultAtBoundShare) {
             isBroken = true;
-            breakSome();
+            injectFaults();
         }
         std::vector<std::thread> threads;
         for (int thread = 0; thread < ProbeThreads; ++thread) {
             threads.emplace_back([this, thread, &all, &contentDigest, &elapsed] {
                 for (std::size_t index = static_cast<std::size_t>(thread); index < all.size(); index += ProbeThreads) {
                     Waiting &waiting = all[index];
-                    if (!waiting.m_seconds && !m_broken.contains(waiting.m_instance) && serves(*waiting.m_engine, contentDigest)) {
+                    if (!waiting.m_seconds && !m_faultyInstances.contains(waiting.m_instance) && serves(*waiting.m_engine, contentDigest)) {
                         waiting.m_seconds = elapsed();
                     }
                 }
@@ -218,15 +218,15 @@
             thread.join();
         }
         const bool isDone =
-            std::all_of(all.begin(), all.end(), [this](const Waiting &waiting) { return waiting.m_seconds || m_broken.contains(waiting.m_instance); });
+            std::all_of(all.begin(), all.end(), [this](const Waiting &waiting) { return waiting.m_seconds || m_faultyInstances.contains(waiting.m_instance); });
         if (isDone && isBroken) {
             break;
         }
         std::this_thread::sleep_for(PollInterval);
     }
-    figures.m_expected = all.size() - m_broken.size();
+    figures.m_expected = all.size() - m_faultyInstances.size();
     for (const Waiting &waiting : all) {
-        if (waiting.m_seconds && !m_broken.contains(waiting.m_instance)) {
+        if (waiting.m_seconds && !m_faultyInstances.contains(waiting.m_instance)) {
             figures.m_servingSeconds.push_back(*waiting.m_seconds);
         }
     }
@@ -255,13 +255,13 @@
                                  m_fleet->directory() + "/" + name + ".log");
 }
 
-Core::Result<LiveFigures> Run::readLoad(Bench::Process &process, double seconds, const std::string &name)
+Core::Result<LoadFigures> Run::readLoad(Bench::Process &process, double seconds, const std::string &name)
 {
     process.wait(Core::Duration(static_cast<std::int64_t>(seconds * 1000)) + CommandPatience);
     const std::string text = readFile(m_fleet->directory() + "/" + name + ".log");
     const std::size_t brace = text.rfind("\n{");
     const Poco::JSON::Object::Ptr report = BOOST_OUTCOME_TRYX(parseObject(text.substr(brace == std::string::npos ? 0 : brace + 1), "read load report"));
-    LiveFigures figures;
+    LoadFigures figures;
     figures.m_sent = report->optValue<std::uint64_t>("sent", 0);
     figures.m_failed = figures.m_sent - report->optValue<std::uint64_t>("ok", 0);
     figures.m_p99Ms = report->getObject("total_ms")->optValue<double>("p99", 0);
@@ -307,7 +307,7 @@
     return journal ? journal.value()->getValue<std::uint64_t>("data_bytes") : 0;
 }
 
-void Run::keepDumps()
+void Run::saveDumps()
 {
     if (m_options.m_keepDirectory.empty()) {
         return;
@@ -316,7 +316,7 @@
     std::filesystem::copy(
         m_fleet->directory(), m_options.m_keepDirectory, std::filesystem::copy_options::overwrite_existing | std::filesystem::copy_options::recursive);
     for (const Bench::ProcessSpec *agent : m_fleet->ofKind(Bench::ProcessKind::Agent)) {
-        if (m_broken.contains(agent->m_instance)) {
+        if (m_faultyInstances.contains(agent->m_instance)) {
             continue;
         }
         std::ofstream(m_options.m_keepDirectory + "/" + agent->m_instance + ".dump") << Bench::httpGet(agent->m_admin, "/dump").value();
@@ -329,19 +329,19 @@
     const Bench::Topology topology = makeTopology(m_options);
     m_fleet = BOOST_OUTCOME_TRYX(Bench::Fleet::start(topology, m_options.m_programs));
     BOOST_OUTCOME_TRYV(awaitMembers());
-    awaitQuiet();
+    awaitIdleNetwork();
     Figures figures;
     const double weightBytes = static_cast<double>(topology.m_versions.front().m_bytes);
     figures.m_boundSeconds = weightBytes / static_cast<double>(topology.m_links.m_instance);
     std::string version = "1";
     if (m_options.m_liveRate > 0) {
         BOOST_OUTCOME_TRYV(publish("1"));
-        m_published = Core::Clock::now();
+        m_publishedAt = Core::Clock::now();
         Figures first = figures;
         awaitServing(BOOST_OUTCOME_TRYX(contentDigest("1")), first, false);
         Bench::Process baseline = BOOST_OUTCOME_TRYX(startLoad(BaselineSeconds, "load-before"));
-        figures.m_before = BOOST_OUTCOME_TRYX(readLoad(baseline, BaselineSeconds, "load-before"));
-        figures.m_hasLive = true;
+        figures.m_baselineLoad = BOOST_OUTCOME_TRYX(readLoad(baseline, BaselineSeconds, "load-before"));
+        figures.m_hasLoad = true;
         version = "2";
     }
     const std::string digest = BOOST_OUTCOME_TRYX(contentDigest(version));
@@ -358,15 +358,15 @@
     const double processorBefore = agentProcessorSeconds();
 
     std::optional<Bench::Process> load;
-    if (figures.m_hasLive) {
+    if (figures.m_hasLoad) {
         load.emplace(BOOST_OUTCOME_TRYX(startLoad(LiveSeconds, "load-during")));
     }
     BOOST_OUTCOME_TRYV(publish(version));
-    m_published = Core::Clock::now();
+    m_publishedAt = Core::Clock::now();
     LOG(INFO) << "published";
     awaitServing(digest, figures, m_options.m_killPercent + m_options.m_stallPercent > 0);
     if (load) {
-        figures.m_during = BOOST_OUTCOME_TRYX(readLoad(*load, LiveSeconds, "load-during"));
+        figures.m_burstLoad = BOOST_OUTCOME_TRYX(readLoad(*load, LiveSeconds, "load-during"));
     }
     figures.m_processorSeconds = agentProcessorSeconds() - processorBefore;
     figures.m_originCopies = static_cast<double>(originBytes() - originBefore) / weightBytes;
@@ -375,7 +375,7 @@
         const std::uint64_t bytes = pair.second - (before == regionBefore.end() ? 0 : before->second);
         figures.m_regionCopies = std::max(figures.m_regionCopies, static_cast<double>(bytes) / weightBytes);
     }
-    keepDumps();
+    saveDumps();
     return figures;
 }
 
--- a/Tests/Benchmarks/Burst/BurstRun.h
+++ b/Tests/Benchmarks/Burst/BurstRun.h
@@ -12,7 +12,7 @@
 namespace Burst {
 
 /// Outcome of a load run.
-struct LiveFigures
+struct LoadFigures
 {
     std::uint64_t m_sent = 0;
     std::uint64_t m_failed = 0; ///< Everything but whole answers.
@@ -27,9 +27,9 @@
     double m_originCopies = 0;
     double m_regionCopies = 0; ///< The largest of all ordered pairs; all traffic counts.
     double m_processorSeconds = 0; ///< Of all agents together, during the burst.
-    LiveFigures m_before;
-    LiveFigures m_during;
-    bool m_hasLive = false;
+    LoadFigures m_baselineLoad;
+    LoadFigures m_burstLoad;
+    bool m_hasLoad = false;
 };
 
 class Run
@@ -42,22 +42,22 @@
 private:
     Core::Result<void> publish(const std::string &version);
     Core::Result<void> awaitMembers();
-    void awaitQuiet();
+    void awaitIdleNetwork();
     Core::Result<std::string> contentDigest(const std::string &version);
     Core::Result<Bench::Process> startLoad(double seconds, const std::string &name);
-    Core::Result<LiveFigures> readLoad(Bench::Process &process, double seconds, const std::string &name);
+    Core::Result<LoadFigures> readLoad(Bench::Process &process, double seconds, const std::string &name);
     void awaitServing(const std::string &contentDigest, Figures &figures, bool hasFaults);
     bool serves(const Bench::ProcessSpec &engine, const std::string &contentDigest) const;
-    void breakSome();
-    void keepDumps();
+    void injectFaults();
+    void saveDumps();
     double agentProcessorSeconds();
     std::map<std::string, std::uint64_t> regionBytes() const;
     std::uint64_t originBytes() const;
 
     const Options m_options;
     std::unique_ptr<Bench::Fleet> m_fleet;
-    std::set<std::string> m_broken; ///< Instances that were killed or frozen.
-    Core::Instant m_published;
+    std::set<std::string> m_faultyInstances; ///< Instances that were killed or frozen.
+    Core::Instant m_publishedAt;
 };
 
 }
--- a/Tests/Benchmarks/Burst/Main.cpp
+++ b/Tests/Benchmarks/Burst/Main.cpp
@@ -37,9 +37,9 @@
     const double time = figures.m_servingSeconds.empty() ? 0 : figures.m_servingSeconds.back();
     std::ostringstream live;
     live << std::fixed << std::setprecision(2);
-    if (figures.m_hasLive) {
-        live << " live_failed=" << figures.m_during.m_failed << " live_p99_ratio=" << figures.m_during.m_p99Ms / figures.m_before.m_p99Ms
-             << " live_sent=" << figures.m_during.m_sent;
+    if (figures.m_hasLoad) {
+        live << " live_failed=" << figures.m_burstLoad.m_failed << " live_p99_ratio=" << figures.m_burstLoad.m_p99Ms / figures.m_baselineLoad.m_p99Ms
+             << " live_sent=" << figures.m_burstLoad.m_sent;
     } else {
         live << " live_failed=- live_p99_ratio=-";
     }
