--- a/Tests/Benchmarks/SwarmTrial/Main.cpp
+++ b/Tests/Benchmarks/SwarmTrial/Main.cpp
@@ -43,7 +43,7 @@
     trial.m_settings.m_uploadBytesPerSecond = static_cast<std::uint64_t>(instanceMegabits * bytesPerMegabit * uploadShare);
     trial.m_settings.m_downloadBytesPerSecond = static_cast<std::uint64_t>(instanceMegabits * bytesPerMegabit * downloadShare);
     trial.m_settings.m_burstBytes = 16 * BytesPerKibibyte;
-    trial.m_settings.m_requestsAhead = 3;
+    trial.m_settings.m_concurrentPeerRequests = 3;
     trial.m_settings.m_uploadSlots = 1;
     trial.m_settings.m_queuedUploads = 4;
 }
@@ -83,12 +83,12 @@
     };
     adjust("slots", trial.m_settings.m_uploadSlots);
     adjust("queue", trial.m_settings.m_queuedUploads);
-    adjust("ahead", trial.m_settings.m_requestsAhead);
+    adjust("ahead", trial.m_settings.m_concurrentPeerRequests);
     adjust("neighbours", trial.m_settings.m_neighbours);
     return trial;
 }
 
-std::size_t countKnowing(TestBench::Replicas &replicas)
+std::size_t countKnowing(TestBench::ReplicaCluster &replicas)
 {
     std::size_t count = 0;
     for (std::size_t index = 0; index < replicas.size(); ++index) {
@@ -106,10 +106,10 @@
     origin.m_bytesPerSecond = options.m_originBytesPerSecond;
     origin.m_chunkBytes = options.m_chunkBytes;
     origin.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "1", bytes, 1, 0, 100});
-    TestBench::Replicas replicas(origin);
+    TestBench::ReplicaCluster replicas(origin);
     const std::vector<std::string> regions = {"hcm", "hanoi", "danang"};
     for (std::size_t index = 0; index < options.m_agents; ++index) {
-        replicas.plan(regions[index % regions.size()]);
+        replicas.addReplica(regions[index % regions.size()]);
         replicas.start(index, options.m_settings);
     }
     Control::Deployment deployment = replicas.deployment("drafts", "1");
@@ -121,7 +121,7 @@
     const double bound = static_cast<double>(bytes) / static_cast<double>(options.m_settings.m_downloadBytesPerSecond);
     bool isKilled = false;
     Core::Instant nextSample = start;
-    while (replicas.countHolding(deployment.m_digest) < options.m_agents - (isKilled ? killed : 0)) {
+    while (replicas.countHolders(deployment.m_digest) < options.m_agents - (isKilled ? killed : 0)) {
         const double seconds = Core::secondsBetween(start, Core::Clock::now());
         if (!isKilled && killed > 0 && seconds > bound / 3) {
             isKilled = true;
@@ -132,19 +132,21 @@
         }
         if (options.m_verbose && Core::Clock::now() >= nextSample) {
             nextSample += std::chrono::milliseconds(MillisecondsPerSample);
-            std::cout << std::fixed << std::setprecision(2) << seconds << "s up_MiB=" << replicas.total("transfer_bytes_uploaded_total") / 1048576.0
-                      << " origin_MiB=" << replicas.total("transfer_bytes_from_origin_total") / 1048576.0 << " know=" << countKnowing(replicas)
-                      << " whole=" << replicas.countHolding(deployment.m_digest) << " refused=" << replicas.total("transfer_uploads_refused_total") << "\n";
+            std::cout << std::fixed << std::setprecision(2) << seconds << "s up_MiB=" << replicas.counterTotal("transfer_bytes_uploaded_total") / 1048576.0
+                      << " origin_MiB=" << replicas.counterTotal("transfer_bytes_from_origin_total") / 1048576.0 << " know=" << countKnowing(replicas)
+                      << " whole=" << replicas.countHolders(deployment.m_digest) << " refused=" << replicas.counterTotal("transfer_uploads_refused_total")
+                      << "\n";
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
     const double seconds = Core::secondsBetween(start, Core::Clock::now());
     std::cout << "agents=" << options.m_agents << " policy=" << options.m_policy << " strategy=" << options.m_strategy << std::fixed << std::setprecision(2)
               << " time_s=" << seconds << " bound_s=" << bound << " ratio=" << seconds / bound
-              << " origin_copies=" << static_cast<double>(replicas.total("transfer_bytes_from_origin_total")) / static_cast<double>(bytes)
-              << " region_copies=" << static_cast<double>(replicas.total("transfer_bytes_across_regions_total")) / static_cast<double>(bytes)
-              << " from_peers=" << static_cast<double>(replicas.total("transfer_bytes_from_peers_total")) / static_cast<double>(bytes)
-              << " refused=" << replicas.total("transfer_uploads_refused_total") << " twice=" << replicas.total("transfer_chunks_twice_total") << "\n";
+              << " origin_copies=" << static_cast<double>(replicas.counterTotal("transfer_bytes_from_origin_total")) / static_cast<double>(bytes)
+              << " region_copies=" << static_cast<double>(replicas.counterTotal("transfer_bytes_across_regions_total")) / static_cast<double>(bytes)
+              << " from_peers=" << static_cast<double>(replicas.counterTotal("transfer_bytes_from_peers_total")) / static_cast<double>(bytes)
+              << " refused=" << replicas.counterTotal("transfer_uploads_refused_total") << " twice=" << replicas.counterTotal("transfer_chunks_twice_total")
+              << "\n";
     if (options.m_verbose) {
         replicas.at(1).m_manager->dump()->stringify(std::cout, 2);
     }
--- a/Tests/LibStaging/TestChunkSweep.cpp
+++ b/Tests/LibStaging/TestChunkSweep.cpp
@@ -9,7 +9,7 @@
     std::vector<Weights::ChunkIndex> begun;
     std::vector<std::function<void()>> open;
     bool isFinished = false;
-    Staging::sweepChunks(
+    Staging::forEachChunk(
         {0, 1, 2, 3, 4},
         2,
         [&begun, &open](Weights::ChunkIndex chunk, const std::function<void()> &done) {
@@ -31,6 +31,6 @@
 TEST_CASE("a sweep over nothing is finished at once")
 {
     bool isFinished = false;
-    Staging::sweepChunks({}, 4, {}, [&isFinished] { isFinished = true; });
+    Staging::forEachChunk({}, 4, {}, [&isFinished] { isFinished = true; });
     CHECK(isFinished);
 }
--- a/Tests/LibStaging/TestManifestSharing.cpp
+++ b/Tests/LibStaging/TestManifestSharing.cpp
@@ -109,16 +109,16 @@
     for (const Gossip::Member &agent : all) {
         std::vector<Gossip::Member> others = all;
         std::erase(others, agent);
-        const std::optional<Core::Address> source = Staging::manifestSource(agent.m_id, others, Version, settings.m_originAskers);
+        const std::optional<Core::Address> source = Staging::manifestSource(agent.m_id, others, Version, settings.m_originFetchers);
         askers += source ? 0 : 1;
         if (source) {
             ++asked[*source];
         }
     }
-    CHECK(askers == settings.m_originAskers);
-    CHECK(asked.size() == settings.m_originAskers);
+    CHECK(askers == settings.m_originFetchers);
+    CHECK(asked.size() == settings.m_originFetchers);
     for (const std::pair<const Core::Address, std::size_t> &peer : asked) {
-        CHECK(peer.second <= all.size() / settings.m_originAskers + 1);
+        CHECK(peer.second <= all.size() / settings.m_originFetchers + 1);
     }
 }
 
@@ -128,7 +128,7 @@
     for (const Gossip::Member &agent : all) {
         std::vector<Gossip::Member> others = all;
         std::erase(others, agent);
-        CHECK_FALSE(Staging::manifestSource(agent.m_id, others, Version, Staging::ManifestSharingSettings{}.m_originAskers));
+        CHECK_FALSE(Staging::manifestSource(agent.m_id, others, Version, Staging::ManifestSharingSettings{}.m_originFetchers));
     }
 }
 
--- a/Tests/LibStaging/TestTurns.cpp
+++ b/Tests/LibStaging/TestTurns.cpp
@@ -30,7 +30,7 @@
     const std::vector<std::string> names = fleet(size);
     std::set<std::size_t> ranks;
     for (const std::string &name : names) {
-        ranks.insert(Staging::turnRank(name, without(names, name), 2));
+        ranks.insert(Staging::loadRank(name, without(names, name), 2));
     }
     CHECK(ranks.size() == size);
     CHECK(*ranks.rbegin() == size - 1);
@@ -39,29 +39,29 @@
 TEST_CASE("turns are spread over the time that the bound leaves")
 {
     // Engines that changed all at once would leave nobody to answer while they load.
-    const Staging::TurnSettings settings;
+    const Staging::LoadScheduleSettings settings;
     constexpr std::size_t size = 27;
     Core::Duration before{0};
     for (std::size_t rank = 0; rank < size; ++rank) {
-        const Core::Duration turn = Staging::turnAfter(rank, size, Core::Duration(0), settings);
+        const Core::Duration turn = Staging::loadDelay(rank, size, Core::Duration(0), settings);
         CHECK(turn >= before);
         before = turn;
     }
-    CHECK(Staging::turnAfter(0, size, Core::Duration(0), settings) == settings.m_first);
-    CHECK(before == settings.m_last);
+    CHECK(Staging::loadDelay(0, size, Core::Duration(0), settings) == settings.m_firstDelay);
+    CHECK(before == settings.m_lastDelay);
 }
 
 TEST_CASE("an older version that was not reached brings the turns forward")
 {
     // The engine skipped a version that was declared three seconds earlier. That version's bound holds too, and it passes first.
-    const Staging::TurnSettings settings;
+    const Staging::LoadScheduleSettings settings;
     const Core::Duration head(3000);
-    CHECK(Staging::turnAfter(26, 27, head, settings) == settings.m_last - head);
-    CHECK(Staging::turnAfter(0, 27, Core::Duration(60000), settings) == Core::Duration(0));
+    CHECK(Staging::loadDelay(26, 27, head, settings) == settings.m_lastDelay - head);
+    CHECK(Staging::loadDelay(0, 27, Core::Duration(60000), settings) == Core::Duration(0));
 }
 
 TEST_CASE("a single agent changes as soon as it may")
 {
-    const Staging::TurnSettings settings;
-    CHECK(Staging::turnAfter(0, 1, Core::Duration(0), settings) == settings.m_first);
+    const Staging::LoadScheduleSettings settings;
+    CHECK(Staging::loadDelay(0, 1, Core::Duration(0), settings) == settings.m_firstDelay);
 }
--- a/Tests/LibStaging/TestWeightsKeeper.cpp
+++ b/Tests/LibStaging/TestWeightsKeeper.cpp
@@ -108,7 +108,8 @@
     Wire::Node m_node{Wire::NodeSettings{}, m_metrics};
     Transfer::TransferManager m_transfer{transferParts()};
     FakeEngine m_engine;
-    Staging::WeightsKeeper m_keeper{Staging::KeeperParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, settings(), control(m_loop, m_engine)};
+    Staging::WeightsManager m_keeper{
+        Staging::WeightsManagerParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, settings(), control(m_loop, m_engine)};
 
     KeeperFixture()
     {
@@ -144,12 +145,12 @@
         return parts;
     }
 
-    static Staging::KeeperSettings settings()
+    static Staging::WeightsManagerSettings settings()
     {
-        Staging::KeeperSettings made;
+        Staging::WeightsManagerSettings made;
         made.m_service = "drafts";
         made.m_statusInterval = Core::Duration(5);
-        made.m_turns = Staging::TurnSettings{Core::Duration(0), Core::Duration(0)};
+        made.m_loadSchedule = Staging::LoadScheduleSettings{Core::Duration(0), Core::Duration(0)};
         return made;
     }
 
@@ -159,7 +160,7 @@
         declarations.m_weights = {Fleet::DeclaredWeights{Model, version, 10 + version}};
         m_versions.recordDeclared(Model, version, Core::Duration(0), Core::Clock::now());
         m_beliefs.apply(declarations);
-        m_keeper.beliefsChanged();
+        m_keeper.onFleetStateChanged();
     }
 
     bool awaitOrders(std::size_t count)
@@ -186,7 +187,7 @@
     KeeperFixture fixture;
     fixture.m_engine.m_isAbsent = true;
     fixture.m_keeper.start();
-    fixture.m_keeper.beliefsChanged();
+    fixture.m_keeper.onFleetStateChanged();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return !fixture.m_transfer.progress().empty(); }));
     CHECK(fixture.m_transfer.progress().front().m_digest == Weights::manifestDigest(Weights::encodeManifest(manifestOf(1))));
     for (Weights::ChunkIndex chunk = 0; chunk < Chunks; ++chunk) {
--- a/Tests/LibTransfer/Replicas.h
+++ b/Tests/LibTransfer/Replicas.h
@@ -51,10 +51,10 @@
     }
 };
 
-class Replicas
+class ReplicaCluster
 {
 public:
-    explicit Replicas(StandIn::OriginSettings origin)
+    explicit ReplicaCluster(StandIn::OriginSettings origin)
     {
         origin.m_listen = Core::Address{host(0), OriginPort};
         m_store = std::make_unique<StandIn::OriginStore>(std::move(origin));
@@ -64,7 +64,7 @@
     }
 
     /// Plans a replica without starting it.
-    void plan(const std::string &region)
+    void addReplica(const std::string &region)
     {
         const std::size_t number = m_replicas.size() + 1;
         m_replicas.push_back(std::make_unique<Replica>());
@@ -120,7 +120,7 @@
         }
     }
 
-    std::size_t countHolding(const std::string &digest) const
+    std::size_t countHolders(const std::string &digest) const
     {
         std::size_t count = 0;
         for (const std::unique_ptr<Replica> &replica : m_replicas) {
@@ -130,7 +130,7 @@
     }
 
     /// Sum of a counter over all replicas.
-    std::uint64_t total(const std::string &counter) const
+    std::uint64_t counterTotal(const std::string &counter) const
     {
         std::uint64_t sum = 0;
         for (const std::unique_ptr<Replica> &replica : m_replicas) {
--- a/Tests/LibTransfer/TestBurst.cpp
+++ b/Tests/LibTransfer/TestBurst.cpp
@@ -21,17 +21,17 @@
 
 TEST_CASE("a burst reaches every replica whole, with one copy from the origin")
 {
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     for (int index = 0; index < 9; ++index) {
-        replicas.plan(index % 3 == 0 ? "hcm" : index % 3 == 1 ? "hanoi" : "danang");
+        replicas.addReplica(index % 3 == 0 ? "hcm" : index % 3 == 1 ? "hanoi" : "danang");
         replicas.start(static_cast<std::size_t>(index), Transfer::TransferSettings{});
     }
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.setTargets({deployment});
-    REQUIRE(TestBench::waitFor([&] { return replicas.countHolding(deployment.m_digest) == replicas.size(); }));
+    REQUIRE(TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); }));
     for (std::size_t index = 0; index < replicas.size(); ++index) {
-        REQUIRE(replicas.at(index).m_manager->heldVersion(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+        REQUIRE(replicas.at(index).m_manager->heldVersion(deployment.m_digest)->fullContent() == replicas.content("drafts", "1"));
     }
-    REQUIRE(replicas.total("transfer_bytes_from_origin_total") <= WeightBytes + WeightBytes / 20 + 4503);
-    REQUIRE(replicas.total("transfer_bytes_across_regions_total") <= 2 * WeightBytes);
+    REQUIRE(replicas.counterTotal("transfer_bytes_from_origin_total") <= WeightBytes + WeightBytes / 20 + 4503);
+    REQUIRE(replicas.counterTotal("transfer_bytes_across_regions_total") <= 2 * WeightBytes);
 }
--- a/Tests/LibTransfer/TestExchange.cpp
+++ b/Tests/LibTransfer/TestExchange.cpp
@@ -40,7 +40,7 @@
 
     Bench(std::uint32_t replicas, std::uint32_t own, std::uint32_t originCopies = 1)
     {
-        m_settings.m_requestsAhead = Chunks;
+        m_settings.m_concurrentPeerRequests = Chunks;
         m_settings.m_originConnections = Chunks;
         for (std::uint32_t number = 0; number < replicas; ++number) {
             m_replicas.push_back(makeReplica(number, "hcm"));
@@ -64,8 +64,8 @@
                 } else if (action.m_kind != Transfer::ActionKind::Cancel) {
                     asked.push_back(action);
                 }
-                if (m_isOriginAway && action.m_kind == Transfer::ActionKind::AskOrigin) {
-                    m_exchange->requestFailed(action.m_request, Transfer::Failure::Lost, m_now);
+                if (m_isOriginAway && action.m_kind == Transfer::ActionKind::RequestFromOrigin) {
+                    m_exchange->onRequestFailed(action.m_request, Transfer::Failure::Unavailable, m_now);
                 }
             }
             const std::set<Core::Address> followed = m_followed;
@@ -81,17 +81,17 @@
     {
         if (m_dead.contains(peer)) {
             m_followed.erase(peer);
-            m_exchange->followEnded(peer, m_now);
+            m_exchange->onFollowEnded(peer, m_now);
             return;
         }
         if (m_silent.contains(peer)) {
             return;
         }
         Transfer::HaveUpdate update;
-        update.m_takesPart = true;
-        update.m_drawsFromOrigin = !m_cannotDraw.contains(peer);
+        update.m_participates = true;
+        update.m_canDownloadFromOrigin = !m_cannotDraw.contains(peer);
         update.m_added = m_holdings[peer];
-        m_exchange->updateReceived(peer, update, m_now);
+        m_exchange->onUpdate(peer, update, m_now);
     }
 
     /// Chunks that have been drawn from the origin.
@@ -99,7 +99,7 @@
     {
         std::set<Weights::ChunkIndex> chunks;
         for (const Transfer::Action &action : m_asked) {
-            if (action.m_kind == Transfer::ActionKind::AskOrigin) {
+            if (action.m_kind == Transfer::ActionKind::RequestFromOrigin) {
                 chunks.insert(action.m_chunk);
             }
         }
@@ -174,8 +174,8 @@
     bench.m_isOriginAway = false;
     const std::vector<Transfer::Action> asked = bench.run(Core::Duration(600));
     REQUIRE(!asked.empty());
-    bench.m_exchange->requestSucceeded(asked.front().m_request, bench.m_now);
-    bench.m_exchange->chunkHeld(asked.front().m_chunk, bench.m_now);
+    bench.m_exchange->onRequestSucceeded(asked.front().m_request, bench.m_now);
+    bench.m_exchange->onChunkHeld(asked.front().m_chunk, bench.m_now);
     bench.run(Core::Duration(800));
     CHECK(bench.drawn() == bench.ranked(0, 0));
     // The others still cannot a second later: then the origin is away from them alone.
@@ -188,7 +188,7 @@
     // Two versions are declared two seconds apart, and the origin goes away soon after the second. Chunks that left it by then shorten the wait for the
     // second version; asking peers for them too would delay the first.
     Bench bench(4, 0);
-    bench.m_effort = Transfer::Effort::OwnDraws;
+    bench.m_effort = Transfer::Effort::OwnDownloadsOnly;
     for (Weights::ChunkIndex chunk = 0; chunk < Chunks; ++chunk) {
         if (!bench.ranked(0, 0).contains(chunk)) {
             bench.m_holdings[bench.m_replicas[1].m_wire].push_back(chunk);
@@ -197,7 +197,7 @@
     bench.run(Core::Duration(3000));
     CHECK(bench.drawn() == bench.ranked(0, 0));
     CHECK(std::none_of(
-        bench.m_asked.begin(), bench.m_asked.end(), [](const Transfer::Action &action) { return action.m_kind == Transfer::ActionKind::AskPeer; }));
+        bench.m_asked.begin(), bench.m_asked.end(), [](const Transfer::Action &action) { return action.m_kind == Transfer::ActionKind::RequestFromPeer; }));
 }
 
 TEST_CASE("a slow drawer that is alive keeps its chunks, so that a slow origin is not asked for them twice")
@@ -265,14 +265,14 @@
     const std::vector<Transfer::Action> asked = bench.run(Core::Duration(200));
     std::size_t askedOfBad = 0;
     for (const Transfer::Action &action : asked) {
-        if (action.m_kind == Transfer::ActionKind::AskPeer) {
+        if (action.m_kind == Transfer::ActionKind::RequestFromPeer) {
             ++askedOfBad;
-            bench.m_exchange->requestFailed(action.m_request, Transfer::Failure::Corrupt, bench.m_now);
+            bench.m_exchange->onRequestFailed(action.m_request, Transfer::Failure::Corrupt, bench.m_now);
         }
     }
     REQUIRE(askedOfBad > 0);
     for (const Transfer::Action &action : bench.run(Core::Duration(10000))) {
-        REQUIRE(action.m_kind == Transfer::ActionKind::AskOrigin);
+        REQUIRE(action.m_kind == Transfer::ActionKind::RequestFromOrigin);
     }
     REQUIRE(bench.drawn().size() == Chunks);
 }
@@ -293,11 +293,11 @@
     bench.m_holdings[bench.m_replicas[1].m_wire] = {0};
     bench.m_holdings[bench.m_replicas[2].m_wire] = {0};
     std::vector<Transfer::Action> asked = bench.run(Core::Duration(1000));
-    std::erase_if(asked, [](const Transfer::Action &action) { return action.m_kind != Transfer::ActionKind::AskPeer; });
+    std::erase_if(asked, [](const Transfer::Action &action) { return action.m_kind != Transfer::ActionKind::RequestFromPeer; });
     REQUIRE(asked.size() == 2);
     REQUIRE(asked[0].m_peer != asked[1].m_peer);
-    bench.m_exchange->requestSucceeded(asked[1].m_request, bench.m_now);
-    const std::vector<Transfer::Action> superfluous = bench.m_exchange->chunkHeld(0, bench.m_now);
+    bench.m_exchange->onRequestSucceeded(asked[1].m_request, bench.m_now);
+    const std::vector<Transfer::Action> superfluous = bench.m_exchange->onChunkHeld(0, bench.m_now);
     REQUIRE(superfluous.size() == 1);
     REQUIRE(superfluous[0].m_kind == Transfer::ActionKind::Cancel);
     REQUIRE(superfluous[0].m_request == asked[0].m_request);
--- a/Tests/LibTransfer/TestFaults.cpp
+++ b/Tests/LibTransfer/TestFaults.cpp
@@ -42,7 +42,7 @@
         m_node->handle("transfer.manifest", [encoded](const Wire::IncomingCall &call) { call.m_responder.reply(encoded); });
         m_node->handle("transfer.have", [this, manifest](const Wire::IncomingCall &call) {
             Transfer::HaveUpdate update;
-            update.m_takesPart = true;
+            update.m_participates = true;
             update.m_isSnapshot = true;
             update.m_bitmap = Transfer::encodeBitmap(std::vector<bool>(manifest.chunkCount(), true));
             call.m_responder.send(Wire::pack(update));
@@ -76,14 +76,14 @@
 /// Two honest replicas and a planned third one whose place a liar takes.
 struct LiarBench
 {
-    TestBench::Replicas m_replicas{originSettings()};
+    TestBench::ReplicaCluster m_replicas{originSettings()};
     Control::Deployment m_deployment;
     std::unique_ptr<Liar> m_liar;
 
     explicit LiarBench(const Liar::Answer &answer)
     {
         for (int index = 0; index < 3; ++index) {
-            m_replicas.plan("hcm");
+            m_replicas.addReplica("hcm");
         }
         m_deployment = m_replicas.deployment("drafts", "1");
         const std::shared_ptr<const StandIn::StoredObject> object = m_replicas.origin().manifest("drafts", "1").m_object;
@@ -95,26 +95,26 @@
 
     bool ends()
     {
-        return TestBench::waitFor([this] { return m_replicas.countHolding(m_deployment.m_digest) == 2; });
+        return TestBench::waitFor([this] { return m_replicas.countHolders(m_deployment.m_digest) == 2; });
     }
 
     bool isWhole(std::size_t index)
     {
-        return m_replicas.at(index).m_manager->heldVersion(m_deployment.m_digest)->wholeContent() == m_replicas.content("drafts", "1");
+        return m_replicas.at(index).m_manager->heldVersion(m_deployment.m_digest)->fullContent() == m_replicas.content("drafts", "1");
     }
 };
 
-void startAll(TestBench::Replicas &replicas, std::size_t count, const Transfer::TransferSettings &settings = quickSettings())
+void startAll(TestBench::ReplicaCluster &replicas, std::size_t count, const Transfer::TransferSettings &settings = quickSettings())
 {
     for (std::size_t index = 0; index < count; ++index) {
-        replicas.plan(index % 2 == 0 ? "hcm" : "hanoi");
+        replicas.addReplica(index % 2 == 0 ? "hcm" : "hanoi");
         replicas.start(index, settings);
     }
 }
 
-bool endsEverywhere(TestBench::Replicas &replicas, const Control::Deployment &deployment)
+bool endsEverywhere(TestBench::ReplicaCluster &replicas, const Control::Deployment &deployment)
 {
-    return TestBench::waitFor([&] { return replicas.countHolding(deployment.m_digest) == replicas.size(); });
+    return TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); });
 }
 
 }
@@ -134,7 +134,7 @@
     REQUIRE(bench.isWhole(0));
     REQUIRE(bench.isWhole(1));
     if (damaged == ~Weights::ChunkIndex{0}) {
-        REQUIRE(bench.m_replicas.total("transfer_chunks_bad_total") > 0);
+        REQUIRE(bench.m_replicas.counterTotal("transfer_chunks_bad_total") > 0);
         // Each honest replica sets the peer aside at once; only what was already asked still comes.
         REQUIRE(bench.m_liar->asked() <= 8);
     }
@@ -164,39 +164,39 @@
 TEST_CASE("a version that changed under its name is never handed out")
 {
     // The store's object is replaced after the version was published. Its chunks are sound in themselves, but not those that were published.
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment published = replicas.deployment("drafts", "1");
     const std::string content = replicas.content("drafts", "1");
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":99}})").value();
     replicas.setTargets({published});
     // Every replica has seen the foreign manifest and refused it, more than once.
-    REQUIRE(TestBench::waitFor([&] { return replicas.total("transfer_manifests_bad_total") >= 2; }));
-    REQUIRE(replicas.countHolding(published.m_digest) == 0);
+    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_manifests_bad_total") >= 2; }));
+    REQUIRE(replicas.countHolders(published.m_digest) == 0);
 }
 
 TEST_CASE("a version that changes while it is fetched is never mixed, and completes once the store has it again")
 {
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 4, settings);
     const Control::Deployment published = replicas.deployment("drafts", "1");
     const std::string content = replicas.content("drafts", "1");
     replicas.setTargets({published});
-    REQUIRE(TestBench::waitFor([&] { return replicas.total("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":99}})").value();
-    REQUIRE(TestBench::waitFor([&] { return replicas.total("transfer_chunks_bad_total") > 0; }));
-    REQUIRE(replicas.countHolding(published.m_digest) == 0);
+    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_chunks_bad_total") > 0; }));
+    REQUIRE(replicas.countHolders(published.m_digest) == 0);
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":7}})").value();
     REQUIRE(endsEverywhere(replicas, published));
-    REQUIRE(replicas.at(0).m_manager->heldVersion(published.m_digest)->wholeContent() == content);
+    REQUIRE(replicas.at(0).m_manager->heldVersion(published.m_digest)->fullContent() == content);
 }
 
 TEST_CASE("once one copy is out, the burst ends without the origin, and a replaced replica is served by its peers")
 {
     // The store goes down for a long time in the middle of a burst. What the replicas hold together is enough.
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     startAll(replicas, 6);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.origin().setFaults(R"({"down_after_copies":1.0})").value();
@@ -211,13 +211,13 @@
 
 TEST_CASE("a burst waits for an origin that is down and ends once it is back")
 {
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.origin().setFaults(R"({"down":true})").value();
     replicas.setTargets({deployment});
     REQUIRE(TestBench::waitFor([&] { return replicas.origin().journalJson().find("\"manifest_requests\":0") == std::string::npos; }));
-    REQUIRE(replicas.countHolding(deployment.m_digest) == 0);
+    REQUIRE(replicas.countHolders(deployment.m_digest) == 0);
     replicas.origin().setFaults(R"({"down":false,"slow_ms":20,"truncate_percent":20})").value();
     REQUIRE(endsEverywhere(replicas, deployment));
 }
@@ -225,35 +225,35 @@
 TEST_CASE("the burst ends for the others when replicas die in the middle")
 {
     // Among the dead are drawers and importers of chunks that nobody else has yet.
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 8, settings);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.setTargets({deployment});
-    REQUIRE(TestBench::waitFor([&] { return replicas.total("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     for (const std::size_t dead : {std::size_t{1}, std::size_t{2}}) {
         replicas.at(dead).stop();
         replicas.at(dead).m_manager.reset();
     }
-    REQUIRE(TestBench::waitFor([&] { return replicas.countHolding(deployment.m_digest) == 6; }));
-    REQUIRE(replicas.at(0).m_manager->heldVersion(deployment.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+    REQUIRE(TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == 6; }));
+    REQUIRE(replicas.at(0).m_manager->heldVersion(deployment.m_digest)->fullContent() == replicas.content("drafts", "1"));
 }
 
 TEST_CASE("a superseded version stops at once, and chunks that the new one shares are not fetched again")
 {
     // Operators publish a correction while a burst is under way. Going on with the old version would take the links from the new one.
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 4, settings);
     const Control::Deployment first = replicas.deployment("drafts", "1");
     const Control::Deployment second = replicas.deployment("drafts", "2");
     replicas.setTargets({first});
-    REQUIRE(TestBench::waitFor([&] { return replicas.total("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     replicas.setTargets({second});
     REQUIRE(endsEverywhere(replicas, second));
-    REQUIRE(replicas.countHolding(first.m_digest) == 0);
+    REQUIRE(replicas.countHolders(first.m_digest) == 0);
     for (std::size_t index = 0; index < replicas.size(); ++index) {
         REQUIRE(replicas.at(index).m_manager->progress().size() == 1);
     }
@@ -261,7 +261,7 @@
 
 TEST_CASE("a rollback to a held version moves no bytes")
 {
-    TestBench::Replicas replicas(originSettings());
+    TestBench::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment first = replicas.deployment("drafts", "1");
     const Control::Deployment second = replicas.deployment("drafts", "2");
@@ -270,19 +270,19 @@
     replicas.setTargets({second});
     REQUIRE(endsEverywhere(replicas, second));
     // A quarter of the chunks differ; the others came from the version that was held.
-    REQUIRE(replicas.total("transfer_bytes_reused_total") >= 4 * 17 * ChunkSize);
-    const std::uint64_t moved = replicas.total("transfer_bytes_from_origin_total") + replicas.total("transfer_bytes_from_peers_total");
+    REQUIRE(replicas.counterTotal("transfer_bytes_reused_total") >= 4 * 17 * ChunkSize);
+    const std::uint64_t moved = replicas.counterTotal("transfer_bytes_from_origin_total") + replicas.counterTotal("transfer_bytes_from_peers_total");
     replicas.setTargets({first});
-    REQUIRE(replicas.countHolding(first.m_digest) == replicas.size());
-    REQUIRE(replicas.total("transfer_bytes_from_origin_total") + replicas.total("transfer_bytes_from_peers_total") == moved);
+    REQUIRE(replicas.countHolders(first.m_digest) == replicas.size());
+    REQUIRE(replicas.counterTotal("transfer_bytes_from_origin_total") + replicas.counterTotal("transfer_bytes_from_peers_total") == moved);
     replicas.at(0).m_manager->release(second.m_digest);
     REQUIRE(TestBench::waitFor([&] { return replicas.at(0).m_manager->heldVersion(second.m_digest) == nullptr; }));
-    REQUIRE(replicas.at(0).m_manager->heldVersion(first.m_digest)->wholeContent() == replicas.content("drafts", "1"));
+    REQUIRE(replicas.at(0).m_manager->heldVersion(first.m_digest)->fullContent() == replicas.content("drafts", "1"));
 }
 
 TEST_CASE("a version that does not fit into memory waits until another is released")
 {
-    TestBench::Replicas replicas([] {
+    TestBench::ReplicaCluster replicas([] {
         StandIn::OriginSettings settings;
         settings.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "1", 700 << 10, 7, 0, 100});
         settings.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "2", 700 << 10, 8, 0, 100});
--- a/Tests/LibTransfer/TestOriginDuty.cpp
+++ b/Tests/LibTransfer/TestOriginDuty.cpp
@@ -30,7 +30,7 @@
     const Core::Address origin{"127.0.0.1", listener.address().port()};
     Transfer::OriginDialect dialect;
     dialect.m_makeChunkRequest = [](const Transfer::OriginChunk &) { return Transfer::OriginRequest{"/chunk", "", 200}; };
-    Transfer::OriginDuty duty(Network::NetworkSettings{}, Core::Duration(2000), 1, dialect);
+    Transfer::OriginWorker duty(Network::NetworkSettings{}, Core::Duration(2000), 1, dialect);
     duty.start();
     std::promise<bool> drawn;
     Transfer::OriginJob job{origin, Transfer::OriginChunk{"drafts", "1", 0, 0, 4}, [&drawn](const Core::Result<std::string> &bytes) {
--- a/Tests/LibWeights/TestManifest.cpp
+++ b/Tests/LibWeights/TestManifest.cpp
@@ -42,7 +42,7 @@
     std::uint64_t covered = 0;
     for (Weights::ChunkIndex chunk = 0; chunk < manifest.chunkCount(); ++chunk) {
         REQUIRE(manifest.chunkOffset(chunk) == covered);
-        REQUIRE(Weights::isChunk(manifest, chunk, content.substr(covered, manifest.chunkLength(chunk))));
+        REQUIRE(Weights::isValidChunk(manifest, chunk, content.substr(covered, manifest.chunkLength(chunk))));
         covered += manifest.chunkLength(chunk);
     }
     REQUIRE(covered == content.size());
@@ -50,7 +50,7 @@
     REQUIRE(Weights::verifyManifest(encoded, Weights::manifestDigest(encoded), "origin").value() == manifest);
     const std::shared_ptr<const Weights::HeldVersion> version =
         Weights::assembleVersion(Weights::manifestDigest(encoded), manifest, cut(manifest, content)).value();
-    REQUIRE(version->wholeContent() == content);
+    REQUIRE(version->fullContent() == content);
 }
 
 TEST_CASE("a chunk that differs in any bit, or is short, is not taken")
@@ -65,9 +65,9 @@
         const std::string whole = content.substr(manifest.chunkOffset(chunk), manifest.chunkLength(chunk));
         std::string damaged = whole;
         damaged[random.below(damaged.size())] ^= static_cast<char>(1U << random.below(8));
-        REQUIRE_FALSE(Weights::isChunk(manifest, chunk, damaged));
-        REQUIRE_FALSE(Weights::isChunk(manifest, chunk, whole.substr(1)));
-        REQUIRE_FALSE(Weights::isChunk(manifest, chunk + 1, whole));
+        REQUIRE_FALSE(Weights::isValidChunk(manifest, chunk, damaged));
+        REQUIRE_FALSE(Weights::isValidChunk(manifest, chunk, whole.substr(1)));
+        REQUIRE_FALSE(Weights::isValidChunk(manifest, chunk + 1, whole));
     }
 }
 
