--- a/Libraries/LibFollow/Follower.cpp
+++ b/Libraries/LibFollow/Follower.cpp
@@ -145,7 +145,7 @@
 {
     m_reads.add();
     const bool isFirst = m_declarations.m_next == 0;
-    DeclarationsRead done = [this, alive = m_isAlive, isFirst](Core::Result<Fleet::Declarations> result) {
+    DeclarationsCallback done = [this, alive = m_isAlive, isFirst](Core::Result<Fleet::Declarations> result) {
         if (*alive) {
             declarationsCame(std::move(result), isFirst);
         }
@@ -195,7 +195,7 @@
 void Follower::readEndpoints()
 {
     m_reads.add();
-    EndpointsRead done = [this, alive = m_isAlive, asked = Core::Clock::now()](Core::Result<Fleet::EndpointChanges> result) {
+    EndpointsCallback done = [this, alive = m_isAlive, asked = Core::Clock::now()](Core::Result<Fleet::EndpointChanges> result) {
         if (*alive) {
             endpointsCame(std::move(result), asked);
         }
--- a/Libraries/LibFollow/RecordSource.h
+++ b/Libraries/LibFollow/RecordSource.h
@@ -8,8 +8,8 @@
 
 namespace Follow {
 
-using DeclarationsRead = std::function<void(Core::Result<Fleet::Declarations>)>;
-using EndpointsRead = std::function<void(Core::Result<Fleet::EndpointChanges>)>;
+using DeclarationsCallback = std::function<void(Core::Result<Fleet::Declarations>)>;
+using EndpointsCallback = std::function<void(Core::Result<Fleet::EndpointChanges>)>;
 
 /**
  * Reads without blocking; each read calls back exactly once, on the loop's thread.
@@ -19,13 +19,13 @@
 struct RecordSource
 {
     /// The newest configuration and weights.
-    std::function<void(DeclarationsRead done)> m_readAllDeclarations;
+    std::function<void(DeclarationsCallback done)> m_readAllDeclarations;
     /// What was declared from an offset on; waits for up to @p patience if there is nothing yet.
-    std::function<void(Fleet::Offset from, Core::Duration patience, DeclarationsRead done)> m_awaitDeclarations;
+    std::function<void(Fleet::Offset from, Core::Duration patience, DeclarationsCallback done)> m_awaitDeclarations;
     /// The newest entry of every endpoint.
-    std::function<void(EndpointsRead done)> m_readAllEndpoints;
+    std::function<void(EndpointsCallback done)> m_readAllEndpoints;
     /// Changes of the list from an offset on, without waiting.
-    std::function<void(Fleet::Offset from, EndpointsRead done)> m_readEndpoints;
+    std::function<void(Fleet::Offset from, EndpointsCallback done)> m_readEndpoints;
 };
 
 }
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -70,12 +70,12 @@
     return Core::success();
 }
 
-void GossipService::onEngineNews(std::function<void(const std::vector<EngineNews> &)> callback)
+void GossipService::onEngineNews(std::function<void(const std::vector<EngineUpdate> &)> callback)
 {
     m_onEngineNews = std::move(callback);
 }
 
-void GossipService::onMembers(std::function<void()> callback)
+void GossipService::onMembersChanged(std::function<void()> callback)
 {
     m_onMembers = std::move(callback);
 }
@@ -158,8 +158,8 @@
 {
     const bool isFirstHand = heartbeat.m_sender.m_role == Role::Agent;
     const Core::Instant now = Core::Clock::now();
-    std::vector<EngineNews> fresh;
-    for (const EngineNews &news : heartbeat.m_engines) {
+    std::vector<EngineUpdate> fresh;
+    for (const EngineUpdate &news : heartbeat.m_engines) {
         if (!isNews(news)) {
             continue;
         }
@@ -174,7 +174,7 @@
     }
 }
 
-bool GossipService::isNews(const EngineNews &news)
+bool GossipService::isNews(const EngineUpdate &news)
 {
     std::uint64_t &heard = m_reportsHeard[news.m_agentIncarnation]; // Reports are numbered from 1.
     if (news.m_number <= heard) {
@@ -191,7 +191,7 @@
     return members;
 }
 
-void GossipService::passOnLater(const EngineNews &news)
+void GossipService::passOnLater(const EngineUpdate &news)
 {
     m_toPassOn.push_back(news);
     if (m_toPassOn.size() > 1) {
@@ -400,7 +400,7 @@
     }
 }
 
-void GossipService::setEngineNews(EngineNews news, ReportUrgency urgency)
+void GossipService::setEngineUpdate(EngineUpdate news, ReportUrgency urgency)
 {
     news.m_agentIncarnation = m_self.m_incarnation;
     news.m_number = ++m_reportNumber;
@@ -435,7 +435,7 @@
     }
 }
 
-std::optional<Core::Duration> GossipService::sinceEntryHeard() const
+std::optional<Core::Duration> GossipService::timeSinceEntryHeartbeat() const
 {
     if (!m_entryHeardAt) {
         return std::nullopt;
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -80,9 +80,9 @@
     /// Called after state from a peer has been applied.
     void onStateApplied(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
     /// Called with the engine reports of a datagram that are newer than all before.
-    void onEngineNews(std::function<void(const std::vector<EngineNews> &news)> callback);
+    void onEngineNews(std::function<void(const std::vector<EngineUpdate> &news)> callback);
     /// Called when the set of live members may have changed.
-    void onMembers(std::function<void()> callback);
+    void onMembersChanged(std::function<void()> callback);
 
     void setReady(bool isReady);
     /// Requests of callers per second, told with the next heartbeats.
@@ -92,7 +92,7 @@
     /// Tells everybody at once that this process takes no new work.
     void announceLeaving();
     /// Sends this engine report with the next heartbeats, and now unless it is ReportUrgency::Regular.
-    void setEngineNews(EngineNews news, ReportUrgency urgency);
+    void setEngineUpdate(EngineUpdate news, ReportUrgency urgency);
     /// Sends a heartbeat to many, since the beliefs have changed.
     void spread();
     /// The same to agents alone, on news that came from a peer. Few entries read the log, and what they send reaches two in five agents; the others would
@@ -116,7 +116,7 @@
         return m_members;
     }
     /// Time since any entry was heard; empty if none ever was.
-    std::optional<Core::Duration> sinceEntryHeard() const;
+    std::optional<Core::Duration> timeSinceEntryHeartbeat() const;
 
 private:
     void receive();
@@ -130,8 +130,8 @@
     void noteAge(const AgedWeights &aged, Core::Instant now);
     void takeEngines(const Heartbeat &heartbeat);
     /// Whether a report is newer than all that were heard of its engine's agent.
-    bool isNews(const EngineNews &news);
-    void passOnLater(const EngineNews &news);
+    bool isNews(const EngineUpdate &news);
+    void passOnLater(const EngineUpdate &news);
     void passOn();
     void tick();
     void beat(ReportUrgency urgency);
@@ -159,10 +159,10 @@
     boost::asio::ip::udp::endpoint m_from;
     std::array<char, 2048> m_buffer; ///< Larger than any datagram of ours.
     Http::Timer m_timer;
-    std::optional<EngineNews> m_engine;
+    std::optional<EngineUpdate> m_engine;
     std::uint64_t m_reportNumber = 0; ///< Of the newest report of this agent.
     std::unordered_map<std::uint32_t, std::uint64_t> m_reportsHeard; ///< Number of the newest report, by incarnation of the agent.
-    std::vector<EngineNews> m_toPassOn;
+    std::vector<EngineUpdate> m_toPassOn;
     Http::Timer m_relayTimer;
     std::optional<Core::Instant> m_entryHeardAt;
     Core::Instant m_nextPull;
@@ -171,7 +171,7 @@
     std::function<void(const Fleet::FleetStateUpdate &)> m_onStateApplied;
     LogKnowledge m_logKnowledge; ///< When what is known of the list was known to be its newest state.
     std::function<std::optional<Core::Instant>()> m_listDoubtfulSince;
-    std::function<void(const std::vector<EngineNews> &)> m_onEngineNews;
+    std::function<void(const std::vector<EngineUpdate> &)> m_onEngineNews;
     std::function<void()> m_onMembers;
     Telemetry::Counter &m_datagramsSent;
     Telemetry::Counter &m_datagramsBad;
--- a/Libraries/LibGossip/Messages.h
+++ b/Libraries/LibGossip/Messages.h
@@ -21,7 +21,7 @@
 };
 
 /// What an agent says of its engine.
-struct EngineNews
+struct EngineUpdate
 {
     Core::Address m_address;
     std::uint64_t m_startedMilliseconds = 0; ///< Incarnation of the engine.
@@ -29,7 +29,7 @@
     std::uint64_t m_number = 0; ///< Grows with each report of an agent's incarnation: reports take several ways and may overtake each other.
     Placement::EngineReport m_report;
 
-    bool operator==(const EngineNews &) const = default;
+    bool operator==(const EngineUpdate &) const = default;
 
     MSGPACK_DEFINE_ARRAY(m_address.m_host, m_address.m_port, m_startedMilliseconds, m_agentIncarnation, m_number, m_report);
 };
@@ -46,7 +46,7 @@
     std::vector<Member> m_members; ///< Some others that the sender knows.
     std::vector<BeatNote> m_beats; ///< More others, in short: enough to tell a receiver that knows them that they live.
     std::vector<std::uint32_t> m_wanted; ///< Incarnations that the sender asks to be told of in full.
-    std::vector<EngineNews> m_engines; ///< From an agent that of its own engine; from an entry those that it passes on.
+    std::vector<EngineUpdate> m_engines; ///< From an agent that of its own engine; from an entry those that it passes on.
 
     bool operator==(const Heartbeat &) const = default;
 
--- a/Libraries/LibGossip/ReportFanOut.cpp
+++ b/Libraries/LibGossip/ReportFanOut.cpp
@@ -35,12 +35,12 @@
     for (std::pair<const std::string, std::vector<Member>> &domain : byDomain) {
         std::vector<Member> &chosen = domain.second;
         const bool isRelayed = passesReportsOn(chosen.size(), fanOut);
-        if (isRelayed && urgency == ReportUrgency::Soon && domain.first != failureDomain) {
+        if (isRelayed && urgency == ReportUrgency::Prompt && domain.first != failureDomain) {
             continue;
         }
         if (isRelayed) {
             chosen = relaysOf(std::move(chosen), fanOut.m_relays);
-            keepRandom(chosen, urgency == ReportUrgency::Certain ? fanOut.m_urgentCopies : 1, random);
+            keepRandom(chosen, urgency == ReportUrgency::Critical ? fanOut.m_urgentCopies : 1, random);
         }
         for (const Member &entry : chosen) {
             targets.push_back(entry.m_peers);
--- a/Libraries/LibGossip/ReportFanOut.h
+++ b/Libraries/LibGossip/ReportFanOut.h
@@ -8,8 +8,8 @@
 /// How soon the entries need a report.
 enum class ReportUrgency {
     Regular, ///< With the next heartbeat.
-    Soon, ///< Now, in the engine's own failure domain above all; the next one makes up for it if it is lost.
-    Certain, ///< Now, and it must reach every entry: what it says decides where requests may go.
+    Prompt, ///< Now, in the engine's own failure domain above all; the next one makes up for it if it is lost.
+    Critical, ///< Now, and it must reach every entry: what it says decides where requests may go.
 };
 
 /**
--- a/Libraries/LibServing/Directory.cpp
+++ b/Libraries/LibServing/Directory.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// 0 for the caller's failure domain, 1 for its region, 2 for elsewhere.
-int distance(const Gossip::Member &entry, const CallerPlace &place)
+int distance(const Gossip::Member &entry, const CallerLocation &place)
 {
     if (entry.m_failureDomain == place.m_failureDomain) {
         return 0;
@@ -20,7 +20,7 @@
 }
 
 std::vector<Core::Address>
-chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerPlace &place, const DirectorySettings &settings)
+chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerLocation &place, const DirectorySettings &settings)
 {
     std::vector<Gossip::Member> usable = others;
     usable.push_back(self);
--- a/Libraries/LibServing/Directory.h
+++ b/Libraries/LibServing/Directory.h
@@ -18,16 +18,16 @@
 };
 
 /// Where the caller stands; empty if it did not say.
-struct CallerPlace
+struct CallerLocation
 {
     std::string m_region;
     std::string m_failureDomain;
 
-    bool operator==(const CallerPlace &) const = default;
+    bool operator==(const CallerLocation &) const = default;
 };
 
 /// Entries that are ready and not leaving, near ones only if they are enough. @p self is one of those to be named.
 std::vector<Core::Address>
-chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerPlace &place, const DirectorySettings &settings);
+chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerLocation &place, const DirectorySettings &settings);
 
 }
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -121,8 +121,8 @@
     addDump();
     m_gossip.registerMethods();
     m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, false); });
-    m_gossip.onEngineNews([this](const std::vector<Gossip::EngineNews> &news) { engineNews(news); });
-    m_gossip.onMembers([this] { shareOut(); });
+    m_gossip.onEngineNews([this](const std::vector<Gossip::EngineUpdate> &news) { engineNews(news); });
+    m_gossip.onMembersChanged([this] { shareOut(); });
     m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, true); });
     m_gossip.onListDoubt([this] { return m_follower.doubtfulSince(); });
     m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.listRead(asked); });
@@ -276,16 +276,16 @@
     }
 }
 
-void EntryProcess::engineNews(const std::vector<Gossip::EngineNews> &news)
+void EntryProcess::engineNews(const std::vector<Gossip::EngineUpdate> &news)
 {
     const Core::Instant now = Core::Clock::now();
-    for (const Gossip::EngineNews &one : news) {
+    for (const Gossip::EngineUpdate &one : news) {
         takeReport(one, now);
     }
     m_relay.onSlotsChanged();
 }
 
-void EntryProcess::takeReport(const Gossip::EngineNews &news, Core::Instant now)
+void EntryProcess::takeReport(const Gossip::EngineUpdate &news, Core::Instant now)
 {
     for (const std::string &id : m_endpointsByAddress.idsAt(news.m_address)) {
         const Fleet::Endpoint &endpoint = m_fleetState.endpoints().at(id).m_endpoint;
@@ -332,7 +332,7 @@
     PageView view;
     view.m_isReady = [this] { return isReady(); };
     view.m_lifetimeSeconds = m_settings.m_directory.m_lifetimeSeconds;
-    view.m_entries = [this](const CallerPlace &place) {
+    view.m_entries = [this](const CallerLocation &place) {
         return chooseEntries(m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now()), m_gossip.self(), place, m_settings.m_directory);
     };
     PageAnswer answer = m_adapter.m_answerPage(request, view);
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -25,7 +25,7 @@
 struct PageView
 {
     std::function<bool()> m_isReady;
-    std::function<std::vector<Core::Address>(const CallerPlace &place)> m_entries;
+    std::function<std::vector<Core::Address>(const CallerLocation &place)> m_entries;
     std::uint32_t m_lifetimeSeconds = 0; ///< Of an answer with entries.
 };
 
@@ -57,8 +57,8 @@
     void continueLeaving();
     void stop();
     void onFleetStateChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
-    void engineNews(const std::vector<Gossip::EngineNews> &news);
-    void takeReport(const Gossip::EngineNews &news, Core::Instant now);
+    void engineNews(const std::vector<Gossip::EngineUpdate> &news);
+    void takeReport(const Gossip::EngineUpdate &news, Core::Instant now);
     void applyLimits();
     void answerPage(const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request);
     /// Takes a report of an engine's load into the ledger of places.
--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -120,7 +120,7 @@
     m_gossip.registerMethods();
     m_manifests.registerMethod();
     m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
-    m_gossip.onMembers([this] { onMembersChanged(); });
+    m_gossip.onMembersChanged([this] { onMembersChanged(); });
     m_follower.onUpdate([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
     m_weightsManager.onStatus([this](const EngineStatus &status, bool isAway, bool isChange) { onEngineStatus(status, isAway, isChange); });
     BOOST_OUTCOME_TRYV(m_node.start());
@@ -167,7 +167,7 @@
 
 void AgentProcess::onEngineStatus(const EngineStatus &status, bool isAway, bool isChange)
 {
-    Gossip::EngineNews news;
+    Gossip::EngineUpdate news;
     news.m_address = m_settings.m_engine;
     news.m_startedMilliseconds = status.m_startedMilliseconds;
     news.m_report.m_running = status.m_running;
@@ -176,8 +176,8 @@
     news.m_report.m_isLoading = status.m_isBusy || isAway;
     news.m_report.m_weights = status.m_weights;
     // Entries admit requests by these reports.
-    const Gossip::ReportUrgency usual = m_weightsManager.isNearlyFull() ? Gossip::ReportUrgency::Soon : Gossip::ReportUrgency::Regular;
-    m_gossip.setEngineNews(std::move(news), isChange ? Gossip::ReportUrgency::Certain : usual);
+    const Gossip::ReportUrgency usual = m_weightsManager.isNearlyFull() ? Gossip::ReportUrgency::Prompt : Gossip::ReportUrgency::Regular;
+    m_gossip.setEngineUpdate(std::move(news), isChange ? Gossip::ReportUrgency::Critical : usual);
 }
 
 void AgentProcess::onMembersChanged()
@@ -190,7 +190,7 @@
 
 void AgentProcess::tick()
 {
-    const std::optional<Core::Duration> silence = m_gossip.sinceEntryHeard();
+    const std::optional<Core::Duration> silence = m_gossip.timeSinceEntryHeartbeat();
     const Core::Duration alone = silence ? *silence : std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_startedAt);
     if (alone > m_settings.m_entrySilenceLimit && !m_follower.isStarted()) {
         m_log.write(Telemetry::LogLine("no_entry_heard").number("for_ms", static_cast<std::int64_t>(alone.count())));
--- a/Tests/LibFollow/TestFollower.cpp
+++ b/Tests/LibFollow/TestFollower.cpp
@@ -31,11 +31,11 @@
     FollowerFixture()
     {
         Follow::RecordSource source;
-        source.m_readAllDeclarations = [this](Follow::DeclarationsRead done) {
+        source.m_readAllDeclarations = [this](Follow::DeclarationsCallback done) {
             ++m_wholeReads;
             answer(std::move(done));
         };
-        source.m_awaitDeclarations = [this](Fleet::Offset, Core::Duration, Follow::DeclarationsRead done) {
+        source.m_awaitDeclarations = [this](Fleet::Offset, Core::Duration, Follow::DeclarationsCallback done) {
             ++m_waitingReads;
             answer(std::move(done));
         };
@@ -48,7 +48,7 @@
         m_follower->onUnreachable([this] { ++m_failures; });
     }
 
-    void answer(Follow::DeclarationsRead done)
+    void answer(Follow::DeclarationsCallback done)
     {
         boost::asio::post(m_loop, [this, give = std::move(done)] {
             if (m_error) {
@@ -129,13 +129,13 @@
     Http::Timer answer(loop);
     std::optional<Core::Instant> sentAt;
     Follow::RecordSource source;
-    source.m_readAllDeclarations = [](const Follow::DeclarationsRead &) {};
-    source.m_readAllEndpoints = [&answer, &sentAt, answersAfter](const Follow::EndpointsRead &done) {
+    source.m_readAllDeclarations = [](const Follow::DeclarationsCallback &) {};
+    source.m_readAllEndpoints = [&answer, &sentAt, answersAfter](const Follow::EndpointsCallback &done) {
         sentAt = sentAt.value_or(Core::Clock::now());
         answer.expires_after(answersAfter);
         answer.async_wait([done](const boost::system::error_code &) { done(Fleet::EndpointChanges{1, true, {}}); });
     };
-    source.m_readEndpoints = [](Fleet::Offset, const Follow::EndpointsRead &) {};
+    source.m_readEndpoints = [](Fleet::Offset, const Follow::EndpointsCallback &) {};
     Follow::Follower follower(Follow::FollowerParts{loop, beliefs, versions, metrics, log, random}, Follow::FollowerSettings{}, std::move(source));
     std::optional<Core::Instant> knownAsOf;
     follower.onEndpointsRead([&knownAsOf](Core::Instant asked) { knownAsOf = asked; });
--- a/Tests/LibGossip/TestMessages.cpp
+++ b/Tests/LibGossip/TestMessages.cpp
@@ -65,7 +65,7 @@
     Gossip::Heartbeat relayed;
     relayed.m_sender = member(0);
     relayed.m_weights = usual.m_weights;
-    Gossip::EngineNews news{Core::Address{"10.200.100.200", 8014}, 1789000000000, 4000000000U, 100000, {12, 24, 1.25, false, {}}};
+    Gossip::EngineUpdate news{Core::Address{"10.200.100.200", 8014}, 1789000000000, 4000000000U, 100000, {12, 24, 1.25, false, {}}};
     news.m_report.m_weights = {Fleet::LoadedWeights{"daka510000", 2, {Fleet::LayerRange{0, 16}}}};
     relayed.m_engines.assign(settings.m_relayedAtOnce, news);
     CHECK(Wire::pack(relayed).size() < PacketBytes);
--- a/Tests/LibGossip/TestReportFanOut.cpp
+++ b/Tests/LibGossip/TestReportFanOut.cpp
@@ -26,7 +26,7 @@
 {
     Core::Random random(1);
     const Gossip::ReportFanOut fanOut;
-    for (const Gossip::ReportUrgency urgency : {Gossip::ReportUrgency::Regular, Gossip::ReportUrgency::Soon}) {
+    for (const Gossip::ReportUrgency urgency : {Gossip::ReportUrgency::Regular, Gossip::ReportUrgency::Prompt}) {
         CHECK(Gossip::reportTargets(entries(3, fanOut.m_mostDirect), "domain-0", urgency, fanOut, random).size() == 3 * fanOut.m_mostDirect);
     }
     CHECK_FALSE(Gossip::passesReportsOn(fanOut.m_mostDirect, fanOut));
@@ -44,7 +44,7 @@
         const std::vector<Core::Address> targets = Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Regular, fanOut, random);
         CHECK(targets.size() == 3);
         used.insert(targets.begin(), targets.end());
-        CHECK(Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Certain, fanOut, random).size() == 3 * fanOut.m_urgentCopies);
+        CHECK(Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Critical, fanOut, random).size() == 3 * fanOut.m_urgentCopies);
     }
     CHECK(used.size() == 3 * fanOut.m_relays);
 }
@@ -56,7 +56,7 @@
     const Gossip::ReportFanOut fanOut;
     const std::vector<Gossip::Member> all = entries(5, 30);
     for (int report = 0; report < 50; ++report) {
-        const std::vector<Core::Address> targets = Gossip::reportTargets(all, "domain-2", Gossip::ReportUrgency::Soon, fanOut, random);
+        const std::vector<Core::Address> targets = Gossip::reportTargets(all, "domain-2", Gossip::ReportUrgency::Prompt, fanOut, random);
         REQUIRE(targets.size() == 1);
         const std::vector<Gossip::Member>::const_iterator target =
             std::find_if(all.begin(), all.end(), [&targets](const Gossip::Member &entry) { return entry.m_peers == targets.front(); });
@@ -67,5 +67,5 @@
 TEST_CASE("without entries a report goes nowhere")
 {
     Core::Random random(3);
-    CHECK(Gossip::reportTargets({}, "domain-0", Gossip::ReportUrgency::Certain, Gossip::ReportFanOut{}, random).empty());
+    CHECK(Gossip::reportTargets({}, "domain-0", Gossip::ReportUrgency::Critical, Gossip::ReportFanOut{}, random).empty());
 }
--- a/Tests/LibServing/TestDirectory.cpp
+++ b/Tests/LibServing/TestDirectory.cpp
@@ -27,7 +27,7 @@
     return found;
 }
 
-const Serving::CallerPlace North{"north", "north-a"};
+const Serving::CallerLocation North{"north", "north-a"};
 
 }
 
