--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -264,7 +264,7 @@
             }
         }
         from += page.m_records.size();
-        fresh.m_next = page.m_next;
+        fresh.m_nextOffset = page.m_next;
         if (page.m_records.empty() || from >= page.m_next) {
             break;
         }
@@ -275,7 +275,7 @@
     ControlState state = start ? std::move(*start) : ControlState();
     const Platform::Offset following = state.m_position + 1;
     fresh.m_state = BOOST_OUTCOME_TRYX(foldRetained(log, stream, std::move(state), following));
-    fresh.m_next = fresh.m_state->m_position + 1;
+    fresh.m_nextOffset = fresh.m_state->m_position + 1;
     return fresh;
 }
 
--- a/Libraries/LibControl/Recovery.h
+++ b/Libraries/LibControl/Recovery.h
@@ -31,7 +31,7 @@
 {
     std::optional<ControlState> m_state; ///< Empty if the log holds neither its first record nor a usable checkpoint.
     Platform::Offset m_first = 1;
-    Platform::Offset m_next = 1;
+    Platform::Offset m_nextOffset = 1;
 };
 
 /**
--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -15,13 +15,14 @@
 struct FollowerSettings
 {
     bool m_followsEndpoints = true; ///< Agents have no use for the list of endpoints.
-    Core::Duration m_declarationsPatience{12000}; ///< A waiting read that went silent is noticed by then at the latest; peers tell of news sooner.
+    Core::Duration m_declarationsWaitLimit{12000}; ///< A waiting read that went silent is noticed by then at the latest; peers tell of news sooner.
     Core::Duration m_endpointsInterval{900}; ///< With the answer's way under half of the time in which a leaving endpoint must be known.
-    Core::Duration m_firstRetry{150};
-    Core::Duration m_longestRetry{1200};
-    Core::Duration m_restInterval{200}; ///< Between looks whether this process still may rest: a fraction of the age at which it may not.
-    Core::Duration m_outageMemory{2500}; ///< After an outage, for which entries that vanish may only have lapsed; live endpoints are back within two seconds.
-    Core::Duration m_forgetInterval{200}; ///< Between looks for entries that have not come back: an engine behind one may be leaving.
+    Core::Duration m_initialRetryDelay{150};
+    Core::Duration m_maximumRetryDelay{1200};
+    Core::Duration m_peerCheckInterval{200}; ///< Between looks whether this process still may rest: a fraction of the age at which it may not.
+    Core::Duration m_outageGracePeriod{
+        2500}; ///< After an outage, for which entries that vanish may only have lapsed; live endpoints are back within two seconds.
+    Core::Duration m_missingCheckInterval{200}; ///< Between looks for entries that have not come back: an engine behind one may be leaving.
 
     bool operator==(const FollowerSettings &) const = default;
 };
@@ -55,12 +56,12 @@
     /// Called after every read of the list of endpoints that succeeded. @p asked: when it was sent, as of which the list is known.
     void onEndpointsRead(std::function<void(Core::Instant asked)> callback);
     /// Asked before each read but the first: while it says yes, peers keep this process up to date and nothing is read.
-    void onMayRest(std::function<bool()> mayRest);
+    void setRelyOnPeersQuery(std::function<bool()> mayRest);
     /**
      * When the list came within reach again, or was first read, if that is so short ago that entries may have lapsed from it though their endpoints
      * live. Now, while it is out of reach.
      */
-    std::optional<Core::Instant> doubtfulSince() const;
+    std::optional<Core::Instant> uncertainSince() const;
 
     /// Begins to read. Without effect once begun.
     void start();
@@ -71,45 +72,45 @@
 
 private:
     /// One of the two logs that are read.
-    struct Reading
+    struct ReadState
     {
-        explicit Reading(Http::EventLoop &loop)
+        explicit ReadState(Http::EventLoop &loop)
             : m_timer(loop)
         {
         }
 
         Http::Timer m_timer;
-        Fleet::Offset m_next = 0; ///< Where the next read begins; 0 before everything was read.
-        std::uint32_t m_failures = 0; ///< In a row.
-        std::optional<Core::Instant> m_regainedAt; ///< When a read last succeeded after one that had failed.
+        Fleet::Offset m_nextOffset = 0; ///< Where the next read begins; 0 before everything was read.
+        std::uint32_t m_consecutiveFailures = 0; ///< In a row.
+        std::optional<Core::Instant> m_recoveredAt; ///< When a read last succeeded after one that had failed.
     };
 
     void readDeclarations();
-    void declarationsCame(Core::Result<Fleet::Declarations> result, bool isFirst);
-    void noteAcceptance(const Fleet::Declarations &declarations, bool isFirst);
+    void handleDeclarations(Core::Result<Fleet::Declarations> result, bool isFirst);
+    void recordVersions(const Fleet::Declarations &declarations, bool isFirst);
     void readEndpoints();
-    void endpointsCame(Core::Result<Fleet::EndpointChanges> result, Core::Instant asked);
+    void handleEndpoints(Core::Result<Fleet::EndpointChanges> result, Core::Instant asked);
     /// Lets go of endpoints that stay missing, unless the list is out of reach: whether they are back cannot be seen then.
-    void forgetMissing();
-    void failed(Reading &reading, const Core::Error &error, const char *what);
-    void again(Reading &reading, Core::Duration pause, void (Follower::*read)());
-    bool mayRest(const Reading &reading) const;
+    void removeMissingEndpoints();
+    void handleFailure(ReadState &reading, const Core::Error &error, const char *what);
+    void scheduleRead(ReadState &reading, Core::Duration pause, void (Follower::*read)());
+    bool mayRelyOnPeers(const ReadState &reading) const;
     /// Like doubtfulSince(), but a process that has only just started is no reason for doubt.
     std::optional<Core::Instant> outageEnd() const;
-    Core::Duration retryPause(const Reading &reading);
-    void tell(const Fleet::FleetStateUpdate &update);
+    Core::Duration retryDelay(const ReadState &reading);
+    void notifyUpdate(const Fleet::FleetStateUpdate &update);
 
     const FollowerParts m_parts;
     const FollowerSettings m_settings;
     const RecordSource m_source;
-    Reading m_declarations;
-    Reading m_endpoints;
-    Http::Timer m_forgetTimer;
+    ReadState m_declarationsState;
+    ReadState m_endpointsState;
+    Http::Timer m_missingCheckTimer;
     bool m_isStarted = false;
     std::function<void(const Fleet::FleetStateUpdate &)> m_onUpdate;
     std::function<void()> m_onUnreachable;
     std::function<void(Core::Instant asked)> m_onEndpointsRead;
-    std::function<bool()> m_mayRest;
+    std::function<bool()> m_mayRelyOnPeers;
     std::optional<Core::Instant> m_startedAt;
     Telemetry::Counter &m_reads;
     Telemetry::Counter &m_readsFailed;
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -70,68 +70,68 @@
     return Core::success();
 }
 
-void GossipService::onEngineNews(std::function<void(const std::vector<EngineUpdate> &)> callback)
+void GossipService::onEngineUpdates(std::function<void(const std::vector<EngineUpdate> &)> callback)
 {
-    m_onEngineNews = std::move(callback);
+    m_onEngineUpdates = std::move(callback);
 }
 
 void GossipService::onMembersChanged(std::function<void()> callback)
 {
-    m_onMembers = std::move(callback);
+    m_onMembersChanged = std::move(callback);
 }
 
 void GossipService::receive()
 {
-    m_socket.async_receive_from(Asio::buffer(m_buffer), m_from, [this, alive = m_isAlive](const boost::system::error_code &error, std::size_t size) {
+    m_socket.async_receive_from(Asio::buffer(m_buffer), m_datagramSender, [this, alive = m_isAlive](const boost::system::error_code &error, std::size_t size) {
         if (!*alive || error == Asio::error::operation_aborted) {
             return;
         }
         // An error here tells of an earlier datagram that found no listener; the next one may.
         if (!error) {
-            received(std::string_view(m_buffer.data(), size));
+            handleDatagram(std::string_view(m_buffer.data(), size));
         }
         receive();
     });
 }
 
-void GossipService::received(std::string_view bytes)
+void GossipService::handleDatagram(std::string_view bytes)
 {
-    const Core::Result<Heartbeat> heartbeat = Wire::unpack<Heartbeat>(bytes, m_from.address().to_string());
+    const Core::Result<Heartbeat> heartbeat = Wire::unpack<Heartbeat>(bytes, m_datagramSender.address().to_string());
     if (!heartbeat) {
         m_datagramsBad.add();
         return;
     }
-    heardFrom(heartbeat.value());
+    handleHeartbeat(heartbeat.value());
 }
 
-void GossipService::heardFrom(const Heartbeat &heartbeat)
+void GossipService::handleHeartbeat(const Heartbeat &heartbeat)
 {
     const Core::Instant now = Core::Clock::now();
-    bool isChanged = m_members.heard(heartbeat.m_sender, true, now);
+    bool isChanged = m_members.merge(heartbeat.m_sender, true, now);
     if (isChanged) {
         Telemetry::LogLine line("member");
         line.text("id", heartbeat.m_sender.m_id).flag("ready", heartbeat.m_sender.m_isReady).flag("leaving", heartbeat.m_sender.m_isLeaving);
         m_parts.m_log.write(line);
     }
     for (const Member &member : heartbeat.m_members) {
-        isChanged = m_members.heard(member, false, now) || isChanged;
+        isChanged = m_members.merge(member, false, now) || isChanged;
     }
     if (heartbeat.m_sender.m_role == Role::Entry) {
-        m_entryHeardAt = now;
+        m_lastEntryHeartbeatAt = now;
     }
-    takeWeights(heartbeat.m_weights);
-    askFor(m_members.heardBeats(heartbeat.m_beats, now), heartbeat.m_sender);
-    tellOf(heartbeat.m_wanted, heartbeat.m_sender);
-    takeEngines(heartbeat);
-    takeState(heartbeat);
+    applyWeights(heartbeat.m_weights);
+    requestMembers(m_members.mergeDigests(heartbeat.m_digests, now), heartbeat.m_sender);
+    sendMembers(heartbeat.m_requestedMembers, heartbeat.m_sender);
+    handleEngineUpdates(heartbeat);
+    pullOrConfirmState(heartbeat);
     answerNewcomer(heartbeat);
-    if (isChanged && m_onMembers) {
-        m_onMembers();
+    if (isChanged && m_onMembersChanged) {
+        m_onMembersChanged();
     }
 }
 
 /// Asks for members of which only a note was heard. In a large fleet, chance alone takes a minute to name the last of them in full.
-void GossipService::askFor(std::vector<std::uint32_t> incarnations, const Member &knower)
+void GossipService::requestMembers(std::vector<std::uint32_t> incarnations, const Member &knower)
 {
     std::erase(incarnations, m_self.m_incarnation);
     if (incarnations.empty()) {
@@ -139,11 +139,11 @@
     }
     incarnations.resize(std::min(incarnations.size(), m_settings.m_sampledForNewcomers));
     Heartbeat question = makeHeartbeat(0);
-    question.m_wanted = std::move(incarnations);
+    question.m_requestedMembers = std::move(incarnations);
     sendTo(knower.m_peers, Wire::pack(question));
 }
 
-void GossipService::tellOf(std::vector<std::uint32_t> incarnations, const Member &asker)
+void GossipService::sendMembers(std::vector<std::uint32_t> incarnations, const Member &asker)
 {
     incarnations.resize(std::min(incarnations.size(), m_settings.m_sampledForNewcomers));
     if (incarnations.empty()) {
@@ -154,85 +154,85 @@
     sendTo(asker.m_peers, Wire::pack(answer));
 }
 
-void GossipService::takeEngines(const Heartbeat &heartbeat)
+void GossipService::handleEngineUpdates(const Heartbeat &heartbeat)
 {
     const bool isFirstHand = heartbeat.m_sender.m_role == Role::Agent;
     const Core::Instant now = Core::Clock::now();
     std::vector<EngineUpdate> fresh;
-    for (const EngineUpdate &news : heartbeat.m_engines) {
-        if (!isNews(news)) {
+    for (const EngineUpdate &news : heartbeat.m_engineUpdates) {
+        if (!recordIfNewer(news)) {
             continue;
         }
-        m_members.heardAlive(news.m_agentIncarnation, now);
+        m_members.markAlive(news.m_agentIncarnation, now);
         fresh.push_back(news);
         if (isFirstHand && m_self.m_role == Role::Entry) {
-            passOnLater(news);
+            queueForRelay(news);
         }
     }
-    if (!fresh.empty() && m_onEngineNews) {
-        m_onEngineNews(fresh);
+    if (!fresh.empty() && m_onEngineUpdates) {
+        m_onEngineUpdates(fresh);
     }
 }
 
-bool GossipService::isNews(const EngineUpdate &news)
+bool GossipService::recordIfNewer(const EngineUpdate &news)
 {
-    std::uint64_t &heard = m_reportsHeard[news.m_agentIncarnation]; // Reports are numbered from 1.
-    if (news.m_number <= heard) {
+    std::uint64_t &heard = m_receivedSequenceNumbers[news.m_agentIncarnation]; // Reports are numbered from 1.
+    if (news.m_sequenceNumber <= heard) {
         return false;
     }
-    heard = news.m_number;
+    heard = news.m_sequenceNumber;
     return true;
 }
 
-std::vector<Member> GossipService::nearMembers(Role role) const
+std::vector<Member> GossipService::membersInOwnDomain(Role role) const
 {
     std::vector<Member> members = m_members.alive(role, Core::Clock::now());
     std::erase_if(members, [this](const Member &member) { return member.m_failureDomain != m_self.m_failureDomain; });
     return members;
 }
 
-void GossipService::passOnLater(const EngineUpdate &news)
+void GossipService::queueForRelay(const EngineUpdate &news)
 {
-    m_toPassOn.push_back(news);
-    if (m_toPassOn.size() > 1) {
+    m_relayQueue.push_back(news);
+    if (m_relayQueue.size() > 1) {
         return; // The timer is running.
     }
     m_relayTimer.expires_after(m_settings.m_relayDelay);
     m_relayTimer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
         if (*alive && !error) {
-            passOn();
+            relayQueued();
         }
     });
 }
 
-void GossipService::passOn()
+void GossipService::relayQueued()
 {
-    const std::vector<Member> entries = nearMembers(Role::Entry);
-    const bool isRelay = passesReportsOn(entries.size() + 1, m_settings.m_reports);
-    for (std::size_t first = 0; isRelay && first < m_toPassOn.size(); first += m_settings.m_relayedAtOnce) {
-        const std::size_t end = std::min(m_toPassOn.size(), first + m_settings.m_relayedAtOnce);
+    const std::vector<Member> entries = membersInOwnDomain(Role::Entry);
+    const bool isRelay = relaysReports(entries.size() + 1, m_settings.m_reportFanOut);
+    for (std::size_t first = 0; isRelay && first < m_relayQueue.size(); first += m_settings.m_relayBatchSize) {
+        const std::size_t end = std::min(m_relayQueue.size(), first + m_settings.m_relayBatchSize);
         Heartbeat heartbeat = makeHeartbeat(0);
-        heartbeat.m_engines.assign(m_toPassOn.begin() + static_cast<std::ptrdiff_t>(first), m_toPassOn.begin() + static_cast<std::ptrdiff_t>(end));
+        heartbeat.m_engineUpdates.assign(m_relayQueue.begin() + static_cast<std::ptrdiff_t>(first), m_relayQueue.begin() + static_cast<std::ptrdiff_t>(end));
         const std::string encoded = Wire::pack(heartbeat);
         for (const Member &entry : entries) {
             sendTo(entry.m_peers, encoded);
         }
     }
-    m_toPassOn.clear();
+    m_relayQueue.clear();
 }
 
 void GossipService::answerNewcomer(const Heartbeat &heartbeat)
 {
     constexpr double muchLess = 0.7; // Of what is known here.
     const std::function<bool(std::size_t)> knowsMuchLess = [&heartbeat](std::size_t known) {
-        return static_cast<double>(heartbeat.m_knownMembers) < static_cast<double>(known) * muchLess;
+        return static_cast<double>(heartbeat.m_knownMemberCount) < static_cast<double>(known) * muchLess;
     };
     const Core::Instant now = Core::Clock::now();
     // To find out who lives takes a look at every member, and nearly every datagram comes from a process that knows as many.
     if (!knowsMuchLess(m_members.countKnown()) || !knowsMuchLess(m_members.countAlive(now))) {
         return;
     }
-    Core::Instant &answered = m_newcomersAnswered[heartbeat.m_sender.m_id];
+    Core::Instant &answered = m_newcomerAnswerTimes[heartbeat.m_sender.m_id];
     if (now - answered < NewcomerInterval) {
         return;
     }
@@ -243,11 +243,11 @@
 Heartbeat GossipService::makeHeartbeat(std::size_t sampled)
 {
     const Core::Instant now = Core::Clock::now();
-    ++m_self.m_beat;
+    ++m_self.m_heartbeatCount;
     Heartbeat heartbeat;
     heartbeat.m_sender = m_self;
-    heartbeat.m_knownMembers = static_cast<std::uint32_t>(m_members.countAlive(now));
-    heartbeat.m_configurationMark = m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    heartbeat.m_knownMemberCount = static_cast<std::uint32_t>(m_members.countAlive(now));
+    heartbeat.m_configurationRevisionOffset = m_parts.m_fleetState.declarations().configurationRevisionOffset();
     heartbeat.m_endpointsRevisionOffset = m_parts.m_fleetState.endpointsRevisionOffset();
     const std::optional<Core::Duration> age = listAge();
     heartbeat.m_listAgeMilliseconds = age ? std::optional<std::uint64_t>(age->count()) : std::nullopt;
@@ -278,12 +278,12 @@
     m_datagramsSent.add(error ? 0 : 1);
 }
 
-std::vector<Core::Address> GossipService::fewOf(Role role)
+std::vector<Core::Address> GossipService::sampleTargets(Role role)
 {
-    std::vector<Member> chosen = nearMembers(role);
-    keepRandom(chosen, m_settings.m_nearFanOut, m_parts.m_random);
+    std::vector<Member> chosen = membersInOwnDomain(role);
+    keepRandom(chosen, m_settings.m_ownDomainFanOut, m_parts.m_random);
     std::vector<Member> others = m_members.alive(role, Core::Clock::now());
-    keepRandom(others, m_settings.m_anyFanOut, m_parts.m_random);
+    keepRandom(others, m_settings.m_fleetFanOut, m_parts.m_random);
     chosen.insert(chosen.end(), others.begin(), others.end());
     std::vector<Core::Address> targets;
     for (const Member &member : chosen) {
@@ -307,7 +307,7 @@
     return targets;
 }
 
-void GossipService::sendHeartbeat(Heartbeat heartbeat, const std::vector<Core::Address> &targets)
+void GossipService::sendHeartbeatTo(Heartbeat heartbeat, const std::vector<Core::Address> &targets)
 {
     const std::string encoded = Wire::pack(heartbeat);
     for (const Core::Address &target : targets) {
@@ -315,54 +315,54 @@
     }
 }
 
-void GossipService::beatAsEntry()
+void GossipService::sendEntryHeartbeats()
 {
     const Core::Instant now = Core::Clock::now();
     Heartbeat heartbeat = makeHeartbeat(m_settings.m_sampledMembers);
     // Entries hear of agents by their reports already.
-    heartbeat.m_beats = m_members.sampleBeats(m_settings.m_sampledBeats, Role::Entry, now, m_parts.m_random);
-    sendHeartbeat(heartbeat, fewOf(Role::Entry));
-    heartbeat.m_beats = m_members.sampleBeats(m_settings.m_sampledBeats, std::nullopt, now, m_parts.m_random);
-    sendHeartbeat(heartbeat, fewOf(Role::Agent));
-    sendHeartbeat(std::move(heartbeat), seedTargets());
+    heartbeat.m_digests = m_members.sampleDigests(m_settings.m_sampledDigests, Role::Entry, now, m_parts.m_random);
+    sendHeartbeatTo(heartbeat, sampleTargets(Role::Entry));
+    heartbeat.m_digests = m_members.sampleDigests(m_settings.m_sampledDigests, std::nullopt, now, m_parts.m_random);
+    sendHeartbeatTo(heartbeat, sampleTargets(Role::Agent));
+    sendHeartbeatTo(std::move(heartbeat), seedTargets());
 }
 
-void GossipService::beatAsAgent(ReportUrgency urgency)
+void GossipService::sendAgentHeartbeats(ReportUrgency urgency)
 {
     Heartbeat heartbeat = makeHeartbeat(0);
     std::vector<Core::Address> targets = seedTargets();
     std::vector<Core::Address> entries;
-    if (m_engine) {
-        heartbeat.m_engines = {*m_engine};
-        entries = reportTargets(m_members.alive(Role::Entry, Core::Clock::now()), m_self.m_failureDomain, urgency, m_settings.m_reports, m_parts.m_random);
+    if (m_engineUpdate) {
+        heartbeat.m_engineUpdates = {*m_engineUpdate};
+        entries = reportTargets(m_members.alive(Role::Entry, Core::Clock::now()), m_self.m_failureDomain, urgency, m_settings.m_reportFanOut, m_parts.m_random);
     } else {
-        entries = fewOf(Role::Entry);
+        entries = sampleTargets(Role::Entry);
     }
     targets.insert(targets.end(), entries.begin(), entries.end());
-    sendHeartbeat(std::move(heartbeat), targets);
+    sendHeartbeatTo(std::move(heartbeat), targets);
 }
 
-void GossipService::beat(ReportUrgency urgency)
+void GossipService::sendHeartbeats(ReportUrgency urgency)
 {
     if (m_self.m_role == Role::Entry) {
-        beatAsEntry();
+        sendEntryHeartbeats();
     } else {
-        beatAsAgent(urgency);
+        sendAgentHeartbeats(urgency);
     }
 }
 
 void GossipService::tick()
 {
     const Core::Instant now = Core::Clock::now();
-    m_members.forget(now);
-    std::erase_if(m_reportsHeard, [this](const std::pair<const std::uint32_t, std::uint64_t> &heard) { return !m_members.knows(heard.first); });
-    std::erase_if(m_newcomersAnswered, [now](const std::pair<const std::string, Core::Instant> &entry) { return now - entry.second > NewcomerInterval; });
-    beat(ReportUrgency::Regular);
-    if (m_onMembers) {
-        m_onMembers();
+    m_members.removeExpired(now);
+    std::erase_if(m_receivedSequenceNumbers, [this](const std::pair<const std::uint32_t, std::uint64_t> &heard) { return !m_members.contains(heard.first); });
+    std::erase_if(m_newcomerAnswerTimes, [now](const std::pair<const std::string, Core::Instant> &entry) { return now - entry.second > NewcomerInterval; });
+    sendHeartbeats(ReportUrgency::Regular);
+    if (m_onMembersChanged) {
+        m_onMembersChanged();
     }
     const bool isAlone = m_members.countAlive(now) < FewMembers;
-    m_timer.expires_after(isAlone ? m_settings.m_firstInterval : m_settings.m_interval);
+    m_timer.expires_after(isAlone ? m_settings.m_discoveryInterval : m_settings.m_interval);
     m_timer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
         if (*alive && !error) {
             tick();
@@ -375,7 +375,7 @@
     if (m_self.m_isReady != isReady) {
         m_self.m_isReady = isReady;
         ++m_self.m_revision;
-        beat(ReportUrgency::Regular);
+        sendHeartbeats(ReportUrgency::Regular);
     }
 }
 
@@ -403,18 +403,18 @@
 void GossipService::setEngineUpdate(EngineUpdate news, ReportUrgency urgency)
 {
     news.m_agentIncarnation = m_self.m_incarnation;
-    news.m_number = ++m_reportNumber;
-    m_engine = std::move(news);
+    news.m_sequenceNumber = ++m_ownSequenceNumber;
+    m_engineUpdate = std::move(news);
     if (urgency != ReportUrgency::Regular) {
-        beat(urgency);
+        sendHeartbeats(urgency);
     }
 }
 
-void GossipService::spread()
+void GossipService::announceStateChange()
 {
     const std::string encoded = Wire::pack(makeHeartbeat(0));
     const Core::Instant now = Core::Clock::now();
-    std::vector<Member> targets = nearMembers(Role::Entry);
+    std::vector<Member> targets = membersInOwnDomain(Role::Entry);
     for (const Role role : {Role::Entry, Role::Agent}) {
         std::vector<Member> others = m_members.alive(role, now);
         keepRandom(others, WideFanOut, m_parts.m_random);
@@ -425,7 +425,7 @@
     }
 }
 
-void GossipService::spreadToAgents()
+void GossipService::announceStateChangeToAgents()
 {
     std::vector<Member> agents = m_members.alive(Role::Agent, Core::Clock::now());
     keepRandom(agents, WideFanOut, m_parts.m_random);
@@ -437,10 +437,10 @@
 
 std::optional<Core::Duration> GossipService::timeSinceEntryHeartbeat() const
 {
-    if (!m_entryHeardAt) {
+    if (!m_lastEntryHeartbeatAt) {
         return std::nullopt;
     }
-    return std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_entryHeardAt);
+    return std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_lastEntryHeartbeatAt);
 }
 
 }
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -24,18 +24,18 @@
 {
     std::vector<std::string> m_seedHosts; ///< Instances to begin with; their processes use the same port as this one. May be stale.
     Core::Duration m_interval{500}; ///< Between heartbeats.
-    Core::Duration m_firstInterval{150}; ///< Between heartbeats while few members are known.
+    Core::Duration m_discoveryInterval{150}; ///< Between heartbeats while few members are known.
     /// Members of its own failure domain that an entry's heartbeat goes to, for each role: callers are told of these first, and the links are its own.
-    std::size_t m_nearFanOut = 2;
-    std::size_t m_anyFanOut = 1; ///< The same among all members.
+    std::size_t m_ownDomainFanOut = 2;
+    std::size_t m_fleetFanOut = 1; ///< The same among all members.
     std::size_t m_sampledMembers = 6; ///< Others that a heartbeat names: with the rest, half a datagram.
-    std::size_t m_sampledBeats = 40; ///< Members of which a heartbeat has a note only: what fits beside the others.
+    std::size_t m_sampledDigests = 40; ///< Members of which a heartbeat has a note only: what fits beside the others.
     std::size_t m_sampledForNewcomers = 11; ///< The same for a process that knows few: what fits into a datagram of 1,400 bytes.
     Core::Duration m_pullInterval{300}; ///< Least time between two requests for state.
     Core::Duration m_pullTimeout{1000};
-    ReportFanOut m_reports;
+    ReportFanOut m_reportFanOut;
     Core::Duration m_relayDelay{60}; ///< For which reports that are to be passed on are collected: a fraction of their interval.
-    std::size_t m_relayedAtOnce = 10; ///< Reports in one datagram: what fits into 1,400 bytes.
+    std::size_t m_relayBatchSize = 10; ///< Reports in one datagram: what fits into 1,400 bytes.
 
     bool operator==(const GossipSettings &) const = default;
 };
@@ -80,7 +80,7 @@
     /// Called after state from a peer has been applied.
     void onStateApplied(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
     /// Called with the engine reports of a datagram that are newer than all before.
-    void onEngineNews(std::function<void(const std::vector<EngineUpdate> &news)> callback);
+    void onEngineUpdates(std::function<void(const std::vector<EngineUpdate> &news)> callback);
     /// Called when the set of live members may have changed.
     void onMembersChanged(std::function<void()> callback);
 
@@ -94,16 +94,16 @@
     /// Sends this engine report with the next heartbeats, and now unless it is ReportUrgency::Regular.
     void setEngineUpdate(EngineUpdate news, ReportUrgency urgency);
     /// Sends a heartbeat to many, since the beliefs have changed.
-    void spread();
+    void announceStateChange();
     /// The same to agents alone, on news that came from a peer. Few entries read the log, and what they send reaches two in five agents; the others would
     /// begin to draw a new version up to half a second later.
-    void spreadToAgents();
+    void announceStateChangeToAgents();
     /// Notes that the list of endpoints is known here as of @p asked, and tells the entries nearby, which then need not read it.
-    void listRead(Core::Instant asked);
+    void announceListRead(Core::Instant asked);
     /// Time since what is known here of the list was known to be its newest state; empty if it never was.
     std::optional<Core::Duration> listAge() const;
     /// Asked since when entries may have lapsed from the list as known here; empty if they have not.
-    void onListDoubt(std::function<std::optional<Core::Instant>()> doubtfulSince);
+    void setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> doubtfulSince);
     /// Asks a live entry for what it knows, since the log is out of reach.
     void pullFromAnyEntry();
 
@@ -120,35 +120,35 @@
 
 private:
     void receive();
-    void received(std::string_view bytes);
-    void heardFrom(const Heartbeat &heartbeat);
-    void takeWeights(const std::vector<AgedWeights> &weights);
-    void askFor(std::vector<std::uint32_t> incarnations, const Member &knower);
-    void tellOf(std::vector<std::uint32_t> incarnations, const Member &asker);
-    void takeState(const Heartbeat &heartbeat);
-    void listConfirmed(Core::Instant at);
-    void noteAge(const AgedWeights &aged, Core::Instant now);
-    void takeEngines(const Heartbeat &heartbeat);
+    void handleDatagram(std::string_view bytes);
+    void handleHeartbeat(const Heartbeat &heartbeat);
+    void applyWeights(const std::vector<AgedWeights> &weights);
+    void requestMembers(std::vector<std::uint32_t> incarnations, const Member &knower);
+    void sendMembers(std::vector<std::uint32_t> incarnations, const Member &asker);
+    void pullOrConfirmState(const Heartbeat &heartbeat);
+    void confirmList(Core::Instant at);
+    void recordAge(const AgedWeights &aged, Core::Instant now);
+    void handleEngineUpdates(const Heartbeat &heartbeat);
     /// Whether a report is newer than all that were heard of its engine's agent.
-    bool isNews(const EngineUpdate &news);
-    void passOnLater(const EngineUpdate &news);
-    void passOn();
+    bool recordIfNewer(const EngineUpdate &news);
+    void queueForRelay(const EngineUpdate &news);
+    void relayQueued();
     void tick();
-    void beat(ReportUrgency urgency);
+    void sendHeartbeats(ReportUrgency urgency);
     /// With @p sampled members in full and without notes.
     Heartbeat makeHeartbeat(std::size_t sampled);
     void sendTo(const Core::Address &peer, const std::string &encoded);
-    void sendHeartbeat(Heartbeat heartbeat, const std::vector<Core::Address> &targets);
-    void beatAsEntry();
-    void beatAsAgent(ReportUrgency urgency);
+    void sendHeartbeatTo(Heartbeat heartbeat, const std::vector<Core::Address> &targets);
+    void sendEntryHeartbeats();
+    void sendAgentHeartbeats(ReportUrgency urgency);
     /// The seeds, if this process still has to find the others.
     std::vector<Core::Address> seedTargets() const;
     /// Some members of a role, near ones above all.
-    std::vector<Core::Address> fewOf(Role role);
-    std::vector<Member> nearMembers(Role role) const;
+    std::vector<Core::Address> sampleTargets(Role role);
+    std::vector<Member> membersInOwnDomain(Role role) const;
     void pullFrom(const Core::Address &peer);
-    void stateCame(Core::Result<StateAnswer> answer);
-    StateAnswer answerFor(const StateRequest &request) const;
+    void handleStateAnswer(Core::Result<StateAnswer> answer);
+    StateAnswer makeStateAnswer(const StateRequest &request) const;
     void answerNewcomer(const Heartbeat &heartbeat);
 
     const GossipParts m_parts;
@@ -156,23 +156,23 @@
     Member m_self;
     Membership m_members;
     boost::asio::ip::udp::socket m_socket;
-    boost::asio::ip::udp::endpoint m_from;
+    boost::asio::ip::udp::endpoint m_datagramSender;
     std::array<char, 2048> m_buffer; ///< Larger than any datagram of ours.
     Http::Timer m_timer;
-    std::optional<EngineUpdate> m_engine;
-    std::uint64_t m_reportNumber = 0; ///< Of the newest report of this agent.
-    std::unordered_map<std::uint32_t, std::uint64_t> m_reportsHeard; ///< Number of the newest report, by incarnation of the agent.
-    std::vector<EngineUpdate> m_toPassOn;
+    std::optional<EngineUpdate> m_engineUpdate;
+    std::uint64_t m_ownSequenceNumber = 0; ///< Of the newest report of this agent.
+    std::unordered_map<std::uint32_t, std::uint64_t> m_receivedSequenceNumbers; ///< Number of the newest report, by incarnation of the agent.
+    std::vector<EngineUpdate> m_relayQueue;
     Http::Timer m_relayTimer;
-    std::optional<Core::Instant> m_entryHeardAt;
+    std::optional<Core::Instant> m_lastEntryHeartbeatAt;
     Core::Instant m_nextPull;
-    std::map<std::string, Core::Instant> m_newcomersAnswered; ///< When a newcomer was last sent a large sample; pruned with each heartbeat.
+    std::map<std::string, Core::Instant> m_newcomerAnswerTimes; ///< When a newcomer was last sent a large sample; pruned with each heartbeat.
     bool m_isPulling = false;
     std::function<void(const Fleet::FleetStateUpdate &)> m_onStateApplied;
-    LogKnowledge m_logKnowledge; ///< When what is known of the list was known to be its newest state.
-    std::function<std::optional<Core::Instant>()> m_listDoubtfulSince;
-    std::function<void(const std::vector<EngineUpdate> &)> m_onEngineNews;
-    std::function<void()> m_onMembers;
+    LogSyncState m_logSyncState; ///< When what is known of the list was known to be its newest state.
+    std::function<std::optional<Core::Instant>()> m_listUncertainSince;
+    std::function<void(const std::vector<EngineUpdate> &)> m_onEngineUpdates;
+    std::function<void()> m_onMembersChanged;
     Telemetry::Counter &m_datagramsSent;
     Telemetry::Counter &m_datagramsBad;
     Telemetry::Counter &m_pulls;
--- a/Libraries/LibGossip/GossipState.cpp
+++ b/Libraries/LibGossip/GossipState.cpp
@@ -26,7 +26,7 @@
         }
         Asio::post(m_parts.m_loop, [this, alive, asked = request.value(), responder = call.m_responder] {
             if (*alive) {
-                responder.reply(Wire::pack(answerFor(asked)));
+                responder.reply(Wire::pack(makeStateAnswer(asked)));
             }
         });
     });
@@ -37,51 +37,51 @@
     m_onStateApplied = std::move(callback);
 }
 
-void GossipService::takeState(const Heartbeat &heartbeat)
+void GossipService::pullOrConfirmState(const Heartbeat &heartbeat)
 {
     if (heartbeat.m_sender.m_role != Role::Entry) {
         return;
     }
-    const bool isConfigurationNewer = heartbeat.m_configurationMark > m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    const bool isConfigurationNewer = heartbeat.m_configurationRevisionOffset > m_parts.m_fleetState.declarations().configurationRevisionOffset();
     const bool isListNewer = m_self.m_role == Role::Entry && heartbeat.m_endpointsRevisionOffset > m_parts.m_fleetState.endpointsRevisionOffset();
     if (isConfigurationNewer || isListNewer) {
         pullFrom(heartbeat.m_sender.m_peers);
         return;
     }
     if (heartbeat.m_listAgeMilliseconds) {
-        listConfirmed(Core::Clock::now() - Core::Duration(*heartbeat.m_listAgeMilliseconds));
+        confirmList(Core::Clock::now() - Core::Duration(*heartbeat.m_listAgeMilliseconds));
     }
 }
 
-void GossipService::listConfirmed(Core::Instant at)
+void GossipService::confirmList(Core::Instant at)
 {
-    m_logKnowledge.m_since = m_logKnowledge.m_since.value_or(Core::Clock::now());
-    m_logKnowledge.m_confirmedAt = std::max(m_logKnowledge.m_confirmedAt.value_or(at), at);
+    m_logSyncState.m_firstSyncedAt = m_logSyncState.m_firstSyncedAt.value_or(Core::Clock::now());
+    m_logSyncState.m_lastConfirmedAt = std::max(m_logSyncState.m_lastConfirmedAt.value_or(at), at);
 }
 
-void GossipService::listRead(Core::Instant asked)
+void GossipService::announceListRead(Core::Instant asked)
 {
-    listConfirmed(asked);
+    confirmList(asked);
     const std::string encoded = Wire::pack(makeHeartbeat(0));
-    for (const Member &entry : nearMembers(Role::Entry)) {
+    for (const Member &entry : membersInOwnDomain(Role::Entry)) {
         sendTo(entry.m_peers, encoded);
     }
 }
 
 std::optional<Core::Duration> GossipService::listAge() const
 {
-    if (!m_logKnowledge.m_confirmedAt) {
+    if (!m_logSyncState.m_lastConfirmedAt) {
         return std::nullopt;
     }
-    return std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_logKnowledge.m_confirmedAt);
+    return std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_logSyncState.m_lastConfirmedAt);
 }
 
-void GossipService::onListDoubt(std::function<std::optional<Core::Instant>()> doubtfulSince)
+void GossipService::setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> doubtfulSince)
 {
-    m_listDoubtfulSince = std::move(doubtfulSince);
+    m_listUncertainSince = std::move(doubtfulSince);
 }
 
-void GossipService::takeWeights(const std::vector<AgedWeights> &weights)
+void GossipService::applyWeights(const std::vector<AgedWeights> &weights)
 {
     if (weights.empty()) {
         return;
@@ -89,7 +89,7 @@
     const Core::Instant now = Core::Clock::now();
     Fleet::Declarations declarations;
     for (const AgedWeights &aged : weights) {
-        noteAge(aged, now);
+        recordAge(aged, now);
         declarations.m_weights.push_back(aged.m_declared);
     }
     const Fleet::FleetStateUpdate update = m_parts.m_fleetState.apply(declarations);
@@ -98,7 +98,7 @@
     }
 }
 
-void GossipService::noteAge(const AgedWeights &aged, Core::Instant now)
+void GossipService::recordAge(const AgedWeights &aged, Core::Instant now)
 {
     const Fleet::DeclaredWeights &declared = aged.m_declared;
     if (aged.m_ageMilliseconds) {
@@ -107,7 +107,7 @@
     }
     const Fleet::DeclaredWeights *known = m_parts.m_fleetState.declaredWeights(declared.m_model);
     const bool isNews = !known || known->m_version < declared.m_version;
-    const std::optional<Core::Duration> age = isNews ? unstatedAge(m_logKnowledge, now) : std::nullopt;
+    const std::optional<Core::Duration> age = isNews ? maximumDeclarationAge(m_logSyncState, now) : std::nullopt;
     if (age) {
         m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, *age, now);
     } else {
@@ -125,12 +125,12 @@
     }
 }
 
-StateAnswer GossipService::answerFor(const StateRequest &request) const
+StateAnswer GossipService::makeStateAnswer(const StateRequest &request) const
 {
     StateAnswer answer;
     const Fleet::Declarations &declarations = m_parts.m_fleetState.declarations();
     answer.m_declarations.m_weights = declarations.m_weights;
-    if (declarations.configurationRevisionOffset() > request.m_configurationMark) {
+    if (declarations.configurationRevisionOffset() > request.m_configurationRevisionOffset) {
         answer.m_declarations.m_configuration = declarations.m_configuration;
         answer.m_declarations.m_configurationOffset = declarations.m_configurationOffset;
         if (request.m_forAgent) {
@@ -140,7 +140,7 @@
     }
     if (!request.m_forAgent && m_parts.m_fleetState.endpointsRevisionOffset() > request.m_endpointsRevisionOffset) {
         answer.m_endpoints = m_parts.m_fleetState.endpointSnapshot();
-        const std::optional<Core::Instant> since = m_listDoubtfulSince ? m_listDoubtfulSince() : std::nullopt;
+        const std::optional<Core::Instant> since = m_listUncertainSince ? m_listUncertainSince() : std::nullopt;
         if (since) {
             const Core::Duration regained = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *since);
             answer.m_endpoints.m_millisecondsSinceRecovery = static_cast<std::uint64_t>(regained.count());
@@ -160,7 +160,7 @@
     m_pulls.add();
     StateRequest request;
     request.m_forAgent = m_self.m_role == Role::Agent;
-    request.m_configurationMark = m_parts.m_fleetState.declarations().configurationRevisionOffset();
+    request.m_configurationRevisionOffset = m_parts.m_fleetState.declarations().configurationRevisionOffset();
     request.m_endpointsRevisionOffset = m_parts.m_fleetState.endpointsRevisionOffset();
     const std::shared_ptr<std::string> encoded = std::make_shared<std::string>();
     Wire::CallEvents events;
@@ -169,14 +169,14 @@
         Core::Result<StateAnswer> answer = end.m_succeeded ? Wire::unpack<StateAnswer>(*encoded, name) : Core::Result<StateAnswer>(end.m_error);
         Asio::post(m_parts.m_loop, [this, alive, result = std::move(answer)] {
             if (*alive) {
-                stateCame(result);
+                handleStateAnswer(result);
             }
         });
     };
     m_parts.m_node.call(peer, StateMethod, Wire::pack(request), Wire::CallOptions{m_settings.m_pullTimeout}, std::move(events));
 }
 
-void GossipService::stateCame(Core::Result<StateAnswer> answer)
+void GossipService::handleStateAnswer(Core::Result<StateAnswer> answer)
 {
     m_isPulling = false;
     if (!answer) {
--- a/Libraries/LibGossip/Membership.h
+++ b/Libraries/LibGossip/Membership.h
@@ -25,7 +25,7 @@
 {
     std::string m_id; ///< Name of the instance.
     std::uint32_t m_incarnation = 0; ///< Random for each start of the process.
-    std::uint64_t m_beat = 0; ///< Grows with each heartbeat of an incarnation.
+    std::uint64_t m_heartbeatCount = 0; ///< Grows with each heartbeat of an incarnation.
     std::uint32_t m_revision = 0; ///< Grows with each change of what follows, but for the rate of requests.
     Role m_role = Role::Entry;
     std::string m_region;
@@ -41,7 +41,7 @@
 
     MSGPACK_DEFINE_ARRAY(m_id,
                          m_incarnation,
-                         m_beat,
+                         m_heartbeatCount,
                          m_revision,
                          m_role,
                          m_region,
@@ -57,29 +57,29 @@
 };
 
 /// What changes all the time of a member, for those who know the member already.
-struct BeatNote
+struct HeartbeatDigest
 {
     std::uint32_t m_incarnation = 0; ///< Random for each start of a process, so it names the member too.
-    std::uint64_t m_beat = 0;
+    std::uint64_t m_heartbeatCount = 0;
     std::uint32_t m_revision = 0;
     std::uint32_t m_requestsPerSecond = 0;
 
-    bool operator==(const BeatNote &) const = default;
+    bool operator==(const HeartbeatDigest &) const = default;
 
-    MSGPACK_DEFINE_ARRAY(m_incarnation, m_beat, m_revision, m_requestsPerSecond);
+    MSGPACK_DEFINE_ARRAY(m_incarnation, m_heartbeatCount, m_revision, m_requestsPerSecond);
 };
 
 /// How long a member may be silent.
 struct MembershipSettings
 {
-    Core::Duration m_silenceLimit{4000}; ///< After it a member counts as dead: eight heartbeats, of which some get lost or come by others.
+    Core::Duration m_heartbeatTimeout{4000}; ///< After it a member counts as dead: eight heartbeats, of which some get lost or come by others.
     /**
      * The same for each member of its role, if that is more. A heartbeat notes 40 members, and an entry hears six a second: with 150 entries each is
      * heard of 1.6 times a second, and in one window of 10 s in ten millions not at all.
      */
-    Core::Duration m_silencePerMember{70};
-    Core::Duration m_forgetAfter{20000}; ///< After it the member is dropped from the table.
-    Core::Duration m_replaceAfter{1500}; ///< Hearsay of a new incarnation replaces one that was silent for so long.
+    Core::Duration m_heartbeatTimeoutPerMember{70};
+    Core::Duration m_removalTimeout{20000}; ///< After it the member is dropped from the table.
+    Core::Duration m_replacementTimeout{1500}; ///< Hearsay of a new incarnation replaces one that was silent for so long.
 
     bool operator==(const MembershipSettings &) const = default;
 };
@@ -91,12 +91,12 @@
     explicit Membership(std::string self, MembershipSettings settings = {});
 
     /// Takes what was heard. @p isFirstHand: from the member itself. True if the member is new or has changed in more than its count.
-    bool heard(const Member &member, bool isFirstHand, Core::Instant now);
+    bool merge(const Member &member, bool isFirstHand, Core::Instant now);
     /// Takes notes that were heard from others. Returns the incarnations that are unknown here, or known by an older revision.
-    std::vector<std::uint32_t> heardBeats(const std::vector<BeatNote> &beats, Core::Instant now);
+    std::vector<std::uint32_t> mergeDigests(const std::vector<HeartbeatDigest> &beats, Core::Instant now);
     /// Takes a sign of life of an incarnation other than its count.
-    void heardAlive(std::uint32_t incarnation, Core::Instant now);
-    bool knows(std::uint32_t incarnation) const;
+    void markAlive(std::uint32_t incarnation, Core::Instant now);
+    bool contains(std::uint32_t incarnation) const;
     /// Those of the incarnations that are known here.
     std::vector<Member> find(const std::vector<std::uint32_t> &incarnations) const;
     /// Every other member that is not dead, in order of id.
@@ -106,39 +106,39 @@
     /// Every other member that is known, also those that are dead and not yet forgotten.
     std::size_t countKnown() const
     {
-        return m_known.size();
+        return m_knownMembers.size();
     }
     /// Notes of up to @p count live members, chosen at random; of one role only if it is given.
-    std::vector<BeatNote> sampleBeats(std::size_t count, std::optional<Role> role, Core::Instant now, Core::Random &random) const;
+    std::vector<HeartbeatDigest> sampleDigests(std::size_t count, std::optional<Role> role, Core::Instant now, Core::Random &random) const;
     /// Up to @p count live members, chosen at random.
     std::vector<Member> sample(std::size_t count, Core::Instant now, Core::Random &random) const;
     /// Drops members that have been silent for long.
-    void forget(Core::Instant now);
+    void removeExpired(Core::Instant now);
 
 private:
-    struct Known
+    struct KnownMember
     {
         Member m_member;
-        Core::Instant m_heardAt; ///< When the count last grew.
+        Core::Instant m_lastHeardAt; ///< When the count last grew.
     };
 
-    void remember(const Member &member, Core::Instant now);
+    void insertOrReplace(const Member &member, Core::Instant now);
     /// Null if no member has this incarnation.
-    Known *find(std::uint32_t incarnation);
-    std::vector<const Member *> livePointers(Core::Instant now) const;
+    KnownMember *find(std::uint32_t incarnation);
+    std::vector<const Member *> liveMembers(Core::Instant now) const;
     /// Silence after which members are dead.
-    struct SilenceLimits
+    struct HeartbeatTimeouts
     {
         Core::Duration m_entry;
         Core::Duration m_agent;
     };
 
-    SilenceLimits silenceLimits() const;
+    HeartbeatTimeouts heartbeatTimeouts() const;
 
     const std::string m_self;
     const MembershipSettings m_settings;
-    std::map<std::string, Known> m_known; ///< By id; never holds this process.
-    std::unordered_map<std::uint32_t, Known *> m_byIncarnation; ///< Exactly one for each entry of m_known, to which it points.
+    std::map<std::string, KnownMember> m_knownMembers; ///< By id; never holds this process.
+    std::unordered_map<std::uint32_t, KnownMember *> m_byIncarnation; ///< Exactly one for each entry of m_known, to which it points.
 };
 
 /// Moves a random choice of @p count elements to the front and cuts the rest off.
--- a/Libraries/LibGossip/ReportFanOut.cpp
+++ b/Libraries/LibGossip/ReportFanOut.cpp
@@ -19,9 +19,9 @@
 
 }
 
-bool passesReportsOn(std::size_t entriesInDomain, const ReportFanOut &fanOut)
+bool relaysReports(std::size_t entriesInDomain, const ReportFanOut &fanOut)
 {
-    return entriesInDomain > fanOut.m_mostDirect;
+    return entriesInDomain > fanOut.m_maximumDirectEntries;
 }
 
 std::vector<Core::Address>
@@ -34,13 +34,13 @@
     std::vector<Core::Address> targets;
     for (std::pair<const std::string, std::vector<Member>> &domain : byDomain) {
         std::vector<Member> &chosen = domain.second;
-        const bool isRelayed = passesReportsOn(chosen.size(), fanOut);
+        const bool isRelayed = relaysReports(chosen.size(), fanOut);
         if (isRelayed && urgency == ReportUrgency::Prompt && domain.first != failureDomain) {
             continue;
         }
         if (isRelayed) {
-            chosen = relaysOf(std::move(chosen), fanOut.m_relays);
-            keepRandom(chosen, urgency == ReportUrgency::Critical ? fanOut.m_urgentCopies : 1, random);
+            chosen = relaysOf(std::move(chosen), fanOut.m_relaysPerDomain);
+            keepRandom(chosen, urgency == ReportUrgency::Critical ? fanOut.m_criticalCopies : 1, random);
         }
         for (const Member &entry : chosen) {
             targets.push_back(entry.m_peers);
--- a/Libraries/LibGossip/ReportFanOut.h
+++ b/Libraries/LibGossip/ReportFanOut.h
@@ -21,13 +21,13 @@
  */
 struct ReportFanOut
 {
-    std::size_t m_mostDirect = 8; ///< Entries of a failure domain up to which each gets every report from the agent itself: a few datagrams.
+    std::size_t m_maximumDirectEntries = 8; ///< Entries of a failure domain up to which each gets every report from the agent itself: a few datagrams.
     /**
      * Entries of a larger failure domain among which the reports are dealt out at random. With three, one that has died costs a third of the reports
      * until it is noticed; the next report of the same engine probably takes another way.
      */
-    std::size_t m_relays = 3;
-    std::size_t m_urgentCopies = 2; ///< Relays of each failure domain that get a report which must not be lost.
+    std::size_t m_relaysPerDomain = 3;
+    std::size_t m_criticalCopies = 2; ///< Relays of each failure domain that get a report which must not be lost.
 
     bool operator==(const ReportFanOut &) const = default;
 };
@@ -37,6 +37,6 @@
 reportTargets(const std::vector<Member> &entries, const std::string &failureDomain, ReportUrgency urgency, const ReportFanOut &fanOut, Core::Random &random);
 
 /// Whether an entry passes on what agents report to it. @p entriesInDomain: in its failure domain, itself included.
-bool passesReportsOn(std::size_t entriesInDomain, const ReportFanOut &fanOut);
+bool relaysReports(std::size_t entriesInDomain, const ReportFanOut &fanOut);
 
 }
--- a/Libraries/LibGossip/UnstatedAge.cpp
+++ b/Libraries/LibGossip/UnstatedAge.cpp
@@ -13,12 +13,12 @@
 
 }
 
-std::optional<Core::Duration> unstatedAge(const LogKnowledge &knowledge, Core::Instant now)
+std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &knowledge, Core::Instant now)
 {
-    if (!knowledge.m_since || !knowledge.m_confirmedAt || now - *knowledge.m_since < SettledAfter) {
+    if (!knowledge.m_firstSyncedAt || !knowledge.m_lastConfirmedAt || now - *knowledge.m_firstSyncedAt < SettledAfter) {
         return std::nullopt;
     }
-    const Core::Duration unwatched = std::chrono::duration_cast<Core::Duration>(now - *knowledge.m_confirmedAt);
+    const Core::Duration unwatched = std::chrono::duration_cast<Core::Duration>(now - *knowledge.m_lastConfirmedAt);
     return std::clamp(unwatched, Core::Duration(0), LongestCounted);
 }
 
--- a/Libraries/LibGossip/UnstatedAge.h
+++ b/Libraries/LibGossip/UnstatedAge.h
@@ -8,12 +8,12 @@
 namespace Gossip {
 
 /// How well a process has known the log so far.
-struct LogKnowledge
+struct LogSyncState
 {
-    std::optional<Core::Instant> m_since; ///< When it first knew the newest state of the log; empty if it never did.
-    std::optional<Core::Instant> m_confirmedAt; ///< When it was last known to know the newest state.
+    std::optional<Core::Instant> m_firstSyncedAt; ///< When it first knew the newest state of the log; empty if it never did.
+    std::optional<Core::Instant> m_lastConfirmedAt; ///< When it was last known to know the newest state.
 
-    bool operator==(const LogKnowledge &) const = default;
+    bool operator==(const LogSyncState &) const = default;
 };
 
 /**
@@ -24,6 +24,6 @@
  * while the log was away. A process that knew the log until the outage tells that the declaration is younger than that; and as nobody could have heard of it
  * while the log was away, that time does not count.
  */
-std::optional<Core::Duration> unstatedAge(const LogKnowledge &knowledge, Core::Instant now);
+std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &knowledge, Core::Instant now);
 
 }
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -39,7 +39,7 @@
     , m_adapter(std::move(adapter))
     , m_log(STDOUT_FILENO, m_settings.m_instance, m_metrics)
     , m_random(Core::freshSeed(m_settings.m_instance))
-    , m_retryBudgets(m_settings.m_repeats)
+    , m_retryBudgets(m_settings.m_retryBudgets)
     , m_versions(m_settings.m_versionBound - m_settings.m_versionMargin)
     , m_node(Gossip::nodeSettings(m_settings.m_peers), m_metrics)
     , m_gossip(Gossip::GossipParts{m_loop, m_node, m_fleetState, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
@@ -57,7 +57,7 @@
     , m_adminContext(std::make_shared<Http::ServerContext>())
     , m_signals(m_loop)
     , m_tickTimer(m_loop)
-    , m_leaving(m_loop)
+    , m_leavingTimer(m_loop)
 {
 }
 
@@ -118,17 +118,17 @@
     for (const std::unique_ptr<Http::Listener> &listener : m_listeners) {
         BOOST_OUTCOME_TRYV(listener->start());
     }
-    addDump();
+    addDumpSections();
     m_gossip.registerMethods();
     m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, false); });
-    m_gossip.onEngineNews([this](const std::vector<Gossip::EngineUpdate> &news) { engineNews(news); });
-    m_gossip.onMembersChanged([this] { shareOut(); });
+    m_gossip.onEngineUpdates([this](const std::vector<Gossip::EngineUpdate> &news) { handleEngineUpdates(news); });
+    m_gossip.onMembersChanged([this] { updateShares(); });
     m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, true); });
-    m_gossip.onListDoubt([this] { return m_follower.doubtfulSince(); });
-    m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.listRead(asked); });
-    m_follower.onMayRest([this] {
+    m_gossip.setListUncertaintyQuery([this] { return m_follower.uncertainSince(); });
+    m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.announceListRead(asked); });
+    m_follower.setRelyOnPeersQuery([this] {
         const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
-        return mayRest(isReader(m_gossip.self(), entries, m_settings.m_readDuty), m_gossip.listAge(), m_settings.m_readDuty);
+        return mayRelyOnPeers(isReader(m_gossip.self(), entries, m_settings.m_readerSelection), m_gossip.listAge(), m_settings.m_readerSelection);
     });
     m_follower.onUnreachable([this] { m_gossip.pullFromAnyEntry(); });
     BOOST_OUTCOME_TRYV(m_node.start());
@@ -138,7 +138,7 @@
     return Core::success();
 }
 
-void EntryProcess::addDump()
+void EntryProcess::addDumpSections()
 {
     m_admin.addDumpSection("beliefs", [this] {
         Poco::JSON::Object::Ptr object(new Poco::JSON::Object);
@@ -159,13 +159,13 @@
     }
     m_signals.async_wait([this](const boost::system::error_code &error, int signal) {
         if (!error) {
-            signalCame(signal);
+            handleSignal(signal);
             awaitSignals();
         }
     });
 }
 
-void EntryProcess::signalCame(int signal)
+void EntryProcess::handleSignal(int signal)
 {
     if (signal == SIGHUP) {
         reload();
@@ -212,8 +212,8 @@
         stop();
         return;
     }
-    m_leaving.expires_after(LeavingStep);
-    m_leaving.async_wait([this](const boost::system::error_code &error) {
+    m_leavingTimer.expires_after(LeavingStep);
+    m_leavingTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             continueLeaving();
         }
@@ -267,37 +267,37 @@
         m_log.write(line.text("source", isFromLog ? "log" : "peer"));
     }
     if (isFromLog && (update.m_weights || update.m_configuration)) {
-        m_gossip.spread();
+        m_gossip.announceStateChange();
     } else if (update.m_weights) {
-        m_gossip.spreadToAgents();
+        m_gossip.announceStateChangeToAgents();
     }
     if (!m_leavingSince) {
         m_gossip.setReady(isReady());
     }
 }
 
-void EntryProcess::engineNews(const std::vector<Gossip::EngineUpdate> &news)
+void EntryProcess::handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &news)
 {
     const Core::Instant now = Core::Clock::now();
     for (const Gossip::EngineUpdate &one : news) {
-        takeReport(one, now);
+        applyEngineUpdate(one, now);
     }
     m_relay.onSlotsChanged();
 }
 
-void EntryProcess::takeReport(const Gossip::EngineUpdate &news, Core::Instant now)
+void EntryProcess::applyEngineUpdate(const Gossip::EngineUpdate &news, Core::Instant now)
 {
     for (const std::string &id : m_endpointsByAddress.idsAt(news.m_address)) {
         const Fleet::Endpoint &endpoint = m_fleetState.endpoints().at(id).m_endpoint;
         // An engine that does not state its start in reports is told by its address alone.
         if (news.m_startedMilliseconds == 0 || endpoint.m_startedMilliseconds == news.m_startedMilliseconds) {
             m_endpointTracker.recordEngineReport(endpoint, news.m_report, now);
-            notePlaces(endpoint, news.m_report, now);
+            recordSlots(endpoint, news.m_report, now);
         }
     }
 }
 
-void EntryProcess::notePlaces(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now)
+void EntryProcess::recordSlots(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now)
 {
     const Fleet::Service *service = m_fleetState.configuration() ? m_fleetState.configuration()->service(endpoint.m_service) : nullptr;
     if (!service || service->m_engine.m_slots == 0) {
@@ -310,7 +310,7 @@
     m_slotTracker.recordReport(endpoint.m_id, places, now);
 }
 
-void EntryProcess::shareOut()
+void EntryProcess::updateShares()
 {
     const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
     m_retryBudgets.setProcessCount(entries.size() + 1);
@@ -339,7 +339,7 @@
     connection->answer(answer.m_status, {Http::HeaderField{"Content-Type", answer.m_contentType}}, std::move(answer.m_body));
 }
 
-void EntryProcess::measureRate()
+void EntryProcess::updateRequestRate()
 {
     // A moving average over about two seconds: short against a burst, long against the gaps between requests of one entry.
     constexpr double weight = 0.1;
@@ -352,7 +352,7 @@
 
 void EntryProcess::tick()
 {
-    measureRate();
+    updateRequestRate();
     m_log.flush();
     m_tickTimer.expires_after(TickInterval);
     m_tickTimer.async_wait([this](const boost::system::error_code &error) {
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -51,25 +51,25 @@
 private:
     Core::Result<void> start();
     void awaitSignals();
-    void signalCame(int signal);
+    void handleSignal(int signal);
     void reload();
     void startLeaving();
     void continueLeaving();
     void stop();
     void onFleetStateChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
-    void engineNews(const std::vector<Gossip::EngineUpdate> &news);
-    void takeReport(const Gossip::EngineUpdate &news, Core::Instant now);
+    void handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &news);
+    void applyEngineUpdate(const Gossip::EngineUpdate &news, Core::Instant now);
     void applyLimits();
     void answerPage(const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request);
     /// Takes a report of an engine's load into the ledger of places.
-    void notePlaces(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now);
+    void recordSlots(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now);
     /// Works out this entry's parts of what all entries share.
-    void shareOut();
-    void measureRate();
+    void updateShares();
+    void updateRequestRate();
     void tick();
     bool isReady() const;
     Gossip::Member makeSelf() const;
-    void addDump();
+    void addDumpSections();
 
     const EntrySettings m_settings;
     const EntryAdapter m_adapter;
@@ -95,7 +95,7 @@
     std::vector<std::unique_ptr<Http::Listener>> m_listeners; ///< The callers' first.
     boost::asio::signal_set m_signals;
     Http::Timer m_tickTimer;
-    Http::Timer m_leaving;
+    Http::Timer m_leavingTimer;
     std::function<std::optional<EntrySettings>()> m_reload;
     std::optional<Core::Instant> m_leavingSince; ///< Set once the process has been told to end.
     double m_requestRate = 0; ///< Requests per second, as a moving average.
--- a/Libraries/LibServing/EntrySettings.cpp
+++ b/Libraries/LibServing/EntrySettings.cpp
@@ -16,8 +16,8 @@
 {
     settings.m_leavingTime = section.milliseconds("leaving_ms", 100, 600000, settings.m_leavingTime.count());
     settings.m_versionBound = section.milliseconds("version_ms", 100, 600000, settings.m_versionBound.count());
-    settings.m_repeats.m_retriesPerRequest = section.number("repeat_share", 0, 1, settings.m_repeats.m_retriesPerRequest);
-    settings.m_repeats.m_burst = section.number("repeat_slack", 0, 100000, settings.m_repeats.m_burst);
+    settings.m_retryBudgets.m_retriesPerRequest = section.number("repeat_share", 0, 1, settings.m_retryBudgets.m_retriesPerRequest);
+    settings.m_retryBudgets.m_burst = section.number("repeat_slack", 0, 100000, settings.m_retryBudgets.m_burst);
     constexpr std::int64_t longestLifetime = 3600;
     settings.m_directory.m_lifetimeSeconds = static_cast<std::uint32_t>(
         section.integer("address_lifetime_s", 1, longestLifetime, static_cast<std::int64_t>(settings.m_directory.m_lifetimeSeconds)));
--- a/Libraries/LibServing/EntrySettings.h
+++ b/Libraries/LibServing/EntrySettings.h
@@ -23,10 +23,10 @@
     Core::Duration m_leavingTime{8000}; ///< From the signal to the end at the latest.
     Core::Duration m_versionBound{8000}; ///< From a version's acceptance until no request may begin on an older one.
     Core::Duration m_versionMargin{2000}; ///< Kept from the bound: at a full engine a request waits for nearly as long before it begins.
-    Placement::RetryBudgetSettings m_repeats;
+    Placement::RetryBudgetSettings m_retryBudgets;
     Gossip::GossipSettings m_gossip;
     DirectorySettings m_directory;
-    ReadDutySettings m_readDuty;
+    ReaderSelectionSettings m_readerSelection;
 
     bool operator==(const EntrySettings &) const = default;
 };
--- a/Libraries/LibTelemetry/EventLog.cpp
+++ b/Libraries/LibTelemetry/EventLog.cpp
@@ -37,7 +37,7 @@
     text("event", event);
 }
 
-void LogLine::name(std::string_view name)
+void LogLine::appendName(std::string_view name)
 {
     m_fields += m_fields.empty() ? "\"" : ",\"";
     m_fields += name;
@@ -46,28 +46,28 @@
 
 LogLine &LogLine::text(std::string_view fieldName, std::string_view value)
 {
-    name(fieldName);
+    appendName(fieldName);
     m_fields += jsonString(value);
     return *this;
 }
 
 LogLine &LogLine::number(std::string_view fieldName, std::int64_t value)
 {
-    name(fieldName);
+    appendName(fieldName);
     m_fields += std::to_string(value);
     return *this;
 }
 
 LogLine &LogLine::number(std::string_view fieldName, double value)
 {
-    name(fieldName);
+    appendName(fieldName);
     m_fields += std::isfinite(value) ? std::to_string(value) : std::string("null");
     return *this;
 }
 
 LogLine &LogLine::flag(std::string_view fieldName, bool value)
 {
-    name(fieldName);
+    appendName(fieldName);
     m_fields += value ? "true" : "false";
     return *this;
 }
@@ -82,7 +82,7 @@
 {
 }
 
-bool EventLog::mayWrite()
+bool EventLog::takeToken()
 {
     const std::int64_t now = millisecondsOf<std::chrono::steady_clock>();
     constexpr double millisecondsPerSecond = 1000;
@@ -101,7 +101,7 @@
     const std::string time = std::to_string(millisecondsOf<std::chrono::system_clock>());
     const std::string text = "{\"time_ms\":" + time + ",\"process\":" + m_process + "," + line.fields() + "}\n";
     const std::lock_guard<std::mutex> lock(m_mutex);
-    if (!mayWrite() || m_buffer.size() + text.size() > m_limits.m_bufferBytes) {
+    if (!takeToken() || m_buffer.size() + text.size() > m_limits.m_bufferBytes) {
         m_dropped.add();
         return;
     }
--- a/Libraries/LibTelemetry/EventLog.h
+++ b/Libraries/LibTelemetry/EventLog.h
@@ -29,7 +29,7 @@
     }
 
 private:
-    void name(std::string_view name);
+    void appendName(std::string_view name);
 
     std::string m_fields;
 };
@@ -59,7 +59,7 @@
     void flush();
 
 private:
-    bool mayWrite();
+    bool takeToken();
 
     const int m_descriptor;
     const std::string m_process;
--- a/Tests/LibFollow/TestFollower.cpp
+++ b/Tests/LibFollow/TestFollower.cpp
@@ -41,8 +41,8 @@
         };
         Follow::FollowerSettings settings;
         settings.m_followsEndpoints = false;
-        settings.m_firstRetry = Core::Duration(2);
-        settings.m_longestRetry = Core::Duration(4);
+        settings.m_initialRetryDelay = Core::Duration(2);
+        settings.m_maximumRetryDelay = Core::Duration(4);
         m_follower =
             std::make_unique<Follow::Follower>(Follow::FollowerParts{m_loop, m_beliefs, m_versions, m_metrics, m_log, m_random}, settings, std::move(source));
         m_follower->onUnreachable([this] { ++m_failures; });
@@ -106,7 +106,7 @@
     // The readers of a failure domain die. Whoever rested on them would never hear of a change again.
     FollowerFixture fixture;
     bool mayRest = true;
-    fixture.m_follower->onMayRest([&mayRest] { return mayRest; });
+    fixture.m_follower->setRelyOnPeersQuery([&mayRest] { return mayRest; });
     fixture.m_follower->start();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_beliefs.declaredWeights("draft") != nullptr; }));
     const std::size_t before = fixture.m_waitingReads;
--- a/Tests/LibGossip/TestMembership.cpp
+++ b/Tests/LibGossip/TestMembership.cpp
@@ -13,7 +13,7 @@
     Gossip::Member made;
     made.m_id = id;
     made.m_incarnation = incarnation;
-    made.m_beat = beat;
+    made.m_heartbeatCount = beat;
     made.m_isReady = true;
     return made;
 }
@@ -24,20 +24,20 @@
 {
     // A process that froze is named by others for a while. If hearsay kept it alive, callers would be sent to it for as long as anybody talks of it.
     Gossip::Membership table("self");
-    table.heard(member("a", 1, 5), true, Start);
-    table.heard(member("a", 1, 5), false, Start + Core::Duration(3000));
+    table.merge(member("a", 1, 5), true, Start);
+    table.merge(member("a", 1, 5), false, Start + Core::Duration(3000));
     CHECK(table.alive(Start + Core::Duration(3900)).size() == 1);
     CHECK(table.alive(Start + Core::Duration(4100)).empty());
-    table.heard(member("a", 1, 6), false, Start + Core::Duration(5000));
+    table.merge(member("a", 1, 6), false, Start + Core::Duration(5000));
     CHECK(table.alive(Start + Core::Duration(5100)).size() == 1);
 }
 
 TEST_CASE("hearsay of an earlier incarnation does not replace the one that spoke")
 {
     Gossip::Membership table("self");
-    table.heard(member("a", 1, 900), false, Start);
-    table.heard(member("a", 2, 1), true, Start + Core::Duration(100));
-    table.heard(member("a", 1, 901), false, Start + Core::Duration(200));
+    table.merge(member("a", 1, 900), false, Start);
+    table.merge(member("a", 2, 1), true, Start + Core::Duration(100));
+    table.merge(member("a", 1, 901), false, Start + Core::Duration(200));
     REQUIRE(table.alive(Start + Core::Duration(200)).size() == 1);
     CHECK(table.alive(Start + Core::Duration(200))[0].m_incarnation == 2);
 }
@@ -47,27 +47,27 @@
     Gossip::Membership table("self");
     Gossip::Member leaving = member("a", 1, 5);
     leaving.m_isLeaving = true;
-    table.heard(leaving, true, Start);
-    table.heard(member("a", 1, 6), false, Start);
+    table.merge(leaving, true, Start);
+    table.merge(member("a", 1, 6), false, Start);
     CHECK(table.alive(Start)[0].m_isLeaving);
-    table.heard(member("a", 2, 1), true, Start);
+    table.merge(member("a", 2, 1), true, Start);
     CHECK_FALSE(table.alive(Start)[0].m_isLeaving);
 }
 
 TEST_CASE("a process does not list itself, and forgets the dead")
 {
     Gossip::Membership table("self");
-    CHECK_FALSE(table.heard(member("self", 1, 1), false, Start));
-    table.heard(member("a", 1, 1), true, Start);
-    table.forget(Start + Core::Duration(30000));
-    CHECK(table.heard(member("a", 1, 1), false, Start + Core::Duration(30000)));
+    CHECK_FALSE(table.merge(member("self", 1, 1), false, Start));
+    table.merge(member("a", 1, 1), true, Start);
+    table.removeExpired(Start + Core::Duration(30000));
+    CHECK(table.merge(member("a", 1, 1), false, Start + Core::Duration(30000)));
 }
 
 TEST_CASE("a sample names live members once")
 {
     Gossip::Membership table("self");
     for (int index = 0; index < 20; ++index) {
-        table.heard(member("m" + std::to_string(index), 1, 1), true, Start);
+        table.merge(member("m" + std::to_string(index), 1, 1), true, Start);
     }
     Core::Random random(3);
     const std::vector<Gossip::Member> sample = table.sample(6, Start, random);
@@ -81,16 +81,16 @@
 TEST_CASE("a count that others pass on keeps a known member alive, and one of another incarnation does not")
 {
     Gossip::Membership table("self");
-    table.heard(member("a", 7, 5), true, Start);
+    table.merge(member("a", 7, 5), true, Start);
     Core::Random random(1);
-    CHECK(table.sampleBeats(10, std::nullopt, Start, random) == std::vector<Gossip::BeatNote>{{7, 5, 0, 0}});
-    CHECK(table.heardBeats({Gossip::BeatNote{8, 900, 0, 0}}, Start + Core::Duration(3000)) == std::vector<std::uint32_t>{8});
+    CHECK(table.sampleDigests(10, std::nullopt, Start, random) == std::vector<Gossip::HeartbeatDigest>{{7, 5, 0, 0}});
+    CHECK(table.mergeDigests({Gossip::HeartbeatDigest{8, 900, 0, 0}}, Start + Core::Duration(3000)) == std::vector<std::uint32_t>{8});
     CHECK(table.countAlive(Start + Core::Duration(4100)) == 0);
-    CHECK(table.heardBeats({Gossip::BeatNote{7, 6, 0, 0}}, Start + Core::Duration(3000)).empty());
+    CHECK(table.mergeDigests({Gossip::HeartbeatDigest{7, 6, 0, 0}}, Start + Core::Duration(3000)).empty());
     CHECK(table.countAlive(Start + Core::Duration(4100)) == 1);
-    table.heard(member("a", 9, 1), true, Start + Core::Duration(4200));
-    CHECK_FALSE(table.knows(7));
-    CHECK(table.knows(9));
+    table.merge(member("a", 9, 1), true, Start + Core::Duration(4200));
+    CHECK_FALSE(table.contains(7));
+    CHECK(table.contains(9));
 }
 
 TEST_CASE("a change is taken though the count has come ahead of it")
@@ -100,15 +100,15 @@
     Gossip::Membership table("self");
     Gossip::Member starting = member("a", 1, 5);
     starting.m_isReady = false;
-    table.heard(starting, true, Start);
-    CHECK(table.heardBeats({Gossip::BeatNote{1, 9, 1, 30}}, Start) == std::vector<std::uint32_t>{1});
+    table.merge(starting, true, Start);
+    CHECK(table.mergeDigests({Gossip::HeartbeatDigest{1, 9, 1, 30}}, Start) == std::vector<std::uint32_t>{1});
     Gossip::Member ready = member("a", 1, 7);
     ready.m_revision = 1;
-    CHECK(table.heard(ready, false, Start));
+    CHECK(table.merge(ready, false, Start));
     CHECK(table.alive(Start)[0].m_isReady);
-    CHECK(table.alive(Start)[0].m_beat == 9);
+    CHECK(table.alive(Start)[0].m_heartbeatCount == 9);
     CHECK(table.alive(Start)[0].m_requestsPerSecond == 0);
-    CHECK(table.heardBeats({Gossip::BeatNote{1, 10, 1, 30}}, Start).empty());
+    CHECK(table.mergeDigests({Gossip::HeartbeatDigest{1, 10, 1, 30}}, Start).empty());
     CHECK(table.alive(Start)[0].m_requestsPerSecond == 30);
 }
 
@@ -142,17 +142,17 @@
     for (int round = 0; round < rounds; ++round) {
         const Core::Instant now = Start + interval * round;
         for (SimulatedEntry &sender : fleet) {
-            ++sender.m_self.m_beat;
+            ++sender.m_self.m_heartbeatCount;
             for (std::size_t index = 0; index < targets; ++index) {
                 SimulatedEntry &target = fleet[round < 4 ? random.below(3) : random.below(fleet.size())]; // The first three are the seeds.
-                target.m_table.heard(sender.m_self, true, now);
+                target.m_table.merge(sender.m_self, true, now);
                 for (const Gossip::Member &named : sender.m_table.sample(sampledMembers, now, random)) {
-                    target.m_table.heard(named, false, now);
+                    target.m_table.merge(named, false, now);
                 }
                 const std::vector<std::uint32_t> lacking =
-                    target.m_table.heardBeats(sender.m_table.sampleBeats(sampledBeats, Gossip::Role::Entry, now, random), now);
+                    target.m_table.mergeDigests(sender.m_table.sampleDigests(sampledBeats, Gossip::Role::Entry, now, random), now);
                 for (const Gossip::Member &told : sender.m_table.find(lacking)) {
-                    target.m_table.heard(told, false, now);
+                    target.m_table.merge(told, false, now);
                 }
             }
         }
--- a/Tests/LibGossip/TestMessages.cpp
+++ b/Tests/LibGossip/TestMessages.cpp
@@ -14,7 +14,7 @@
     Gossip::Member made;
     made.m_id = "side-brussels-ixelles-" + std::to_string(number);
     made.m_incarnation = 4000000000U;
-    made.m_beat = 100000;
+    made.m_heartbeatCount = 100000;
     made.m_region = "brussels";
     made.m_failureDomain = "brussels-ixelles";
     made.m_service = "huvo11a";
@@ -28,7 +28,7 @@
 {
     Gossip::Heartbeat heartbeat;
     heartbeat.m_sender = member(0);
-    heartbeat.m_configurationMark = 1;
+    heartbeat.m_configurationRevisionOffset = 1;
     heartbeat.m_weights = {Gossip::AgedWeights{Fleet::DeclaredWeights{"daka510000", 2, 17}, 1234},
                            Gossip::AgedWeights{Fleet::DeclaredWeights{"daka510000", 3, 18}, std::nullopt}};
     for (std::size_t index = 0; index < Gossip::GossipSettings{}.m_sampledForNewcomers; ++index) {
@@ -57,7 +57,7 @@
     for (std::size_t index = 0; index < settings.m_sampledMembers; ++index) {
         usual.m_members.push_back(member(static_cast<int>(index)));
     }
-    usual.m_beats.assign(settings.m_sampledBeats, Gossip::BeatNote{4000000000U, 100000, 3, 120});
+    usual.m_digests.assign(settings.m_sampledDigests, Gossip::HeartbeatDigest{4000000000U, 100000, 3, 120});
     const std::string encoded = Wire::pack(usual);
     CHECK(encoded.size() < PacketBytes);
     CHECK(Wire::unpack<Gossip::Heartbeat>(encoded, "peer").value() == usual);
@@ -67,6 +67,6 @@
     relayed.m_weights = usual.m_weights;
     Gossip::EngineUpdate news{Core::Address{"10.200.100.200", 8014}, 1789000000000, 4000000000U, 100000, {12, 24, 1.25, false, {}}};
     news.m_report.m_weights = {Fleet::LoadedWeights{"daka510000", 2, {Fleet::LayerRange{0, 16}}}};
-    relayed.m_engines.assign(settings.m_relayedAtOnce, news);
+    relayed.m_engineUpdates.assign(settings.m_relayBatchSize, news);
     CHECK(Wire::pack(relayed).size() < PacketBytes);
 }
--- a/Tests/LibGossip/TestReportFanOut.cpp
+++ b/Tests/LibGossip/TestReportFanOut.cpp
@@ -27,10 +27,11 @@
     Core::Random random(1);
     const Gossip::ReportFanOut fanOut;
     for (const Gossip::ReportUrgency urgency : {Gossip::ReportUrgency::Regular, Gossip::ReportUrgency::Prompt}) {
-        CHECK(Gossip::reportTargets(entries(3, fanOut.m_mostDirect), "domain-0", urgency, fanOut, random).size() == 3 * fanOut.m_mostDirect);
+        CHECK(Gossip::reportTargets(entries(3, fanOut.m_maximumDirectEntries), "domain-0", urgency, fanOut, random).size()
+              == 3 * fanOut.m_maximumDirectEntries);
     }
-    CHECK_FALSE(Gossip::passesReportsOn(fanOut.m_mostDirect, fanOut));
-    CHECK(Gossip::passesReportsOn(fanOut.m_mostDirect + 1, fanOut));
+    CHECK_FALSE(Gossip::relaysReports(fanOut.m_maximumDirectEntries, fanOut));
+    CHECK(Gossip::relaysReports(fanOut.m_maximumDirectEntries + 1, fanOut));
 }
 
 TEST_CASE("in large failure domains a report goes to one relay of each, and an urgent one to two")
@@ -44,9 +45,9 @@
         const std::vector<Core::Address> targets = Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Regular, fanOut, random);
         CHECK(targets.size() == 3);
         used.insert(targets.begin(), targets.end());
-        CHECK(Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Critical, fanOut, random).size() == 3 * fanOut.m_urgentCopies);
+        CHECK(Gossip::reportTargets(all, "domain-0", Gossip::ReportUrgency::Critical, fanOut, random).size() == 3 * fanOut.m_criticalCopies);
     }
-    CHECK(used.size() == 3 * fanOut.m_relays);
+    CHECK(used.size() == 3 * fanOut.m_relaysPerDomain);
 }
 
 TEST_CASE("between two heartbeats the report of a full engine stays in its own large failure domain")
--- a/Tests/LibServing/TestReadDuty.cpp
+++ b/Tests/LibServing/TestReadDuty.cpp
@@ -27,7 +27,7 @@
 
 std::size_t readers(const std::vector<Gossip::Member> &members)
 {
-    const Serving::ReadDutySettings settings;
+    const Serving::ReaderSelectionSettings settings;
     return static_cast<std::size_t>(
         std::count_if(members.begin(), members.end(), [&](const Gossip::Member &member) { return Serving::isReader(member, members, settings); }));
 }
@@ -45,13 +45,13 @@
 {
     std::vector<Gossip::Member> members = fleet(10);
     for (Gossip::Member &member : members) {
-        if (Serving::isReader(member, members, Serving::ReadDutySettings{})) {
+        if (Serving::isReader(member, members, Serving::ReaderSelectionSettings{})) {
             member.m_isLeaving = true;
             break;
         }
     }
     const std::int64_t serving = std::count_if(members.begin(), members.end(), [&members](const Gossip::Member &member) {
-        return !member.m_isLeaving && Serving::isReader(member, members, Serving::ReadDutySettings{});
+        return !member.m_isLeaving && Serving::isReader(member, members, Serving::ReaderSelectionSettings{});
     });
     CHECK(serving == 4);
 }
@@ -60,9 +60,9 @@
 {
     // The readers of a failure domain die together. Nobody would tell the others that an engine leaves, and requests would reach it after it should
     // get none.
-    const Serving::ReadDutySettings settings;
-    CHECK(Serving::mayRest(false, Core::Duration(900), settings));
-    CHECK_FALSE(Serving::mayRest(false, settings.m_restLimit, settings));
-    CHECK_FALSE(Serving::mayRest(false, std::nullopt, settings));
-    CHECK_FALSE(Serving::mayRest(true, Core::Duration(0), settings));
+    const Serving::ReaderSelectionSettings settings;
+    CHECK(Serving::mayRelyOnPeers(false, Core::Duration(900), settings));
+    CHECK_FALSE(Serving::mayRelyOnPeers(false, settings.m_maximumListAge, settings));
+    CHECK_FALSE(Serving::mayRelyOnPeers(false, std::nullopt, settings));
+    CHECK_FALSE(Serving::mayRelyOnPeers(true, Core::Duration(0), settings));
 }
