--- a/Libraries/LibClaims/CallProtocol.cpp
+++ b/Libraries/LibClaims/CallProtocol.cpp
@@ -64,7 +64,7 @@
 
 Step whileDispatched(CallState state, const Event &event)
 {
-    if (std::holds_alternative<WholeAnswer>(event)) {
+    if (std::holds_alternative<CompleteAnswer>(event)) {
         return conclude(std::move(state), CallVerdict::Answered);
     }
     if (std::holds_alternative<CertainlyNotRun>(event)) {
--- a/Libraries/LibClaims/CallProtocol.h
+++ b/Libraries/LibClaims/CallProtocol.h
@@ -73,7 +73,7 @@
 {
 };
 /// A whole answer to the dispatched attempt arrived.
-struct WholeAnswer
+struct CompleteAnswer
 {
 };
 /// The dispatch ended, and it is certain that the attempt did not run and will not: nothing was sent, or the agent has refused it.
@@ -104,7 +104,7 @@
 };
 
 using Event =
-    std::variant<ClaimJudged, ClaimFailed, WholeAnswer, CertainlyNotRun, AnswerLost, OutcomeTold, OutcomeUnreachable, BarWritten, BarFailed, DeadlinePassed>;
+    std::variant<ClaimJudged, ClaimFailed, CompleteAnswer, CertainlyNotRun, AnswerLost, OutcomeTold, OutcomeUnreachable, BarWritten, BarFailed, DeadlinePassed>;
 
 /// How often one call may claim its key anew after an agent has confirmed that the holder never ran.
 inline constexpr std::uint32_t MaximumReclaims = 2;
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -218,7 +218,7 @@
         switch (report.m_outcome.m_end) {
         case AttemptEnd::Whole:
             m_answer = report.m_answer;
-            return Claims::WholeAnswer{};
+            return Claims::CompleteAnswer{};
         case AttemptEnd::NotRun:
             return Claims::CertainlyNotRun{};
         case AttemptEnd::Lost:
--- a/Libraries/LibHttp/AdminPages.cpp
+++ b/Libraries/LibHttp/AdminPages.cpp
@@ -4,7 +4,7 @@
 
 namespace Http {
 
-void answerAdmin(const Telemetry::AdminServer &pages, ServerConnection &connection, const ServerRequest &request)
+void answerAdminRequest(const Telemetry::AdminServer &pages, ServerConnection &connection, const ServerRequest &request)
 {
     const std::string path = pathOf(request.m_target);
     const std::string query = request.m_target.size() > path.size() ? request.m_target.substr(path.size() + 1) : "";
--- a/Libraries/LibHttp/AdminPages.h
+++ b/Libraries/LibHttp/AdminPages.h
@@ -6,6 +6,6 @@
 
 namespace Http {
 
-void answerAdmin(const Telemetry::AdminServer &pages, ServerConnection &connection, const ServerRequest &request);
+void answerAdminRequest(const Telemetry::AdminServer &pages, ServerConnection &connection, const ServerRequest &request);
 
 }
--- a/Libraries/LibHttp/ClientCall.cpp
+++ b/Libraries/LibHttp/ClientCall.cpp
@@ -76,7 +76,7 @@
                    [self = shared_from_this()] { self->end(false, Core::ErrorCode::InvalidInput, "connect", "not an IPv4 number"); });
         return;
     }
-    arm(m_limits.m_connect, "connect");
+    arm(m_limits.m_connectTimeout, "connect");
     m_state->m_socket.async_connect(Asio::ip::tcp::endpoint(host, m_peer.m_port),
                                     [self = shared_from_this()](const boost::system::error_code &result) { self->connected(result); });
 }
@@ -132,7 +132,7 @@
     Asio::async_write(m_state->m_socket, Asio::buffer(m_state->m_outgoing), [self = shared_from_this()](const boost::system::error_code &, std::size_t) {
         // A failed write shows at the reading side too, where an early answer may still be waiting.
     });
-    arm(m_limits.m_head, "await answer");
+    arm(m_limits.m_headTimeout, "await answer");
     readHead();
 }
 
@@ -193,7 +193,7 @@
         m_state->m_timer.cancel(ignored);
         return;
     }
-    arm(m_limits.m_silence, "read answer");
+    arm(m_limits.m_idleTimeout, "read answer");
     m_state->m_parser.get().body().data = m_state->m_chunk.data();
     m_state->m_parser.get().body().size = m_state->m_chunk.size();
     Beast::http::async_read_some(m_state->m_socket,
@@ -244,10 +244,10 @@
 /// What a fetch has gathered so far.
 struct Gathering
 {
-    WholeAnswer m_answer;
+    CompleteAnswer m_answer;
     std::size_t m_maximumBytes = 0;
     bool m_isTooLarge = false;
-    std::function<void(Core::Result<WholeAnswer>)> m_done;
+    std::function<void(Core::Result<CompleteAnswer>)> m_done;
 };
 
 void finishFetch(Gathering &gathering, const std::string &peer, const ClientCallEnd &end)
@@ -274,7 +274,7 @@
                                   const ClientRequest &request,
                                   ClientCallLimits limits,
                                   std::size_t maximumBytes,
-                                  std::function<void(Core::Result<WholeAnswer>)> done)
+                                  std::function<void(Core::Result<CompleteAnswer>)> done)
 {
     const std::shared_ptr<Gathering> gathering = std::make_shared<Gathering>();
     gathering->m_maximumBytes = maximumBytes;
--- a/Libraries/LibHttp/ClientCall.h
+++ b/Libraries/LibHttp/ClientCall.h
@@ -48,9 +48,9 @@
 /// Bounds on one call.
 struct ClientCallLimits
 {
-    Core::Duration m_connect{500}; ///< Until the connection stands. A dark peer answers nothing at all, so this is the only sign.
-    Core::Duration m_head{10000}; ///< From the connection to the head of the answer.
-    Core::Duration m_silence{10000}; ///< Longest pause within the body of the answer.
+    Core::Duration m_connectTimeout{500}; ///< Until the connection stands. A dark peer answers nothing at all, so this is the only sign.
+    Core::Duration m_headTimeout{10000}; ///< From the connection to the head of the answer.
+    Core::Duration m_idleTimeout{10000}; ///< Longest pause within the body of the answer.
 };
 
 /**
@@ -97,7 +97,7 @@
 };
 
 /// An answer that was read whole.
-struct WholeAnswer
+struct CompleteAnswer
 {
     AnswerHead m_head;
     std::string m_body;
@@ -112,6 +112,6 @@
                                   const ClientRequest &request,
                                   ClientCallLimits limits,
                                   std::size_t maximumBytes,
-                                  std::function<void(Core::Result<WholeAnswer>)> done);
+                                  std::function<void(Core::Result<CompleteAnswer>)> done);
 
 }
--- a/Libraries/LibHttp/Listener.cpp
+++ b/Libraries/LibHttp/Listener.cpp
@@ -96,7 +96,7 @@
     removeClosed();
 }
 
-std::size_t Listener::connections()
+std::size_t Listener::connectionCount()
 {
     removeClosed();
     return m_connections.size();
--- a/Libraries/LibHttp/Listener.h
+++ b/Libraries/LibHttp/Listener.h
@@ -26,7 +26,7 @@
     void stop();
     /// Closes the connections that carry no request.
     void closeIdle();
-    std::size_t connections();
+    std::size_t connectionCount();
     /// The port that was bound, which the system chose if the address named port 0.
     std::uint16_t port() const;
 
--- a/Libraries/LibHttp/ServerConnection.cpp
+++ b/Libraries/LibHttp/ServerConnection.cpp
@@ -294,7 +294,7 @@
     }
 }
 
-void ServerConnection::onGone(std::function<void()> callback)
+void ServerConnection::onPeerClosed(std::function<void()> callback)
 {
     m_onGone = std::move(callback);
 }
--- a/Libraries/LibHttp/ServerConnection.h
+++ b/Libraries/LibHttp/ServerConnection.h
@@ -77,7 +77,7 @@
     void abort();
 
     /// Called once if the other end goes away before its answer has ended.
-    void onGone(std::function<void()> callback);
+    void onPeerClosed(std::function<void()> callback);
     /// Called each time that everything handed over has been written.
     void onDrained(std::function<void()> callback);
     /// Bytes that were handed over and are not written yet.
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -58,7 +58,7 @@
 
 void RelayedRequest::start()
 {
-    m_connection->onGone([weak = weak_from_this()] {
+    m_connection->onPeerClosed([weak = weak_from_this()] {
         const std::shared_ptr<RelayedRequest> self = weak.lock();
         if (self) {
             self->onCallerDisconnected();
@@ -274,16 +274,17 @@
 Http::ClientCallLimits RelayedRequest::callLimits() const
 {
     Http::ClientCallLimits limits;
-    limits.m_connect = m_relay.m_settings.m_connectTimeout;
-    limits.m_head = timeLeft() + m_relay.m_settings.m_answerMargin;
-    limits.m_silence = limits.m_head;
+    limits.m_connectTimeout = m_relay.m_settings.m_connectTimeout;
+    limits.m_headTimeout = timeLeft() + m_relay.m_settings.m_answerMargin;
+    limits.m_idleTimeout = limits.m_headTimeout;
     const bool isLastAttempt = m_attempts + 1 >= m_route->m_maximumAttempts;
     if (!m_route->isRepeatable() || isLastAttempt) {
         return limits;
     }
-    limits.m_head = std::min(limits.m_head, std::clamp(scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals), ShortestPatience, LongestPatience));
+    limits.m_headTimeout =
+        std::min(limits.m_headTimeout, std::clamp(scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals), ShortestPatience, LongestPatience));
     if (m_route->m_isResumable && m_route->m_gapGoalMilliseconds > 0) {
-        limits.m_silence = std::min(limits.m_silence, scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps));
+        limits.m_idleTimeout = std::min(limits.m_idleTimeout, scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps));
     }
     return limits;
 }
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -108,7 +108,7 @@
         answerPage(connection, request);
     };
     m_adminContext->m_onRequest = [this](const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request) {
-        Http::answerAdmin(m_admin, *connection, request);
+        Http::answerAdminRequest(m_admin, *connection, request);
     };
     m_listeners.push_back(std::make_unique<Http::Listener>(m_loop, m_settings.m_callers, m_callerContext, m_settings.m_connections));
     for (const Core::Address &address : m_settings.m_pages) {
@@ -207,7 +207,7 @@
     if (!takesRequests) {
         m_listeners.front()->stop();
     }
-    const bool isIdle = m_relay.openRequests() == 0 && m_listeners.front()->connections() == 0;
+    const bool isIdle = m_relay.openRequests() == 0 && m_listeners.front()->connectionCount() == 0;
     if ((!takesRequests && isIdle) || since >= m_settings.m_leavingTime - LeavingReserve) {
         stop();
         return;
--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -113,7 +113,7 @@
 {
     awaitSignals();
     m_adminContext->m_onRequest = [this](const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request) {
-        Http::answerAdmin(m_admin, *connection, request);
+        Http::answerAdminRequest(m_admin, *connection, request);
     };
     BOOST_OUTCOME_TRYV(m_adminListener.start());
     m_admin.addDumpSection("transfer", [this] { return m_transfer.dump(); });
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -153,7 +153,7 @@
     m_callStreams[call.m_id] = streamId;
     stream.m_call = std::move(call);
     m_streams.emplace(streamId, std::move(stream));
-    m_lastReceived = std::max(m_lastReceived, Core::Clock::now() - m_host.m_limits.m_heartbeat);
+    m_lastReceived = std::max(m_lastReceived, Core::Clock::now() - m_host.m_limits.m_heartbeatInterval);
 }
 
 void Connection::abandonCall(CallId id, const Core::Error &reason)
@@ -344,11 +344,11 @@
     if (m_streams.empty()) {
         return;
     }
-    if (now - m_lastReceived > m_host.m_limits.m_silence && m_lastPing > m_lastReceived) {
+    if (now - m_lastReceived > m_host.m_limits.m_silenceTimeout && m_lastPing > m_lastReceived) {
         shutDown(lost(m_peerName, "the connection went silent"));
         return;
     }
-    if (now - m_lastReceived >= m_host.m_limits.m_heartbeat && now - m_lastPing >= m_host.m_limits.m_heartbeat) {
+    if (now - m_lastReceived >= m_host.m_limits.m_heartbeatInterval && now - m_lastPing >= m_host.m_limits.m_heartbeatInterval) {
         m_lastPing = now;
         nghttp2_submit_ping(m_session, NGHTTP2_FLAG_NONE, nullptr);
         flush();
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -26,8 +26,8 @@
     std::size_t m_maximumBacklog = 16 << 20; ///< Bytes waiting to go out on one stream.
     std::uint32_t m_maximumStreams = 4096; ///< Concurrent incoming calls.
     Core::Duration m_dialTimeout{2000};
-    Core::Duration m_heartbeat{1000}; ///< A ping goes out when nothing arrived for this long.
-    Core::Duration m_silence{3500}; ///< A connection on which nothing arrived for this long is dead.
+    Core::Duration m_heartbeatInterval{1000}; ///< A ping goes out when nothing arrived for this long.
+    Core::Duration m_silenceTimeout{3500}; ///< A connection on which nothing arrived for this long is dead.
 };
 
 using ConnectionId = std::uint64_t;
--- a/Tests/Agent/Rig.h
+++ b/Tests/Agent/Rig.h
@@ -335,7 +335,7 @@
     static Wire::NodeSettings settings()
     {
         Wire::NodeSettings node;
-        node.m_limits.m_heartbeat = Core::Duration(100);
+        node.m_limits.m_heartbeatInterval = Core::Duration(100);
         return node;
     }
 
--- a/Tests/LibClaims/TestClaimModel.cpp
+++ b/Tests/LibClaims/TestClaimModel.cpp
@@ -301,7 +301,7 @@
         const int life = world.m_calls[index].m_life;
         World arrived = world;
         const bool ran = arrive(arrived, m_mechanisms, action.m_attempt, life);
-        proceed(arrived, index, ran ? Claims::Event(Claims::WholeAnswer{}) : Claims::Event(Claims::CertainlyNotRun{}));
+        proceed(arrived, index, ran ? Claims::Event(Claims::CompleteAnswer{}) : Claims::Event(Claims::CertainlyNotRun{}));
         if (world.m_faults >= MaximumFaults) {
             return;
         }
--- a/Tests/LibControl/Processes.h
+++ b/Tests/LibControl/Processes.h
@@ -20,8 +20,8 @@
 {
     Wire::NodeSettings settings;
     settings.m_listen = listen;
-    settings.m_limits.m_heartbeat = Core::Duration(200);
-    settings.m_limits.m_silence = Core::Duration(700);
+    settings.m_limits.m_heartbeatInterval = Core::Duration(200);
+    settings.m_limits.m_silenceTimeout = Core::Duration(700);
     return settings;
 }
 
--- a/Tests/LibHttp/TestClientCall.cpp
+++ b/Tests/LibHttp/TestClientCall.cpp
@@ -83,7 +83,7 @@
 TEST_CASE("a peer that accepts and then says nothing is given up")
 {
     Http::ClientCallLimits limits;
-    limits.m_head = Core::Duration(40);
+    limits.m_headTimeout = Core::Duration(40);
     const Outcome outcome([](const std::shared_ptr<ScriptedConnection> &) {}, limits);
     CHECK(outcome.m_end->m_error.m_code == Core::ErrorCode::Timeout);
     CHECK(outcome.m_end->m_wasSent);
@@ -97,8 +97,8 @@
         boost::asio::ip::tcp::acceptor acceptor(loop, TestSupport::loopback(0));
         port = acceptor.local_endpoint().port();
     }
-    std::optional<Core::Result<Http::WholeAnswer>> result;
-    Http::fetch(loop, Core::Address{"127.0.0.1", port}, Http::ClientRequest{}, {}, 100, [&result](Core::Result<Http::WholeAnswer> answer) {
+    std::optional<Core::Result<Http::CompleteAnswer>> result;
+    Http::fetch(loop, Core::Address{"127.0.0.1", port}, Http::ClientRequest{}, {}, 100, [&result](Core::Result<Http::CompleteAnswer> answer) {
         result = std::move(answer);
     });
     REQUIRE(runUntil(loop, [&result] { return result.has_value(); }));
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -125,7 +125,7 @@
     const std::shared_ptr<Http::ServerContext> context = std::make_shared<Http::ServerContext>();
     context->m_onRequest = [&isGone, &kept](const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &) {
         kept = connection;
-        connection->onGone([&isGone] { isGone = true; });
+        connection->onPeerClosed([&isGone] { isGone = true; });
     };
     Http::Listener listener(loop, Core::Address{"127.0.0.1", 0}, context, 4);
     REQUIRE(listener.start());
--- a/Tests/LibWire/TestNode.cpp
+++ b/Tests/LibWire/TestNode.cpp
@@ -23,8 +23,8 @@
         serverSettings.m_listen = m_address;
         m_server = std::make_unique<Wire::Node>(serverSettings, m_serverMetrics);
         Wire::NodeSettings clientSettings;
-        clientSettings.m_limits.m_heartbeat = Core::Duration(100);
-        clientSettings.m_limits.m_silence = Core::Duration(400);
+        clientSettings.m_limits.m_heartbeatInterval = Core::Duration(100);
+        clientSettings.m_limits.m_silenceTimeout = Core::Duration(400);
         m_client = std::make_unique<Wire::Node>(clientSettings, m_clientMetrics);
         REQUIRE(m_client->start());
     }
