--- a/Libraries/LibControl/LogFollowing.cpp
+++ b/Libraries/LibControl/LogFollowing.cpp
@@ -42,7 +42,7 @@
     if (inForce.m_applied == 0) {
         return result;
     }
-    const ControlState base = fresh.m_state ? std::move(*fresh.m_state) : BOOST_OUTCOME_TRYX(foldRetained(log, ControlStream, inForce, fresh.m_first));
+    const ControlState base = fresh.m_state ? std::move(*fresh.m_state) : BOOST_OUTCOME_TRYX(foldRetained(log, ControlStream, inForce, fresh.m_firstOffset));
     result.m_restored = joinStates(base, inForce);
     return result;
 }
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -248,7 +248,7 @@
     FreshState fresh;
     std::optional<ControlState> start;
     Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, 1, Platform::ReadOptions{PageRecords, Core::Duration(0)}));
-    fresh.m_first = page.m_first;
+    fresh.m_firstOffset = page.m_first;
     Platform::Offset from = page.m_first;
     SeenRecords seen{page.m_first, {}};
     while (true) {
@@ -269,7 +269,7 @@
             break;
         }
     }
-    if (!start && fresh.m_first > 1) {
+    if (!start && fresh.m_firstOffset > 1) {
         return fresh;
     }
     ControlState state = start ? std::move(*start) : ControlState();
--- a/Libraries/LibControl/Recovery.h
+++ b/Libraries/LibControl/Recovery.h
@@ -30,7 +30,7 @@
 struct FreshState
 {
     std::optional<ControlState> m_state; ///< Empty if the log holds neither its first record nor a usable checkpoint.
-    Platform::Offset m_first = 1;
+    Platform::Offset m_firstOffset = 1;
     Platform::Offset m_nextOffset = 1;
 };
 
--- a/Libraries/LibHttp/ClientCall.cpp
+++ b/Libraries/LibHttp/ClientCall.cpp
@@ -76,17 +76,17 @@
                    [self = shared_from_this()] { self->end(false, Core::ErrorCode::InvalidInput, "connect", "not an IPv4 number"); });
         return;
     }
-    arm(m_limits.m_connectTimeout, "connect");
+    startTimer(m_limits.m_connectTimeout, "connect");
     m_state->m_socket.async_connect(Asio::ip::tcp::endpoint(host, m_peer.m_port),
-                                    [self = shared_from_this()](const boost::system::error_code &result) { self->connected(result); });
+                                    [self = shared_from_this()](const boost::system::error_code &result) { self->onConnected(result); });
 }
 
 void ClientCall::cancel()
 {
-    if (m_isOver) {
+    if (m_hasEnded) {
         return;
     }
-    m_isOver = true;
+    m_hasEnded = true;
     m_events = {};
     boost::system::error_code ignored; // The connection is given up either way.
     m_state->m_timer.cancel(ignored);
@@ -101,13 +101,13 @@
 void ClientCall::resume()
 {
     m_isPaused = false;
-    if (m_awaitsResume && !m_isOver) {
+    if (m_awaitsResume && !m_hasEnded) {
         m_awaitsResume = false;
         readBody();
     }
 }
 
-void ClientCall::arm(Core::Duration limit, const char *step)
+void ClientCall::startTimer(Core::Duration limit, const char *step)
 {
     m_state->m_timer.expires_after(limit);
     m_state->m_timer.async_wait([weak = weak_from_this(), step](const boost::system::error_code &error) {
@@ -118,9 +118,9 @@
     });
 }
 
-void ClientCall::connected(const boost::system::error_code &error)
+void ClientCall::onConnected(const boost::system::error_code &error)
 {
-    if (m_isOver) {
+    if (m_hasEnded) {
         return;
     }
     if (error) {
@@ -132,7 +132,7 @@
     Asio::async_write(m_state->m_socket, Asio::buffer(m_state->m_outgoing), [self = shared_from_this()](const boost::system::error_code &, std::size_t) {
         // A failed write shows at the reading side too, where an early answer may still be waiting.
     });
-    arm(m_limits.m_headTimeout, "await answer");
+    startTimer(m_limits.m_headTimeout, "await answer");
     readHead();
 }
 
@@ -141,12 +141,12 @@
     Beast::http::async_read_header(m_state->m_socket,
                                    m_state->m_buffer,
                                    m_state->m_parser,
-                                   [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->headRead(error); });
+                                   [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->onHeadRead(error); });
 }
 
-void ClientCall::headRead(const boost::system::error_code &error)
+void ClientCall::onHeadRead(const boost::system::error_code &error)
 {
-    if (m_isOver) {
+    if (m_hasEnded) {
         return;
     }
     if (error) {
@@ -176,7 +176,7 @@
     if (onHead) {
         onHead(head);
     }
-    if (!m_isOver) {
+    if (!m_hasEnded) {
         readBody();
     }
 }
@@ -193,25 +193,25 @@
         m_state->m_timer.cancel(ignored);
         return;
     }
-    arm(m_limits.m_idleTimeout, "read answer");
+    startTimer(m_limits.m_idleTimeout, "read answer");
     m_state->m_parser.get().body().data = m_state->m_chunk.data();
     m_state->m_parser.get().body().size = m_state->m_chunk.size();
     Beast::http::async_read_some(m_state->m_socket,
                                  m_state->m_buffer,
                                  m_state->m_parser,
-                                 [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) { self->bodyRead(error, size); });
+                                 [self = shared_from_this()](const boost::system::error_code &error, std::size_t size) { self->onBodyRead(error, size); });
 }
 
-void ClientCall::bodyRead(const boost::system::error_code &error, std::size_t)
+void ClientCall::onBodyRead(const boost::system::error_code &error, std::size_t)
 {
-    if (m_isOver) {
+    if (m_hasEnded) {
         return;
     }
     const std::size_t size = m_state->m_chunk.size() - m_state->m_parser.get().body().size;
     const std::function<void(std::string_view)> onData = m_events.m_onData;
     if (size > 0 && onData) {
         onData(std::string_view(m_state->m_chunk.data(), size));
-        if (m_isOver) {
+        if (m_hasEnded) {
             return;
         }
     }
@@ -224,7 +224,7 @@
 
 void ClientCall::end(bool isWhole, Core::ErrorCode code, const std::string &step, const std::string &detail)
 {
-    if (m_isOver) {
+    if (m_hasEnded) {
         return;
     }
     const std::shared_ptr<ClientCall> self = shared_from_this();
--- a/Libraries/LibHttp/ClientCall.h
+++ b/Libraries/LibHttp/ClientCall.h
@@ -78,12 +78,12 @@
 private:
     struct State;
 
-    void connected(const boost::system::error_code &error);
+    void onConnected(const boost::system::error_code &error);
     void readHead();
-    void headRead(const boost::system::error_code &error);
+    void onHeadRead(const boost::system::error_code &error);
     void readBody();
-    void bodyRead(const boost::system::error_code &error, std::size_t size);
-    void arm(Core::Duration limit, const char *step);
+    void onBodyRead(const boost::system::error_code &error, std::size_t size);
+    void startTimer(Core::Duration limit, const char *step);
     void end(bool isWhole, Core::ErrorCode code, const std::string &step, const std::string &detail);
 
     const Core::Address m_peer;
@@ -93,7 +93,7 @@
     bool m_isPaused = false;
     bool m_awaitsResume = false; ///< The body stands still until resume().
     bool m_wasSent = false;
-    bool m_isOver = false; ///< Once true, no event is sent any more.
+    bool m_hasEnded = false; ///< Once true, no event is sent any more.
 };
 
 /// An answer that was read whole.
--- a/Libraries/LibHttp/ServerConnection.cpp
+++ b/Libraries/LibHttp/ServerConnection.cpp
@@ -88,7 +88,7 @@
     HeaderFields m_fields; ///< Of the request under way.
     std::string m_peer;
     std::deque<std::string> m_outgoing; ///< The first is being written.
-    std::size_t m_pending = 0; ///< Sum of the sizes of m_outgoing.
+    std::size_t m_pendingBytes = 0; ///< Sum of the sizes of m_outgoing.
 };
 
 ServerConnection::ServerConnection(Socket socket, std::shared_ptr<ServerContext> context)
@@ -108,7 +108,7 @@
     awaitRequest();
 }
 
-void ServerConnection::arm(Core::Duration limit, std::function<void()> onExpiry)
+void ServerConnection::startTimer(Core::Duration limit, std::function<void()> onExpiry)
 {
     m_state->m_timer.expires_after(limit);
     m_state->m_timer.async_wait([weak = weak_from_this(), expire = std::move(onExpiry)](const boost::system::error_code &error) {
@@ -130,7 +130,7 @@
         readHead();
         return;
     }
-    arm(m_context->m_limits.m_idleTimeout, [this] { close(); });
+    startTimer(m_context->m_limits.m_idleTimeout, [this] { close(); });
     m_state->m_socket.async_wait(Socket::wait_read, [self = shared_from_this()](const boost::system::error_code &error) {
         if (self->m_isClosed) {
             return;
@@ -149,11 +149,11 @@
     m_state->m_parser.emplace();
     m_state->m_parser->header_limit(m_context->m_limits.m_maximumHeaderBytes);
     m_state->m_parser->body_limit(m_context->m_limits.m_maximumBodyBytes);
-    arm(m_context->m_limits.m_headTimeout, [this] { reject(408, "the head came too slowly"); });
+    startTimer(m_context->m_limits.m_headTimeout, [this] { reject(408, "the head came too slowly"); });
     Beast::http::async_read_header(m_state->m_socket,
                                    m_state->m_buffer,
                                    *m_state->m_parser,
-                                   [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->headRead(error); });
+                                   [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->onHeadRead(error); });
 }
 
 void ServerConnection::rejectUnreadable(const boost::system::error_code &error)
@@ -175,7 +175,7 @@
     reject(400, error.message());
 }
 
-void ServerConnection::headRead(const boost::system::error_code &error)
+void ServerConnection::onHeadRead(const boost::system::error_code &error)
 {
     if (m_isClosed || m_isRejected) {
         return;
@@ -206,17 +206,17 @@
 void ServerConnection::readBody()
 {
     if (m_state->m_parser->is_done()) {
-        handOver();
+        dispatchRequest();
         return;
     }
-    arm(m_context->m_limits.m_bodyTimeout, [this] { reject(408, "the body came too slowly"); });
+    startTimer(m_context->m_limits.m_bodyTimeout, [this] { reject(408, "the body came too slowly"); });
     Beast::http::async_read(m_state->m_socket,
                             m_state->m_buffer,
                             *m_state->m_parser,
-                            [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->bodyRead(error); });
+                            [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->onBodyRead(error); });
 }
 
-void ServerConnection::bodyRead(const boost::system::error_code &error)
+void ServerConnection::onBodyRead(const boost::system::error_code &error)
 {
     if (m_isClosed || m_isRejected) {
         return;
@@ -225,7 +225,7 @@
         rejectUnreadable(error);
         return;
     }
-    handOver();
+    dispatchRequest();
 }
 
 void ServerConnection::reject(int status, const std::string &reason)
@@ -240,7 +240,7 @@
     answer(status, {HeaderField{"Content-Type", "text/plain"}}, reason + "\n");
 }
 
-void ServerConnection::handOver()
+void ServerConnection::dispatchRequest()
 {
     boost::system::error_code ignored; // A timer that has already expired finds the connection answering.
     m_state->m_timer.cancel(ignored);
@@ -255,22 +255,22 @@
     request.m_fields = std::move(m_state->m_fields);
     request.m_body = message.body();
     request.m_peer = m_state->m_peer;
-    watchForLeaving();
+    watchForPeerClose();
     const std::shared_ptr<ServerConnection> self = shared_from_this();
     m_context->m_onRequest(self, std::move(request));
 }
 
-void ServerConnection::watchForLeaving()
+void ServerConnection::watchForPeerClose()
 {
     m_state->m_socket.async_wait(Socket::wait_read, [weak = weak_from_this()](const boost::system::error_code &error) {
         const std::shared_ptr<ServerConnection> self = weak.lock();
         if (self && !error && !self->m_isClosed && self->m_isAnswering) {
-            self->lookForLeaving();
+            self->checkForPeerClose();
         }
     });
 }
 
-void ServerConnection::lookForLeaving()
+void ServerConnection::checkForPeerClose()
 {
     char byte = 0;
     const ssize_t peeked = recv(m_state->m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -278,16 +278,16 @@
         return; // The next request is there already; it waits its turn.
     }
     if (peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
-        watchForLeaving();
+        watchForPeerClose();
         return;
     }
-    gone();
+    handlePeerClosed();
 }
 
-void ServerConnection::gone()
+void ServerConnection::handlePeerClosed()
 {
-    const std::function<void()> callback = std::move(m_onGone);
-    m_onGone = nullptr;
+    const std::function<void()> callback = std::move(m_onPeerClosed);
+    m_onPeerClosed = nullptr;
     close();
     if (callback) {
         callback();
@@ -296,7 +296,7 @@
 
 void ServerConnection::onPeerClosed(std::function<void()> callback)
 {
-    m_onGone = std::move(callback);
+    m_onPeerClosed = std::move(callback);
 }
 
 void ServerConnection::onDrained(std::function<void()> callback)
@@ -306,7 +306,7 @@
 
 std::size_t ServerConnection::pendingBytes() const
 {
-    return m_state->m_pending;
+    return m_state->m_pendingBytes;
 }
 
 bool ServerConnection::isOpen() const
@@ -358,22 +358,22 @@
     if (m_isChunked) {
         write("0\r\n\r\n");
     }
-    m_onGone = nullptr;
+    m_onPeerClosed = nullptr;
     m_isAnswering = false;
     if (m_state->m_outgoing.empty()) {
-        answerEnded();
+        onAnswerEnded();
     }
 }
 
 void ServerConnection::abort()
 {
-    m_onGone = nullptr;
+    m_onPeerClosed = nullptr;
     close();
 }
 
 void ServerConnection::write(std::string bytes)
 {
-    m_state->m_pending += bytes.size();
+    m_state->m_pendingBytes += bytes.size();
     // Small pieces that wait behind the one being written travel together.
     if (m_state->m_outgoing.size() > 1) {
         m_state->m_outgoing.back() += bytes;
@@ -397,19 +397,19 @@
     }
     Asio::async_write(m_state->m_socket,
                       Asio::buffer(m_state->m_outgoing.front()),
-                      [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->written(error); });
+                      [self = shared_from_this()](const boost::system::error_code &error, std::size_t) { self->onWritten(error); });
 }
 
-void ServerConnection::written(const boost::system::error_code &error)
+void ServerConnection::onWritten(const boost::system::error_code &error)
 {
     if (m_isClosed) {
         return;
     }
     if (error) {
-        gone();
+        handlePeerClosed();
         return;
     }
-    m_state->m_pending -= m_state->m_outgoing.front().size();
+    m_state->m_pendingBytes -= m_state->m_outgoing.front().size();
     m_state->m_outgoing.pop_front();
     if (!m_state->m_outgoing.empty()) {
         writeNext();
@@ -422,11 +422,11 @@
         return;
     }
     if (!m_isReading) {
-        answerEnded();
+        onAnswerEnded();
     }
 }
 
-void ServerConnection::answerEnded()
+void ServerConnection::onAnswerEnded()
 {
     m_onDrained = nullptr;
     if (!m_closeAfterAnswer) {
--- a/Libraries/LibHttp/ServerConnection.h
+++ b/Libraries/LibHttp/ServerConnection.h
@@ -92,25 +92,25 @@
 
     void awaitRequest();
     void readHead();
-    void headRead(const boost::system::error_code &error);
+    void onHeadRead(const boost::system::error_code &error);
     void readBody();
-    void bodyRead(const boost::system::error_code &error);
+    void onBodyRead(const boost::system::error_code &error);
     void reject(int status, const std::string &reason);
     void rejectUnreadable(const boost::system::error_code &error);
-    void handOver();
-    void watchForLeaving();
-    void lookForLeaving();
+    void dispatchRequest();
+    void watchForPeerClose();
+    void checkForPeerClose();
     void write(std::string bytes);
     void writeNext();
-    void written(const boost::system::error_code &error);
-    void answerEnded();
-    void gone();
-    void arm(Core::Duration limit, std::function<void()> onExpiry);
+    void onWritten(const boost::system::error_code &error);
+    void onAnswerEnded();
+    void handlePeerClosed();
+    void startTimer(Core::Duration limit, std::function<void()> onExpiry);
     void close();
 
     const std::shared_ptr<ServerContext> m_context;
     std::unique_ptr<State> m_state;
-    std::function<void()> m_onGone;
+    std::function<void()> m_onPeerClosed;
     std::function<void()> m_onDrained;
     bool m_isAnswering = false; ///< A request was handed over and its answer has not ended.
     bool m_isChunked = false; ///< Framing of the answer under way.
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -47,12 +47,12 @@
 }
 
 std::unique_ptr<Connection>
-Connection::dialed(ConnectionId id, Poco::Net::StreamSocket socket, const Core::Address &peer, bool throughGateway, ConnectionHost &host)
+Connection::createOutgoing(ConnectionId id, Poco::Net::StreamSocket socket, const Core::Address &peer, bool throughGateway, ConnectionHost &host)
 {
     return std::unique_ptr<Connection>(new Connection(id, std::move(socket), peer, State::Dialing, throughGateway, host));
 }
 
-std::unique_ptr<Connection> Connection::accepted(ConnectionId id, Poco::Net::StreamSocket socket, ConnectionHost &host)
+std::unique_ptr<Connection> Connection::createAccepted(ConnectionId id, Poco::Net::StreamSocket socket, ConnectionHost &host)
 {
     const Poco::Net::SocketAddress address = socket.peerAddress();
     const Core::Address peer{address.host().toString(), address.port()};
@@ -139,12 +139,17 @@
     const std::int32_t streamId = nghttp2_submit_request(m_session, nullptr, headers.data(), headers.size(), &provider, nullptr);
     if (streamId < 0) {
         const Core::Error error = Core::makeError(Core::ErrorCode::Unavailable, "start call", m_peerName, nghttp2_strerror(streamId));
-        m_host.m_callEnded(call.m_id);
+        m_host.m_onCallEnded(call.m_id);
         call.m_events.m_onEnd(CallEnd{false, Delivery::NotSent, error});
         return;
     }
-    Stream stream{
-        purposeOf(call.m_method), FrameDecoder(m_host.m_limits.m_maximumMessage), makeOutput(streamId), call.m_method, call.m_options.m_timeout, {}, false};
+    Stream stream{purposeOf(call.m_method),
+                  FrameDecoder(m_host.m_limits.m_maximumMessageBytes),
+                  makeOutput(streamId),
+                  call.m_method,
+                  call.m_options.m_timeout,
+                  {},
+                  false};
     if (!stream.m_output->push(FrameKind::Message, call.m_body)) {
         stream.m_output->finish(FrameKind::Error, {});
     }
@@ -162,7 +167,7 @@
         if (it->m_id == id) {
             const NewCall call = std::move(*it);
             m_waiting.erase(it);
-            m_host.m_callEnded(id);
+            m_host.m_onCallEnded(id);
             call.m_events.m_onEnd(CallEnd{false, Delivery::NotSent, reason});
             return;
         }
@@ -184,7 +189,7 @@
     const NewCall call = std::move(*stream.m_call);
     stream.m_call.reset();
     m_callStreams.erase(call.m_id);
-    m_host.m_callEnded(call.m_id);
+    m_host.m_onCallEnded(call.m_id);
     call.m_events.m_onEnd(end);
 }
 
@@ -198,7 +203,7 @@
 std::shared_ptr<StreamOutput> Connection::makeOutput(std::int32_t streamId)
 {
     const std::function<void(ConnectionId, std::int32_t)> &markDirty = m_host.m_markDirty;
-    return std::make_shared<StreamOutput>(m_host.m_limits.m_maximumBacklog, [markDirty, id = m_id, streamId] { markDirty(id, streamId); });
+    return std::make_shared<StreamOutput>(m_host.m_limits.m_maximumBacklogBytes, [markDirty, id = m_id, streamId] { markDirty(id, streamId); });
 }
 
 void Connection::onConnected()
@@ -211,7 +216,7 @@
         return;
     }
     if (m_throughGateway) {
-        m_state = State::PassingGateway;
+        m_state = State::GatewayHandshake;
         m_unsent = Network::gatewayRequest(m_peer);
         return;
     }
@@ -253,7 +258,7 @@
 void Connection::receive(std::string_view bytes)
 {
     std::string remainder;
-    if (m_state == State::PassingGateway) {
+    if (m_state == State::GatewayHandshake) {
         m_gatewayAnswer.append(bytes);
         const Core::Result<std::optional<std::size_t>> length = Network::parseGatewayAnswer(m_gatewayAnswer, m_peer);
         if (!length) {
@@ -364,7 +369,7 @@
     std::vector<NewCall> waiting;
     waiting.swap(m_waiting);
     for (const NewCall &call : waiting) {
-        m_host.m_callEnded(call.m_id);
+        m_host.m_onCallEnded(call.m_id);
         call.m_events.m_onEnd(CallEnd{false, Delivery::NotSent, reason});
     }
     for (std::pair<const std::int32_t, Stream> &entry : m_streams) {
@@ -431,7 +436,7 @@
     Connection &self = *static_cast<Connection *>(user);
     if (frame->hd.type == NGHTTP2_HEADERS && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
         self.m_streams.emplace(frame->hd.stream_id,
-                               Stream{Purpose::Control, FrameDecoder(self.m_host.m_limits.m_maximumMessage), nullptr, {}, Core::Duration(0), {}, false});
+                               Stream{Purpose::Control, FrameDecoder(self.m_host.m_limits.m_maximumMessageBytes), nullptr, {}, Core::Duration(0), {}, false});
     }
     return 0;
 }
@@ -518,8 +523,8 @@
     if (found == self.m_streams.end() || !found->second.m_output) {
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     }
-    const StreamOutput::Taken taken = found->second.m_output->take(reinterpret_cast<char *>(buffer), length);
-    if (taken.m_last) {
+    const StreamOutput::TakeResult taken = found->second.m_output->take(reinterpret_cast<char *>(buffer), length);
+    if (taken.m_isLast) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
         return static_cast<ssize_t>(taken.m_bytes);
     }
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -22,8 +22,8 @@
 /// Bounds on what a connection accepts and keeps.
 struct ConnectionLimits
 {
-    std::size_t m_maximumMessage = 8 << 20; ///< Bytes of one message.
-    std::size_t m_maximumBacklog = 16 << 20; ///< Bytes waiting to go out on one stream.
+    std::size_t m_maximumMessageBytes = 8 << 20; ///< Bytes of one message.
+    std::size_t m_maximumBacklogBytes = 16 << 20; ///< Bytes waiting to go out on one stream.
     std::uint32_t m_maximumStreams = 4096; ///< Concurrent incoming calls.
     Core::Duration m_dialTimeout{2000};
     Core::Duration m_heartbeatInterval{1000}; ///< A ping goes out when nothing arrived for this long.
@@ -40,7 +40,7 @@
     std::function<const Handler *(const std::string &method)> m_findHandler;
     /// Marks a stream as having something to send; callable from any thread.
     std::function<void(ConnectionId connection, std::int32_t stream)> m_markDirty;
-    std::function<void(CallId call)> m_callEnded;
+    std::function<void(CallId call)> m_onCallEnded;
 };
 
 /**
@@ -56,9 +56,9 @@
 public:
     /// An outgoing connection whose dialing has begun.
     static std::unique_ptr<Connection>
-    dialed(ConnectionId id, Poco::Net::StreamSocket socket, const Core::Address &peer, bool throughGateway, ConnectionHost &host);
+    createOutgoing(ConnectionId id, Poco::Net::StreamSocket socket, const Core::Address &peer, bool throughGateway, ConnectionHost &host);
     /// An accepted connection.
-    static std::unique_ptr<Connection> accepted(ConnectionId id, Poco::Net::StreamSocket socket, ConnectionHost &host);
+    static std::unique_ptr<Connection> createAccepted(ConnectionId id, Poco::Net::StreamSocket socket, ConnectionHost &host);
     ~Connection();
 
     Connection(const Connection &) = delete;
@@ -109,7 +109,7 @@
 private:
     enum class State {
         Dialing,
-        PassingGateway,
+        GatewayHandshake,
         Open,
     };
 
--- a/Libraries/LibWire/Node.cpp
+++ b/Libraries/LibWire/Node.cpp
@@ -49,7 +49,7 @@
         }
         wake();
     };
-    m_host.m_callEnded = [this](CallId call) { m_calls.erase(call); };
+    m_host.m_onCallEnded = [this](CallId call) { m_calls.erase(call); };
     m_epoll = ::epoll_create1(EPOLL_CLOEXEC);
     m_wakeDescriptor = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 }
@@ -181,7 +181,7 @@
             if ((event.events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0 && !found->second->isDead()) {
                 found->second->onReadable();
             }
-            update(*found->second);
+            updateWriteInterest(*found->second);
         }
         m_wakeRequested = false;
         runCommands();
@@ -194,14 +194,14 @@
         }
         removeDeadConnections();
     }
-    endEverything();
+    shutDownAll();
 }
 
 void Node::runCommands()
 {
     while (std::optional<Command> command = m_commands.pop(Core::Duration(0))) {
         if (command->m_cancelled != 0) {
-            abandon(command->m_cancelled, Core::makeError(Core::ErrorCode::Cancelled, "call", "", "cancelled by the caller"));
+            abandonCall(command->m_cancelled, Core::makeError(Core::ErrorCode::Cancelled, "call", "", "cancelled by the caller"));
             continue;
         }
         startCall(std::move(*command));
@@ -225,7 +225,7 @@
     }
     connection->startCall(std::move(command.m_call));
     connection->flush();
-    update(*connection);
+    updateWriteInterest(*connection);
 }
 
 void Node::resumeDirtyStreams()
@@ -246,7 +246,7 @@
         const bool lastOfConnection = index + 1 == dirty.size() || dirty[index + 1].first != dirty[index].first;
         if (lastOfConnection) {
             found->second->flush();
-            update(*found->second);
+            updateWriteInterest(*found->second);
         }
     }
 }
@@ -262,12 +262,12 @@
             }
             socket.setBlocking(false);
             socket.setNoDelay(true);
-            std::unique_ptr<Connection> connection = Connection::accepted(m_nextConnection++, std::move(socket), m_host);
+            std::unique_ptr<Connection> connection = Connection::createAccepted(m_nextConnection++, std::move(socket), m_host);
             Connection &added = *connection;
             m_connections.emplace(added.id(), std::move(connection));
-            watch(added);
+            registerConnection(added);
             added.flush();
-            update(added);
+            updateWriteInterest(added);
         } catch (const Poco::Exception &) {
             // Nothing more to accept, or the connection died while it waited.
             return;
@@ -290,29 +290,29 @@
         return nullptr;
     }
     std::unique_ptr<Connection> connection =
-        Connection::dialed(m_nextConnection++, std::move(socket.value()), peer, m_settings.m_network.m_gateway.has_value(), m_host);
+        Connection::createOutgoing(m_nextConnection++, std::move(socket.value()), peer, m_settings.m_network.m_gateway.has_value(), m_host);
     Connection &added = *connection;
     m_outgoing[peer] = added.id();
     m_connections.emplace(added.id(), std::move(connection));
-    watch(added);
+    registerConnection(added);
     return &added;
 }
 
-void Node::watch(Connection &connection)
+void Node::registerConnection(Connection &connection)
 {
     epoll_event event{};
     event.events = EPOLLIN | (connection.wantsWrite() ? static_cast<std::uint32_t>(EPOLLOUT) : 0U);
     event.data.u64 = connection.id();
     ::epoll_ctl(m_epoll, EPOLL_CTL_ADD, connection.descriptor(), &event);
-    m_writeWatched[connection.id()] = connection.wantsWrite();
+    m_writeInterest[connection.id()] = connection.wantsWrite();
 }
 
-void Node::update(Connection &connection)
+void Node::updateWriteInterest(Connection &connection)
 {
     if (connection.isDead()) {
         return;
     }
-    bool &watched = m_writeWatched[connection.id()];
+    bool &watched = m_writeInterest[connection.id()];
     if (watched == connection.wantsWrite()) {
         return;
     }
@@ -328,13 +328,13 @@
     for (std::pair<const ConnectionId, std::unique_ptr<Connection>> &entry : m_connections) {
         Connection &connection = *entry.second;
         connection.onTick(now);
-        update(connection);
+        updateWriteInterest(connection);
         if (!connection.isIdle()) {
             m_idleSince.erase(entry.first);
             continue;
         }
         const Core::Instant since = m_idleSince.emplace(entry.first, now).first->second;
-        if (now - since > m_settings.m_idleLimit) {
+        if (now - since > m_settings.m_idleTimeout) {
             connection.shutDown(Core::makeError(Core::ErrorCode::Cancelled, "keep connection", connection.peer().toString(), "idle"));
         }
     }
@@ -347,12 +347,12 @@
         m_deadlines.erase(m_deadlines.begin());
         const std::unordered_map<CallId, OpenCall>::const_iterator found = m_calls.find(call);
         if (found != m_calls.end()) {
-            abandon(call, Core::makeError(Core::ErrorCode::Timeout, "await answer", found->second.m_peerName, "no answer in time"));
+            abandonCall(call, Core::makeError(Core::ErrorCode::Timeout, "await answer", found->second.m_peerName, "no answer in time"));
         }
     }
 }
 
-void Node::abandon(CallId call, const Core::Error &reason)
+void Node::abandonCall(CallId call, const Core::Error &reason)
 {
     const std::unordered_map<CallId, OpenCall>::const_iterator open = m_calls.find(call);
     if (open == m_calls.end()) {
@@ -364,7 +364,7 @@
     }
     found->second->abandonCall(call, reason);
     found->second->flush();
-    update(*found->second);
+    updateWriteInterest(*found->second);
 }
 
 void Node::removeDeadConnections()
@@ -379,13 +379,13 @@
         if (known != m_outgoing.end() && known->second == it->first) {
             m_outgoing.erase(known);
         }
-        m_writeWatched.erase(it->first);
+        m_writeInterest.erase(it->first);
         m_idleSince.erase(it->first);
         it = m_connections.erase(it);
     }
 }
 
-void Node::endEverything()
+void Node::shutDownAll()
 {
     while (std::optional<Command> command = m_commands.pop(Core::Duration(0))) {
         if (command->m_peer) {
--- a/Libraries/LibWire/Node.h
+++ b/Libraries/LibWire/Node.h
@@ -23,7 +23,7 @@
     ConnectionLimits m_limits;
     std::size_t m_maximumConnections = 4096;
     std::size_t m_commandCapacity = 1 << 16; ///< Calls and cancellations waiting for the node's thread.
-    Core::Duration m_idleLimit{60000}; ///< An outgoing connection without calls is closed after this.
+    Core::Duration m_idleTimeout{60000}; ///< An outgoing connection without calls is closed after this.
 };
 
 /**
@@ -79,12 +79,12 @@
     void acceptConnections();
     void tick(Core::Instant now);
     void expireCalls(Core::Instant now);
-    void abandon(CallId call, const Core::Error &reason);
+    void abandonCall(CallId call, const Core::Error &reason);
     Connection *connectionTo(const Core::Address &peer, Core::Error &error);
-    void watch(Connection &connection);
-    void update(Connection &connection);
+    void registerConnection(Connection &connection);
+    void updateWriteInterest(Connection &connection);
     void removeDeadConnections();
-    void endEverything();
+    void shutDownAll();
 
     const NodeSettings m_settings;
     Traffic m_traffic;
@@ -106,7 +106,7 @@
     std::optional<Poco::Net::ServerSocket> m_listener;
     ConnectionId m_nextConnection = 0;
     std::unordered_map<ConnectionId, std::unique_ptr<Connection>> m_connections;
-    std::unordered_map<ConnectionId, bool> m_writeWatched;
+    std::unordered_map<ConnectionId, bool> m_writeInterest;
     std::map<Core::Address, ConnectionId> m_outgoing; ///< The connection that new calls to a peer use.
     std::unordered_map<CallId, OpenCall> m_calls;
     std::multimap<Core::Instant, CallId> m_deadlines; ///< May name calls that have ended.
--- a/Libraries/LibWire/StreamOutput.cpp
+++ b/Libraries/LibWire/StreamOutput.cpp
@@ -47,7 +47,7 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_closed = true;
     m_frames.clear();
-    m_headOffset = 0;
+    m_firstFrameOffset = 0;
     m_backlog = 0;
 }
 
@@ -75,23 +75,23 @@
     return !m_frames.empty();
 }
 
-StreamOutput::Taken StreamOutput::take(char *buffer, std::size_t length)
+StreamOutput::TakeResult StreamOutput::take(char *buffer, std::size_t length)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    Taken taken;
+    TakeResult taken;
     while (taken.m_bytes < length && !m_frames.empty()) {
         const std::string &head = m_frames.front();
-        const std::size_t bytes = std::min(length - taken.m_bytes, head.size() - m_headOffset);
-        std::memcpy(buffer + taken.m_bytes, head.data() + m_headOffset, bytes);
+        const std::size_t bytes = std::min(length - taken.m_bytes, head.size() - m_firstFrameOffset);
+        std::memcpy(buffer + taken.m_bytes, head.data() + m_firstFrameOffset, bytes);
         taken.m_bytes += bytes;
-        m_headOffset += bytes;
+        m_firstFrameOffset += bytes;
         m_backlog -= bytes;
-        if (m_headOffset == head.size()) {
+        if (m_firstFrameOffset == head.size()) {
             m_frames.pop_front();
-            m_headOffset = 0;
+            m_firstFrameOffset = 0;
         }
     }
-    taken.m_last = m_finished && m_frames.empty();
+    taken.m_isLast = m_finished && m_frames.empty();
     return taken;
 }
 
--- a/Libraries/LibWire/StreamOutput.h
+++ b/Libraries/LibWire/StreamOutput.h
@@ -30,20 +30,20 @@
     std::size_t backlog() const;
     bool hasData() const;
 
-    struct Taken
+    struct TakeResult
     {
         std::size_t m_bytes = 0;
-        bool m_last = false; ///< Everything up to the end frame has been taken.
+        bool m_isLast = false; ///< Everything up to the end frame has been taken.
     };
     /// Moves up to @p length bytes into @p buffer.
-    Taken take(char *buffer, std::size_t length);
+    TakeResult take(char *buffer, std::size_t length);
 
 private:
     const std::size_t m_maximumBacklog;
     const std::function<void()> m_wake;
     mutable std::mutex m_mutex;
     std::deque<std::string> m_frames;
-    std::size_t m_headOffset = 0; ///< Bytes of the first frame that were taken; less than its size.
+    std::size_t m_firstFrameOffset = 0; ///< Bytes of the first frame that were taken; less than its size.
     std::size_t m_backlog = 0; ///< Sum of the frames' sizes less m_headOffset.
     bool m_finished = false; ///< The end frame is queued or taken.
     bool m_closed = false; ///< The stream is gone; m_frames is empty.
