--- a/Libraries/LibEntry/AgentWatch.cpp
+++ b/Libraries/LibEntry/AgentWatch.cpp
@@ -73,7 +73,7 @@
         m_nextChoice = now + ChoiceInterval;
         choose();
     }
-    m_parts.m_router->step();
+    m_parts.m_router->poll();
     return TurnInterval;
 }
 
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -158,7 +158,7 @@
         return flush();
     }
 
-    bool isGone() override
+    bool isDisconnected() override
     {
         return isClosed(m_socket);
     }
--- a/Libraries/LibEntry/Generation.cpp
+++ b/Libraries/LibEntry/Generation.cpp
@@ -34,7 +34,8 @@
                 const Core::Error error = Core::makeError(Core::ErrorCode::Unavailable, "route request", m_request.m_template, "no whole version serves yet");
                 return CallerError{CallerCode::NotRun, error, ShortRetry, {}};
             }
-            const std::variant<Grant, CallerError> acquired = m_frontend.m_router->acquire(submission(served.value()), [this] { return m_sink.isGone(); });
+            const std::variant<Grant, CallerError> acquired =
+                m_frontend.m_router->acquire(submission(served.value()), [this] { return m_sink.isDisconnected(); });
             if (const CallerError *refused = std::get_if<CallerError>(&acquired)) {
                 return m_maybeRan ? failure(m_lastError) : *refused;
             }
@@ -54,13 +55,13 @@
     Routing::Submission submission(const ServedVersion &version) const
     {
         Routing::Submission submission;
-        submission.m_waiting.m_account = m_request.m_account;
-        submission.m_waiting.m_weight = version.m_weight;
-        submission.m_waiting.m_priority = m_request.m_priority;
-        submission.m_waiting.m_cost = m_request.m_maximumTokens;
-        submission.m_waiting.m_deadline = m_deadline;
+        submission.m_request.m_account = m_request.m_account;
+        submission.m_request.m_weight = version.m_weight;
+        submission.m_request.m_priority = m_request.m_priority;
+        submission.m_request.m_cost = m_request.m_maximumTokens;
+        submission.m_request.m_deadline = m_deadline;
         submission.m_group = Routing::GroupKey{version.m_service, version.m_digest};
-        submission.m_affinity = Routing::affinityOf(m_request.m_account, m_request.m_prompt);
+        submission.m_affinity = Routing::affinityHash(m_request.m_account, m_request.m_prompt);
         submission.m_excluded = m_failedAt;
         return submission;
     }
@@ -90,7 +91,7 @@
         m_failedAt.push_back(granted.m_member.m_id);
         LiveAttempt live(*m_frontend.m_node, granted.m_member.m_wire, liveRequest(version, granted), m_deadline);
         const AttemptOutcome outcome = live.run([this, &version](const Protocol::AnswerFrame &frame) { return onFrame(version, frame); },
-                                                [this] { return !m_sink.flush() || m_sink.isGone(); });
+                                                [this] { return !m_sink.flush() || m_sink.isDisconnected(); });
         m_frontend.m_router->release(grant, callResult(outcome));
         return outcome;
     }
--- a/Libraries/LibEntry/Generation.h
+++ b/Libraries/LibEntry/Generation.h
@@ -19,7 +19,7 @@
     virtual bool onEnd(std::uint64_t tokens, const std::string &digest) = 0;
     /// Nothing more is there for now: what was given goes out.
     virtual bool flush() = 0;
-    virtual bool isGone() = 0;
+    virtual bool isDisconnected() = 0;
 };
 
 /// Runs a request to its end. An error after onVersion() means that the answer stays incomplete. Empty if the answer is whole or the caller gone.
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -46,7 +46,7 @@
 std::variant<Grant, CallerError> Router::acquire(Routing::Submission submission, const GoneCheck &isGone)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    submission.m_waiting.m_ticket = m_nextTicket++;
+    submission.m_request.m_ticket = m_nextTicket++;
     const Core::Instant now = Core::Clock::now();
     const Routing::Admission admission = m_scheduler.submit(submission, now);
     if (const Routing::Granted *granted = std::get_if<Routing::Granted>(&admission)) {
@@ -62,17 +62,17 @@
 std::variant<Grant, CallerError> Router::await(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const GoneCheck &isGone)
 {
     const Core::Instant since = Core::Clock::now();
-    const Routing::Ticket ticket = submission.m_waiting.m_ticket;
+    const Routing::Ticket ticket = submission.m_request.m_ticket;
     const std::shared_ptr<Waiter> waiter = std::make_shared<Waiter>();
     m_waiters.emplace(ticket, waiter);
     m_waited.add();
     while (!waiter->m_resolution) {
         const Core::Instant now = Core::Clock::now();
-        if (now >= submission.m_waiting.m_deadline) {
-            resolve(m_scheduler.step(now));
+        if (now >= submission.m_request.m_deadline) {
+            resolve(m_scheduler.poll(now));
             break;
         }
-        const Core::Instant until = std::min(now + GoneInterval, submission.m_waiting.m_deadline);
+        const Core::Instant until = std::min(now + GoneInterval, submission.m_request.m_deadline);
         waiter->m_changed.wait_until(lock, until);
         if (waiter->m_resolution) {
             break;
@@ -116,7 +116,7 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
     m_scheduler.finish(grant.m_granted, result, grant.m_started, now);
-    resolve(m_scheduler.step(now));
+    resolve(m_scheduler.poll(now));
 }
 
 bool Router::tryRetry()
@@ -132,7 +132,7 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
     m_scheduler.table().update(report, now);
-    resolve(m_scheduler.step(now));
+    resolve(m_scheduler.poll(now));
 }
 
 void Router::forget(const std::string &instance)
@@ -145,13 +145,13 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_scheduler.table().suspect(instance);
-    resolve(m_scheduler.step(Core::Clock::now()));
+    resolve(m_scheduler.poll(Core::Clock::now()));
 }
 
-void Router::step()
+void Router::poll()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    resolve(m_scheduler.step(Core::Clock::now()));
+    resolve(m_scheduler.poll(Core::Clock::now()));
 }
 
 void Router::readTable(const std::function<void(const Routing::EndpointTable &table)> &read) const
--- a/Libraries/LibEntry/Router.h
+++ b/Libraries/LibEntry/Router.h
@@ -44,7 +44,7 @@
     /// The instance's stream of reports ended: no new work until it reports again.
     void suspect(const std::string &instance);
     /// To be called now and then, so that waiting requests notice endpoints that went silent.
-    void step();
+    void poll();
 
     /// Gives @p read the endpoints under the lock.
     void readTable(const std::function<void(const Routing::EndpointTable &table)> &read) const;
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -43,10 +43,10 @@
 Routing::Submission makeSubmission(const CallRequest &request, std::uint32_t weight, Core::Instant deadline)
 {
     Routing::Submission submission;
-    submission.m_waiting.m_account = request.m_account;
-    submission.m_waiting.m_weight = weight;
-    submission.m_waiting.m_priority = request.m_priority;
-    submission.m_waiting.m_deadline = deadline;
+    submission.m_request.m_account = request.m_account;
+    submission.m_request.m_weight = weight;
+    submission.m_request.m_priority = request.m_priority;
+    submission.m_request.m_deadline = deadline;
     submission.m_group = Routing::GroupKey{request.m_service, ""};
     return submission;
 }
@@ -117,7 +117,7 @@
 
 ServiceResult callRepeatable(Frontend &frontend, const CallRequest &request, Routing::Submission submission, const std::function<bool()> &isGone)
 {
-    const Core::Instant deadline = submission.m_waiting.m_deadline;
+    const Core::Instant deadline = submission.m_request.m_deadline;
     bool maybeRan = false;
     Core::Error lastError;
     while (true) {
@@ -158,7 +158,7 @@
         , m_request(request)
         , m_key(Claims::scopedKey(*request.m_key, request.m_account, request.m_service))
         , m_submission(std::move(submission))
-        , m_deadline(m_submission.m_waiting.m_deadline)
+        , m_deadline(m_submission.m_request.m_deadline)
         , m_isGone(std::move(isGone))
     {
     }
--- a/Libraries/LibRouting/Pick.cpp
+++ b/Libraries/LibRouting/Pick.cpp
@@ -24,7 +24,7 @@
     const EndpointTable &m_table;
     std::span<const EndpointIndex> m_members;
     const GroupKey &m_group;
-    const PickRequest &m_request;
+    const SelectionRequest &m_request;
     Core::Instant m_now;
 };
 
@@ -150,7 +150,7 @@
 }
 
 std::optional<EndpointIndex>
-pick(Strategy strategy, const EndpointTable &table, const GroupKey &group, const PickRequest &request, Core::Instant now, Core::Random &random)
+selectEndpoint(Strategy strategy, const EndpointTable &table, const GroupKey &group, const SelectionRequest &request, Core::Instant now, Core::Random &random)
 {
     const Choice choice{table, table.group(group), group, request, now};
     if (choice.m_members.empty()) {
@@ -171,7 +171,7 @@
     return std::nullopt;
 }
 
-std::uint64_t affinityOf(std::string_view account, std::string_view prompt)
+std::uint64_t affinityHash(std::string_view account, std::string_view prompt)
 {
     const std::uint64_t hash = Core::stableHash(prompt.substr(0, PrefixBytes), Core::stableHash(account));
     return hash == 0 ? 1 : hash;
--- a/Libraries/LibRouting/Pick.h
+++ b/Libraries/LibRouting/Pick.h
@@ -20,7 +20,7 @@
 bool waitsForRoom(Strategy strategy);
 
 /// What the choice depends on besides the endpoints.
-struct PickRequest
+struct SelectionRequest
 {
     std::uint64_t m_affinity = 0; ///< Hash of client account and prompt prefix; 0 if there is none.
     std::span<const std::string> m_excluded; ///< Instances that this request has failed at.
@@ -29,9 +29,9 @@
 
 /// An endpoint of the group that may take the request now; empty if there is none.
 std::optional<EndpointIndex>
-pick(Strategy strategy, const EndpointTable &table, const GroupKey &group, const PickRequest &request, Core::Instant now, Core::Random &random);
+selectEndpoint(Strategy strategy, const EndpointTable &table, const GroupKey &group, const SelectionRequest &request, Core::Instant now, Core::Random &random);
 
 /// Hash for prefix affinity: the start of the prompt, within one account.
-std::uint64_t affinityOf(std::string_view account, std::string_view prompt);
+std::uint64_t affinityHash(std::string_view account, std::string_view prompt);
 
 }
--- a/Libraries/LibRouting/Scheduler.cpp
+++ b/Libraries/LibRouting/Scheduler.cpp
@@ -43,21 +43,21 @@
 
 std::optional<Granted> Scheduler::tryGrant(const Submission &submission, Core::Instant now)
 {
-    const PickRequest request{submission.m_affinity, submission.m_excluded, waitsForRoom(m_settings.m_strategy)};
-    const std::optional<EndpointIndex> index = pick(m_settings.m_strategy, m_table, submission.m_group, request, now, m_random);
+    const SelectionRequest request{submission.m_affinity, submission.m_excluded, waitsForRoom(m_settings.m_strategy)};
+    const std::optional<EndpointIndex> index = selectEndpoint(m_settings.m_strategy, m_table, submission.m_group, request, now, m_random);
     if (!index) {
         return std::nullopt;
     }
     m_table.begin(*index);
     const EndpointView &endpoint = m_table.at(*index);
-    m_runningGroups[submission.m_waiting.m_ticket] = submission.m_group;
+    m_runningGroups[submission.m_request.m_ticket] = submission.m_group;
     groupOf(submission.m_group).m_running += 1;
-    return Granted{submission.m_waiting.m_ticket, *index, endpoint.m_member, endpoint.m_sequence};
+    return Granted{submission.m_request.m_ticket, *index, endpoint.m_member, endpoint.m_sequence};
 }
 
 Admission Scheduler::submit(const Submission &submission, Core::Instant now)
 {
-    const Ticket ticket = submission.m_waiting.m_ticket;
+    const Ticket ticket = submission.m_request.m_ticket;
     if (submission.m_excluded.empty()) {
         m_retryBudget.onRequest();
     }
@@ -68,15 +68,15 @@
     if (group.m_queue.size() == 0) {
         const std::optional<Granted> granted = tryGrant(submission, now);
         if (granted) {
-            group.m_queue.charge(submission.m_waiting);
+            group.m_queue.charge(submission.m_request);
             return *granted;
         }
     }
-    const double ahead = group.m_queue.requestsAhead(submission.m_waiting.m_account, submission.m_waiting.m_weight);
-    if (now + expectedWait(group, ahead) + expectedCall(group) >= submission.m_waiting.m_deadline) {
+    const double ahead = group.m_queue.requestsAhead(submission.m_request.m_account, submission.m_request.m_weight);
+    if (now + expectedWait(group, ahead) + expectedCall(group) >= submission.m_request.m_deadline) {
         return Refused{ticket, RefusalReason::TooLate, retryAfter(submission.m_group)};
     }
-    if (!group.m_queue.push(submission.m_waiting)) {
+    if (!group.m_queue.push(submission.m_request)) {
         return Refused{ticket, RefusalReason::QueueFull, retryAfter(submission.m_group)};
     }
     // In the queue nothing is excluded: a request that may not use the endpoint that is free would hold up all behind it.
@@ -123,7 +123,7 @@
     }
 }
 
-std::vector<Resolution> Scheduler::step(Core::Instant now)
+std::vector<Resolution> Scheduler::poll(Core::Instant now)
 {
     std::vector<Resolution> resolutions;
     for (std::pair<const GroupKey, Group> &entry : m_groups) {
--- a/Libraries/LibRouting/Scheduler.h
+++ b/Libraries/LibRouting/Scheduler.h
@@ -29,7 +29,7 @@
 /// A request that wants an endpoint.
 struct Submission
 {
-    Waiting m_waiting;
+    Waiting m_request;
     GroupKey m_group;
     std::uint64_t m_affinity = 0;
     std::vector<std::string> m_excluded; ///< Instances at which the request has failed.
@@ -112,7 +112,7 @@
     /// The request is no longer wanted. Does nothing unless it waits in the queue.
     void withdraw(Ticket ticket);
     /// Grants and refusals of queued requests; to be called after finish(), after reports, and now and then for deadlines.
-    std::vector<Resolution> step(Core::Instant now);
+    std::vector<Resolution> poll(Core::Instant now);
 
     /// Takes a retry out of the budget.
     bool tryRetry()
--- a/Tests/LibRelay/TestRelay.cpp
+++ b/Tests/LibRelay/TestRelay.cpp
@@ -340,7 +340,7 @@
         caller.send("GET /read/x HTTP/1.1\r\nHost: a\r\nAttempt: 1\r\nKey: k\r\n\r\n");
         REQUIRE(runUntil(fixture.m_loop, [&upstream] { return upstream != nullptr; }));
         caller.close();
-        CHECK(runUntil(fixture.m_loop, [&upstream] { return upstream->isGone(); }));
+        CHECK(runUntil(fixture.m_loop, [&upstream] { return upstream->isDisconnected(); }));
     }
     CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->openRequests() == 0; }));
 }
--- a/Tests/LibRouting/TestPick.cpp
+++ b/Tests/LibRouting/TestPick.cpp
@@ -49,7 +49,7 @@
     for (int round = 0; round < 500; ++round) {
         const Routing::EndpointTable table = randomFleet(random, Start);
         const std::vector<std::string> excluded{nameOf(random.below(40))};
-        const Routing::PickRequest request{random.next() | 1, excluded, random.below(2) == 0};
+        const Routing::SelectionRequest request{random.next() | 1, excluded, random.below(2) == 0};
         bool any = false;
         for (const Routing::EndpointView &endpoint : table.endpoints()) {
             any = any
@@ -57,7 +57,7 @@
                     && (!request.m_needsRoom || Routing::hasRoom(endpoint)));
         }
         for (const Routing::Strategy strategy : strategies) {
-            const std::optional<Routing::EndpointIndex> index = Routing::pick(strategy, table, Group, request, Start, random);
+            const std::optional<Routing::EndpointIndex> index = Routing::selectEndpoint(strategy, table, Group, request, Start, random);
             REQUIRE(index.has_value() == any);
             if (!index) {
                 continue;
@@ -119,10 +119,10 @@
     for (std::size_t index = 0; index < 16; ++index) {
         table.update(makeReport(nameOf(index), 1, 0, 16), Start);
     }
-    const Routing::PickRequest request{Routing::affinityOf("sao-mai", "season report: "), {}, true};
+    const Routing::SelectionRequest request{Routing::affinityHash("sao-mai", "season report: "), {}, true};
     std::map<Routing::EndpointIndex, int> picks;
     for (int round = 0; round < 8; ++round) {
-        const std::optional<Routing::EndpointIndex> index = Routing::pick(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
+        const std::optional<Routing::EndpointIndex> index = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
         REQUIRE(index);
         picks[*index] += 1;
     }
@@ -131,7 +131,7 @@
     for (int call = 0; call < 12; ++call) {
         table.begin(owner);
     }
-    const std::optional<Routing::EndpointIndex> spilled = Routing::pick(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
+    const std::optional<Routing::EndpointIndex> spilled = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
     REQUIRE(spilled);
     REQUIRE(*spilled != owner);
 }
--- a/Tests/LibRouting/TestScheduler.cpp
+++ b/Tests/LibRouting/TestScheduler.cpp
@@ -21,8 +21,8 @@
 Routing::Submission makeSubmission(Routing::Ticket ticket, const std::string &account, Core::Duration timeout = Core::Duration(60000))
 {
     Routing::Submission submission;
-    submission.m_waiting = makeWaiting(ticket, account);
-    submission.m_waiting.m_deadline = Start + timeout;
+    submission.m_request = makeWaiting(ticket, account);
+    submission.m_request.m_deadline = Start + timeout;
     submission.m_group = Group;
     return submission;
 }
@@ -128,7 +128,7 @@
             scheduler.finish(running.begin()->second, Routing::CallResult::Answered, now, now);
             running.erase(running.begin());
         }
-        for (const Routing::Resolution &resolution : scheduler.step(now)) {
+        for (const Routing::Resolution &resolution : scheduler.poll(now)) {
             const Routing::Granted &granted = std::get<Routing::Granted>(resolution);
             running.emplace(granted.m_ticket, granted);
             queued -= 1;
@@ -164,7 +164,7 @@
         granted.push_back(std::get<Routing::Granted>(scheduler.submit(makeSubmission(ticket, "a"), Start)));
     }
     REQUIRE(std::holds_alternative<Routing::Queued>(scheduler.submit(makeSubmission(5, "a", Core::Duration(100)), Start)));
-    const std::vector<Routing::Resolution> resolutions = scheduler.step(Start + Core::Duration(100));
+    const std::vector<Routing::Resolution> resolutions = scheduler.poll(Start + Core::Duration(100));
     REQUIRE(resolutions.size() == 1);
     REQUIRE(std::get<Routing::Refused>(resolutions[0]).m_reason == Routing::RefusalReason::TooLate);
     // Calls take ten seconds here; behind forty others a request with one second has no chance.
@@ -183,7 +183,7 @@
         scheduler.submit(makeSubmission(ticket, "a"), Start);
     }
     REQUIRE(scheduler.queued() == 1);
-    const std::vector<Routing::Resolution> resolutions = scheduler.step(Start + Routing::SilenceLimit);
+    const std::vector<Routing::Resolution> resolutions = scheduler.poll(Start + Routing::SilenceLimit);
     REQUIRE(resolutions.size() == 1);
     REQUIRE(std::get<Routing::Refused>(resolutions[0]).m_reason == Routing::RefusalReason::NoEndpoint);
 }
--- a/Tests/Support/LoopbackPeer.h
+++ b/Tests/Support/LoopbackPeer.h
@@ -118,7 +118,7 @@
         m_socket.close();
     }
 
-    bool isGone() const
+    bool isDisconnected() const
     {
         return m_isGone;
     }
--- a/Utilities/measure-routing/Main.cpp
+++ b/Utilities/measure-routing/Main.cpp
@@ -123,8 +123,8 @@
             const std::uint64_t allocationsBefore = allocations;
             const Core::Instant start = Core::Clock::now();
             for (int round = 0; round < rounds; ++round) {
-                const Routing::PickRequest request{random.next() | 1, {}, true};
-                sum += *Routing::pick(named.m_strategy, table, group, request, now, random);
+                const Routing::SelectionRequest request{random.next() | 1, {}, true};
+                sum += *Routing::selectEndpoint(named.m_strategy, table, group, request, now, random);
             }
             const double seconds = Core::secondsBetween(start, Core::Clock::now());
             const double perDecision = static_cast<double>(allocations - allocationsBefore) / rounds;
--- a/Utilities/measure-routing/Simulation.cpp
+++ b/Utilities/measure-routing/Simulation.cpp
@@ -178,11 +178,11 @@
         const std::size_t index = m_requests.size();
         m_requests.push_back(request);
         Routing::Submission submission;
-        submission.m_waiting.m_ticket = index + 1;
-        submission.m_waiting.m_account = "account-" + std::to_string(request.m_account);
-        submission.m_waiting.m_deadline = instant() + std::chrono::milliseconds(static_cast<std::int64_t>(m_plan.m_timeout * 1000));
+        submission.m_request.m_ticket = index + 1;
+        submission.m_request.m_account = "account-" + std::to_string(request.m_account);
+        submission.m_request.m_deadline = instant() + std::chrono::milliseconds(static_cast<std::int64_t>(m_plan.m_timeout * 1000));
         submission.m_group = Routing::GroupKey{Service, Digest};
-        submission.m_affinity = Routing::affinityOf(submission.m_waiting.m_account, std::to_string(request.m_prefix));
+        submission.m_affinity = Routing::affinityHash(submission.m_request.m_account, std::to_string(request.m_prefix));
         const Routing::Admission admission = m_entries[request.m_entry]->submit(submission, instant());
         if (const Routing::Granted *granted = std::get_if<Routing::Granted>(&admission)) {
             start(*granted);
@@ -193,7 +193,7 @@
 
     void resolve(std::size_t entry)
     {
-        for (const Routing::Resolution &resolution : m_entries[entry]->step(instant())) {
+        for (const Routing::Resolution &resolution : m_entries[entry]->poll(instant())) {
             if (const Routing::Granted *granted = std::get_if<Routing::Granted>(&resolution)) {
                 start(*granted);
             }
