--- a/Libraries/LibClaims/CallProtocol.cpp
+++ b/Libraries/LibClaims/CallProtocol.cpp
@@ -8,21 +8,21 @@
 
 Step conclude(CallState state, CallVerdict verdict)
 {
-    state.m_phase = CallPhase::Concluded;
-    return Step{std::move(state), Conclude{verdict}};
+    state.m_phase = CallPhase::Finished;
+    return Step{std::move(state), ReportVerdict{verdict}};
 }
 
 Step askOther(CallState state, bool later)
 {
-    state.m_phase = CallPhase::AskingOther;
-    AskOutcome question{state.m_other.m_attempt, false, state.m_other, later};
+    state.m_phase = CallPhase::QueryingHolder;
+    QueryOutcome question{state.m_holder.m_attempt, false, state.m_holder, later};
     return Step{std::move(state), std::move(question)};
 }
 
 Step askOwn(CallState state, bool later)
 {
-    state.m_phase = CallPhase::AskingOwn;
-    AskOutcome question{state.m_attempt, true, {}, later};
+    state.m_phase = CallPhase::QueryingOwn;
+    QueryOutcome question{state.m_attempt, true, {}, later};
     return Step{std::move(state), std::move(question)};
 }
 
@@ -30,9 +30,9 @@
 {
     state.m_reclaims += 1;
     state.m_attempt = nextAttempt;
-    state.m_other = Claim();
+    state.m_holder = Claim();
     state.m_phase = CallPhase::Claiming;
-    return Step{std::move(state), MakeClaim{nextAttempt}};
+    return Step{std::move(state), WriteClaim{nextAttempt}};
 }
 
 Step onClaimResult(CallState state, const ClaimResult &result)
@@ -40,14 +40,14 @@
     switch (result.m_verdict) {
     case Verdict::Won:
         state.m_phase = CallPhase::Dispatched;
-        state.m_sent = true;
+        state.m_dispatched = true;
         return Step{state, Dispatch{state.m_attempt}};
     case Verdict::Lost:
-        state.m_other = result.m_winner;
+        state.m_holder = result.m_holder;
         return askOther(std::move(state), false);
     case Verdict::Expired:
         return conclude(std::move(state), CallVerdict::KeyExpired);
-    case Verdict::Barred:
+    case Verdict::Tombstoned:
         break;
     }
     return conclude(std::move(state), CallVerdict::NotRun);
@@ -55,7 +55,7 @@
 
 Step whileClaiming(CallState state, const Event &event)
 {
-    if (const ClaimJudged *judged = std::get_if<ClaimJudged>(&event)) {
+    if (const ClaimDecided *judged = std::get_if<ClaimDecided>(&event)) {
         return onClaimResult(std::move(state), judged->m_result);
     }
     // Nothing was sent, and without a further step of this call nothing will be.
@@ -67,8 +67,8 @@
     if (std::holds_alternative<CompleteAnswer>(event)) {
         return conclude(std::move(state), CallVerdict::Answered);
     }
-    if (std::holds_alternative<CertainlyNotRun>(event)) {
-        state.m_sent = false;
+    if (std::holds_alternative<AttemptNotRun>(event)) {
+        state.m_dispatched = false;
         return conclude(std::move(state), CallVerdict::NotRun);
     }
     return askOwn(std::move(state), false);
@@ -76,7 +76,7 @@
 
 Step whileAskingOwn(CallState state, const Event &event)
 {
-    const OutcomeTold *told = std::get_if<OutcomeTold>(&event);
+    const OutcomeReceived *told = std::get_if<OutcomeReceived>(&event);
     if (!told) {
         return conclude(std::move(state), CallVerdict::OutcomeUnknown);
     }
@@ -84,7 +84,7 @@
     case Protocol::Outcome::Finished:
         return conclude(std::move(state), CallVerdict::Answered);
     case Protocol::Outcome::NeverRan:
-        state.m_sent = false;
+        state.m_dispatched = false;
         return conclude(std::move(state), CallVerdict::NotRun);
     case Protocol::Outcome::Running:
         return askOwn(std::move(state), true);
@@ -96,7 +96,7 @@
 
 Step whileAskingOther(CallState state, const Event &event)
 {
-    const OutcomeTold *told = std::get_if<OutcomeTold>(&event);
+    const OutcomeReceived *told = std::get_if<OutcomeReceived>(&event);
     if (!told) {
         return conclude(std::move(state), CallVerdict::KeyUsed);
     }
@@ -113,14 +113,14 @@
     if (state.m_reclaims >= MaximumReclaims) {
         return conclude(std::move(state), CallVerdict::NotRun);
     }
-    state.m_phase = CallPhase::BarringOther;
-    WriteBar bar{state.m_other.m_attempt};
+    state.m_phase = CallPhase::WritingTombstone;
+    WriteTombstone bar{state.m_holder.m_attempt};
     return Step{std::move(state), std::move(bar)};
 }
 
 Step whileBarring(CallState state, const Event &event, const std::string &nextAttempt)
 {
-    if (std::holds_alternative<BarWritten>(event)) {
+    if (std::holds_alternative<TombstoneWritten>(event)) {
         return claimAnew(std::move(state), nextAttempt);
     }
     return conclude(std::move(state), CallVerdict::NotRun);
@@ -128,30 +128,30 @@
 
 }
 
-Step begin(const std::string &attempt)
+Step beginCall(const std::string &attempt)
 {
     CallState state;
     state.m_attempt = attempt;
-    return Step{std::move(state), MakeClaim{attempt}};
+    return Step{std::move(state), WriteClaim{attempt}};
 }
 
-Step advance(const CallState &state, const Event &event, const std::string &nextAttempt)
+Step advanceCall(const CallState &state, const Event &event, const std::string &nextAttempt)
 {
     switch (state.m_phase) {
     case CallPhase::Claiming:
         return whileClaiming(state, event);
     case CallPhase::Dispatched:
         return whileDispatched(state, event);
-    case CallPhase::AskingOwn:
+    case CallPhase::QueryingOwn:
         return whileAskingOwn(state, event);
-    case CallPhase::AskingOther:
+    case CallPhase::QueryingHolder:
         return whileAskingOther(state, event);
-    case CallPhase::BarringOther:
+    case CallPhase::WritingTombstone:
         return whileBarring(state, event, nextAttempt);
-    case CallPhase::Concluded:
+    case CallPhase::Finished:
         break;
     }
-    return Step{state, Conclude{state.m_sent ? CallVerdict::OutcomeUnknown : CallVerdict::NotRun}};
+    return Step{state, ReportVerdict{state.m_dispatched ? CallVerdict::OutcomeUnknown : CallVerdict::NotRun}};
 }
 
 }
--- a/Libraries/LibClaims/CallProtocol.h
+++ b/Libraries/LibClaims/CallProtocol.h
@@ -22,11 +22,11 @@
 // What the entry is to do.
 
 /// Claim the key for the attempt.
-struct MakeClaim
+struct WriteClaim
 {
     std::string m_attempt;
 
-    bool operator==(const MakeClaim &) const = default;
+    bool operator==(const WriteClaim &) const = default;
 };
 /// Send the attempt to the agent that its claim names. Asked for at most once in the life of an attempt.
 struct Dispatch
@@ -36,35 +36,35 @@
     bool operator==(const Dispatch &) const = default;
 };
 /// Ask an agent what became of an attempt.
-struct AskOutcome
+struct QueryOutcome
 {
     std::string m_attempt;
-    bool m_own = true; ///< The entry's own attempt, at the agent it was sent to; else that of m_winner.
-    Claim m_winner;
-    bool m_later = false; ///< It was running a moment ago: wait before asking.
+    bool m_isOwn = true; ///< The entry's own attempt, at the agent it was sent to; else that of m_winner.
+    Claim m_holder;
+    bool m_isDelayed = false; ///< It was running a moment ago: wait before asking.
 
-    bool operator==(const AskOutcome &) const = default;
+    bool operator==(const QueryOutcome &) const = default;
 };
 /// Write a bar on the attempt, then report that.
-struct WriteBar
+struct WriteTombstone
 {
     std::string m_attempt;
 
-    bool operator==(const WriteBar &) const = default;
+    bool operator==(const WriteTombstone &) const = default;
 };
 /// Tell the caller.
-struct Conclude
+struct ReportVerdict
 {
     CallVerdict m_verdict = CallVerdict::NotRun;
 
-    bool operator==(const Conclude &) const = default;
+    bool operator==(const ReportVerdict &) const = default;
 };
 
-using Action = std::variant<MakeClaim, Dispatch, AskOutcome, WriteBar, Conclude>;
+using Action = std::variant<WriteClaim, Dispatch, QueryOutcome, WriteTombstone, ReportVerdict>;
 
 // What happened.
 
-struct ClaimJudged
+struct ClaimDecided
 {
     ClaimResult m_result;
 };
@@ -77,25 +77,25 @@
 {
 };
 /// The dispatch ended, and it is certain that the attempt did not run and will not: nothing was sent, or the agent has refused it.
-struct CertainlyNotRun
+struct AttemptNotRun
 {
 };
 /// The dispatch ended without a whole answer.
-struct AnswerLost
+struct AnswerIncomplete
 {
 };
-struct OutcomeTold
+struct OutcomeReceived
 {
     Protocol::Outcome m_outcome = Protocol::Outcome::Unknown;
 };
 /// The agent could not be asked.
-struct OutcomeUnreachable
+struct OutcomeUnavailable
 {
 };
-struct BarWritten
+struct TombstoneWritten
 {
 };
-struct BarFailed
+struct TombstoneFailed
 {
 };
 /// The call's time is over.
@@ -103,8 +103,16 @@
 {
 };
 
-using Event =
-    std::variant<ClaimJudged, ClaimFailed, CompleteAnswer, CertainlyNotRun, AnswerLost, OutcomeTold, OutcomeUnreachable, BarWritten, BarFailed, DeadlinePassed>;
+using Event = std::variant<ClaimDecided,
+                           ClaimFailed,
+                           CompleteAnswer,
+                           AttemptNotRun,
+                           AnswerIncomplete,
+                           OutcomeReceived,
+                           OutcomeUnavailable,
+                           TombstoneWritten,
+                           TombstoneFailed,
+                           DeadlinePassed>;
 
 /// How often one call may claim its key anew after an agent has confirmed that the holder never ran.
 inline constexpr std::uint32_t MaximumReclaims = 2;
@@ -112,10 +120,10 @@
 enum class CallPhase {
     Claiming,
     Dispatched,
-    AskingOwn,
-    AskingOther,
-    BarringOther, ///< The holder never ran; its bar is being written, after which the key is claimed anew.
-    Concluded,
+    QueryingOwn,
+    QueryingHolder,
+    WritingTombstone, ///< The holder never ran; its bar is being written, after which the key is claimed anew.
+    Finished,
 };
 
 /// Where one call stands. m_sent is the promise's hinge: once true, "not run" needs proof.
@@ -123,8 +131,8 @@
 {
     CallPhase m_phase = CallPhase::Claiming;
     std::string m_attempt; ///< Of this entry.
-    bool m_sent = false; ///< m_attempt was handed to the network, and nothing has proved since that it did not run.
-    Claim m_other; ///< Holder of the key, while it is another.
+    bool m_dispatched = false; ///< m_attempt was handed to the network, and nothing has proved since that it did not run.
+    Claim m_holder; ///< Holder of the key, while it is another.
     std::uint32_t m_reclaims = 0;
 
     bool operator==(const CallState &) const = default;
@@ -139,9 +147,9 @@
     bool operator==(const Step &) const = default;
 };
 
-Step begin(const std::string &attempt);
+Step beginCall(const std::string &attempt);
 
 /// What follows from an event. @p nextAttempt is a fresh id, used if the key is claimed anew.
-Step advance(const CallState &state, const Event &event, const std::string &nextAttempt);
+Step advanceCall(const CallState &state, const Event &event, const std::string &nextAttempt);
 
 }
--- a/Libraries/LibClaims/ClaimMessages.h
+++ b/Libraries/LibClaims/ClaimMessages.h
@@ -10,12 +10,12 @@
 /// Bars and claims to write; with neither, only the epoch is asked for.
 struct ClaimRequest
 {
-    std::vector<AttemptBar> m_bars;
+    std::vector<AttemptTombstone> m_tombstones;
     std::vector<Claim> m_claims;
 
     bool operator==(const ClaimRequest &) const = default;
 
-    MSGPACK_DEFINE_MAP(MSGPACK_NVP("bars", m_bars), MSGPACK_NVP("claims", m_claims));
+    MSGPACK_DEFINE_MAP(MSGPACK_NVP("bars", m_tombstones), MSGPACK_NVP("claims", m_claims));
 };
 
 /// What became of them, once they stand in the log.
--- a/Libraries/LibClaims/ClaimRecord.h
+++ b/Libraries/LibClaims/ClaimRecord.h
@@ -40,12 +40,12 @@
  *
  * Only two may say so: the entry that made the attempt and has not sent it, and an entry to which the agent has confirmed that it bars it.
  */
-struct AttemptBar
+struct AttemptTombstone
 {
     std::string m_key; ///< Scoped text.
     std::string m_attempt;
 
-    bool operator==(const AttemptBar &) const = default;
+    bool operator==(const AttemptTombstone &) const = default;
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("key", m_key), MSGPACK_NVP("attempt", m_attempt));
 };
@@ -56,7 +56,7 @@
     std::string m_id; ///< Random; by it a lost append answer is settled.
     std::string m_writer;
     std::uint64_t m_generation = 0; ///< A larger one than before starts a generation; a batch of an older one counts for nothing.
-    std::vector<AttemptBar> m_bars; ///< Folded before the claims.
+    std::vector<AttemptTombstone> m_tombstones; ///< Folded before the claims.
     std::vector<Claim> m_claims;
 
     bool operator==(const ClaimBatch &) const = default;
@@ -64,7 +64,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("id", m_id),
                        MSGPACK_NVP("writer", m_writer),
                        MSGPACK_NVP("generation", m_generation),
-                       MSGPACK_NVP("bars", m_bars),
+                       MSGPACK_NVP("bars", m_tombstones),
                        MSGPACK_NVP("claims", m_claims));
 };
 
--- a/Libraries/LibClaims/ClaimTable.cpp
+++ b/Libraries/LibClaims/ClaimTable.cpp
@@ -21,10 +21,10 @@
     // Offsets run anew from here, so the dates of older entries no longer tell when they may go: they age from the restart on.
     m_position = first - 1;
     m_coveredFrom = first;
-    for (Dated &date : m_winnerDates) {
+    for (ExpiryEntry &date : m_holderExpiry) {
         date.m_offset = first;
     }
-    for (Dated &date : m_barDates) {
+    for (ExpiryEntry &date : m_tombstoneExpiry) {
         date.m_offset = first;
     }
 }
@@ -34,35 +34,35 @@
     return Epoch{m_generation, m_position};
 }
 
-const Claim *ClaimTable::winner(const std::string &key) const
+const Claim *ClaimTable::findHolder(const std::string &key) const
 {
-    const std::unordered_map<std::string, Claim>::const_iterator it = m_winners.find(key);
-    return it == m_winners.end() ? nullptr : &it->second;
+    const std::unordered_map<std::string, Claim>::const_iterator it = m_holders.find(key);
+    return it == m_holders.end() ? nullptr : &it->second;
 }
 
-FoldedBatch ClaimTable::fold(Offset offset, std::string_view body)
+AppliedBatch ClaimTable::apply(Offset offset, std::string_view body)
 {
     m_position = offset;
     const Core::Result<ClaimBatch> decoded = Wire::unpack<ClaimBatch>(body, "claims record " + std::to_string(offset));
     if (!decoded || decoded.value().m_claims.size() > MaximumBatch) {
-        return FoldedBatch();
+        return AppliedBatch();
     }
     const ClaimBatch &batch = decoded.value();
-    FoldedBatch folded{batch.m_id, {}};
+    AppliedBatch folded{batch.m_id, {}};
     if (batch.m_generation > m_generation) {
         m_generation = batch.m_generation;
         m_generationStart = offset;
     }
     const bool outdated = batch.m_generation < m_generation;
     if (!outdated) {
-        for (const AttemptBar &bar : batch.m_bars) {
-            foldBar(offset, bar);
+        for (const AttemptTombstone &bar : batch.m_tombstones) {
+            applyTombstone(offset, bar);
         }
     }
     for (const Claim &claim : batch.m_claims) {
-        folded.m_results.push_back(outdated ? ClaimResult{claim.m_attempt, Verdict::Expired, {}} : foldClaim(offset, claim));
+        folded.m_results.push_back(outdated ? ClaimResult{claim.m_attempt, Verdict::Expired, {}} : applyClaim(offset, claim));
     }
-    forgetOld(offset);
+    removeExpired(offset);
     return folded;
 }
 
@@ -77,18 +77,18 @@
     return neverHandedOut || outsideWindow || notCovered;
 }
 
-ClaimResult ClaimTable::foldClaim(Offset offset, const Claim &claim)
+ClaimResult ClaimTable::applyClaim(Offset offset, const Claim &claim)
 {
     if (isExpired(claim.m_key.m_epoch, offset)) {
         return ClaimResult{claim.m_attempt, Verdict::Expired, {}};
     }
-    if (m_barred.contains(claim.m_attempt)) {
-        return ClaimResult{claim.m_attempt, Verdict::Barred, {}};
+    if (m_tombstones.contains(claim.m_attempt)) {
+        return ClaimResult{claim.m_attempt, Verdict::Tombstoned, {}};
     }
-    const std::unordered_map<std::string, Claim>::const_iterator it = m_winners.find(claim.m_key.m_text);
-    if (it == m_winners.end()) {
-        m_winners.emplace(claim.m_key.m_text, claim);
-        m_winnerDates.push_back(Dated{offset, claim.m_key.m_text});
+    const std::unordered_map<std::string, Claim>::const_iterator it = m_holders.find(claim.m_key.m_text);
+    if (it == m_holders.end()) {
+        m_holders.emplace(claim.m_key.m_text, claim);
+        m_holderExpiry.push_back(ExpiryEntry{offset, claim.m_key.m_text});
         return ClaimResult{claim.m_attempt, Verdict::Won, {}};
     }
     if (it->second.m_attempt == claim.m_attempt) {
@@ -97,29 +97,29 @@
     return ClaimResult{claim.m_attempt, Verdict::Lost, it->second};
 }
 
-void ClaimTable::foldBar(Offset offset, const AttemptBar &bar)
+void ClaimTable::applyTombstone(Offset offset, const AttemptTombstone &bar)
 {
-    if (!m_barred.emplace(bar.m_attempt, offset).second) {
+    if (!m_tombstones.emplace(bar.m_attempt, offset).second) {
         return;
     }
-    m_barDates.push_back(Dated{offset, bar.m_attempt});
-    const std::unordered_map<std::string, Claim>::const_iterator it = m_winners.find(bar.m_key);
-    if (it != m_winners.end() && it->second.m_attempt == bar.m_attempt) {
-        m_winners.erase(it);
+    m_tombstoneExpiry.push_back(ExpiryEntry{offset, bar.m_attempt});
+    const std::unordered_map<std::string, Claim>::const_iterator it = m_holders.find(bar.m_key);
+    if (it != m_holders.end() && it->second.m_attempt == bar.m_attempt) {
+        m_holders.erase(it);
     }
 }
 
-void ClaimTable::forgetOld(Offset offset)
+void ClaimTable::removeExpired(Offset offset)
 {
     // A key claimed at offset O has an epoch below O, so it is expired once O + window is behind, and its claim can go.
-    while (!m_winnerDates.empty() && m_winnerDates.front().m_offset + m_window < offset) {
-        const std::string &key = m_winnerDates.front().m_text;
-        m_winners.erase(key);
-        m_winnerDates.pop_front();
+    while (!m_holderExpiry.empty() && m_holderExpiry.front().m_offset + m_window < offset) {
+        const std::string &key = m_holderExpiry.front().m_text;
+        m_holders.erase(key);
+        m_holderExpiry.pop_front();
     }
-    while (!m_barDates.empty() && m_barDates.front().m_offset + m_window < offset) {
-        m_barred.erase(m_barDates.front().m_text);
-        m_barDates.pop_front();
+    while (!m_tombstoneExpiry.empty() && m_tombstoneExpiry.front().m_offset + m_window < offset) {
+        m_tombstones.erase(m_tombstoneExpiry.front().m_text);
+        m_tombstoneExpiry.pop_front();
     }
 }
 
--- a/Libraries/LibClaims/ClaimTable.h
+++ b/Libraries/LibClaims/ClaimTable.h
@@ -17,7 +17,7 @@
     Won = 0, ///< The attempt may be dispatched, once.
     Lost = 1, ///< Another attempt holds the key.
     Expired = 2, ///< The key is older than the claims that are kept, or its epoch was never handed out: whether it was claimed cannot be told.
-    Barred = 3, ///< The attempt was barred before its claim arrived.
+    Tombstoned = 3, ///< The attempt was barred before its claim arrived.
 };
 
 /// What became of one claim.
@@ -25,20 +25,20 @@
 {
     std::string m_attempt;
     Verdict m_verdict = Verdict::Expired;
-    Claim m_winner; ///< If Lost.
+    Claim m_holder; ///< If Lost.
 
     bool operator==(const ClaimResult &) const = default;
 
-    MSGPACK_DEFINE_MAP(MSGPACK_NVP("attempt", m_attempt), MSGPACK_NVP("verdict", m_verdict), MSGPACK_NVP("winner", m_winner));
+    MSGPACK_DEFINE_MAP(MSGPACK_NVP("attempt", m_attempt), MSGPACK_NVP("verdict", m_verdict), MSGPACK_NVP("winner", m_holder));
 };
 
 /// What became of one record.
-struct FoldedBatch
+struct AppliedBatch
 {
     std::string m_id; ///< Empty if the record was malformed.
     std::vector<ClaimResult> m_results; ///< In the order of the batch's claims.
 
-    bool operator==(const FoldedBatch &) const = default;
+    bool operator==(const AppliedBatch &) const = default;
 };
 
 /**
@@ -56,7 +56,7 @@
     /// Starts at the oldest record that the log holds. Keys from before cannot be told.
     void startAt(Offset first);
     /// Folds the record at @p offset, which must be position() + 1. Malformed records are passed over.
-    FoldedBatch fold(Offset offset, std::string_view body);
+    AppliedBatch apply(Offset offset, std::string_view body);
 
     /**
      * Starts reading again at @p first of a log that lost records.
@@ -79,32 +79,32 @@
     /// Number of keys held.
     std::size_t size() const
     {
-        return m_winners.size();
+        return m_holders.size();
     }
     /// The holder of a key, or null.
-    const Claim *winner(const std::string &key) const;
+    const Claim *findHolder(const std::string &key) const;
 
 private:
-    struct Dated
+    struct ExpiryEntry
     {
         Offset m_offset = 0;
         std::string m_text;
     };
 
     bool isExpired(const Epoch &epoch, Offset offset) const;
-    ClaimResult foldClaim(Offset offset, const Claim &claim);
-    void foldBar(Offset offset, const AttemptBar &bar);
-    void forgetOld(Offset offset);
+    ClaimResult applyClaim(Offset offset, const Claim &claim);
+    void applyTombstone(Offset offset, const AttemptTombstone &bar);
+    void removeExpired(Offset offset);
 
     Offset m_window;
     Offset m_coveredFrom = 1; ///< Every record from here to m_position was folded.
     Offset m_position = 0;
     std::uint64_t m_generation = 0; ///< Never falls.
     Offset m_generationStart = 0; ///< Record that started m_generation; epochs before it are expired.
-    std::unordered_map<std::string, Claim> m_winners; ///< By key.
-    std::deque<Dated> m_winnerDates; ///< Keys by rising offset of their claim; may name released ones.
-    std::unordered_map<std::string, Offset> m_barred; ///< Attempts, with the offset of the bar.
-    std::deque<Dated> m_barDates;
+    std::unordered_map<std::string, Claim> m_holders; ///< By key.
+    std::deque<ExpiryEntry> m_holderExpiry; ///< Keys by rising offset of their claim; may name released ones.
+    std::unordered_map<std::string, Offset> m_tombstones; ///< Attempts, with the offset of the bar.
+    std::deque<ExpiryEntry> m_tombstoneExpiry;
 };
 
 }
--- a/Libraries/LibClaims/ClaimWriter.cpp
+++ b/Libraries/LibClaims/ClaimWriter.cpp
@@ -25,7 +25,7 @@
     , m_batches(metrics.counter("claims_batches_total"))
     , m_claims(metrics.counter("claims_written_total"))
     , m_refused(metrics.counter("claims_refused_total"))
-    , m_lostAnswers(metrics.counter("claims_append_answers_lost_total"))
+    , m_appendAnswersLost(metrics.counter("claims_append_answers_lost_total"))
     , m_restarts(metrics.counter("claims_stream_restarts_total"))
     , m_waiting(settings.m_maximumWaiting)
     , m_table(settings.m_window)
@@ -52,27 +52,27 @@
     m_waiting.close();
     m_appendThread.join();
     m_readThread.join();
-    while (std::optional<Pending> pending = m_waiting.pop(Core::Duration(0))) {
-        pending->m_callback(unavailable("the claim writer stops"));
+    while (std::optional<PendingRequest> pending = m_waiting.pop(Core::Duration(0))) {
+        pending->m_callback(unavailableError("the claim writer stops"));
     }
     std::vector<std::string> ids;
-    for (const std::pair<const std::string, OpenBatch> &entry : m_open) {
+    for (const std::pair<const std::string, OpenBatch> &entry : m_openBatches) {
         ids.push_back(entry.first);
     }
     for (const std::string &id : ids) {
-        failOpenBatch(id, unavailable("the claim writer stops"));
+        failOpenBatch(id, unavailableError("the claim writer stops"));
     }
 }
 
-Core::Error ClaimWriter::unavailable(const std::string &detail) const
+Core::Error ClaimWriter::unavailableError(const std::string &detail) const
 {
     return Core::makeError(Core::ErrorCode::Unavailable, "claim key", m_name, detail);
 }
 
 bool ClaimWriter::isRefusing(Core::Instant now) const
 {
-    const bool slow = m_appendSince && now - *m_appendSince > m_settings.m_slowAppend;
-    return !m_current || now < m_downUntil || slow;
+    const bool slow = m_appendStartedAt && now - *m_appendStartedAt > m_settings.m_slowAppendLimit;
+    return !m_caughtUp || now < m_refuseUntil || slow;
 }
 
 void ClaimWriter::submit(ClaimRequest request, ClaimCallback callback)
@@ -82,7 +82,7 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         refusing = isRefusing(Core::Clock::now());
-        if (request.m_claims.empty() && request.m_bars.empty() && m_wasCurrent) {
+        if (request.m_claims.empty() && request.m_tombstones.empty() && m_hasCaughtUp) {
             epoch = m_table.epoch();
         }
     }
@@ -92,11 +92,11 @@
     }
     if (refusing) {
         m_refused.add();
-        callback(unavailable("the log is out of reach or slow"));
+        callback(unavailableError("the log is out of reach or slow"));
         return;
     }
     // The ring takes its own copy of the callback, so that this one can still be told that the ring refused.
-    if (!m_waiting.tryPush(Pending{std::move(request), callback})) {
+    if (!m_waiting.tryPush(PendingRequest{std::move(request), callback})) {
         m_refused.add();
         callback(Core::makeError(Core::ErrorCode::Overloaded, "claim key", m_name, "too many claims are waiting"));
     }
@@ -105,13 +105,13 @@
 Core::Result<Epoch> ClaimWriter::epoch() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    if (!m_wasCurrent) {
-        return unavailable("the claims have never been read to their end");
+    if (!m_hasCaughtUp) {
+        return unavailableError("the claims have never been read to their end");
     }
     return m_table.epoch();
 }
 
-std::size_t ClaimWriter::heldKeys() const
+std::size_t ClaimWriter::keyCount() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return m_table.size();
@@ -120,16 +120,16 @@
 void ClaimWriter::appendLoop()
 {
     while (m_running) {
-        std::optional<Pending> first = m_waiting.pop(RingPatience);
+        std::optional<PendingRequest> first = m_waiting.pop(RingPatience);
         if (first) {
-            append(collect(std::move(*first)));
+            appendBatch(collectBatch(std::move(*first)));
         }
     }
 }
 
-std::vector<ClaimWriter::Pending> ClaimWriter::collect(Pending first)
+std::vector<ClaimWriter::PendingRequest> ClaimWriter::collectBatch(PendingRequest first)
 {
-    std::vector<Pending> requests;
+    std::vector<PendingRequest> requests;
     requests.push_back(std::move(first));
     const Core::Instant until = Core::Clock::now() + m_settings.m_batchInterval;
     while (requests.size() < RequestsPerBatch) {
@@ -137,7 +137,7 @@
         if (left <= Core::Duration(0)) {
             break;
         }
-        std::optional<Pending> next = m_waiting.pop(left);
+        std::optional<PendingRequest> next = m_waiting.pop(left);
         if (!next) {
             break;
         }
@@ -146,27 +146,27 @@
     return requests;
 }
 
-void ClaimWriter::append(std::vector<Pending> requests)
+void ClaimWriter::appendBatch(std::vector<PendingRequest> requests)
 {
     ClaimBatch batch;
     batch.m_id = Core::randomIdentifier();
     batch.m_writer = m_name;
-    for (const Pending &pending : requests) {
-        batch.m_bars.insert(batch.m_bars.end(), pending.m_request.m_bars.begin(), pending.m_request.m_bars.end());
+    for (const PendingRequest &pending : requests) {
+        batch.m_tombstones.insert(batch.m_tombstones.end(), pending.m_request.m_tombstones.begin(), pending.m_request.m_tombstones.end());
         batch.m_claims.insert(batch.m_claims.end(), pending.m_request.m_claims.begin(), pending.m_request.m_claims.end());
     }
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        batch.m_generation = m_table.generation() + (m_newGeneration ? 1 : 0);
-        m_open.emplace(batch.m_id, OpenBatch{std::move(requests), Core::Clock::now()});
-        m_appendSince = Core::Clock::now();
+        batch.m_generation = m_table.generation() + (m_startNewGeneration ? 1 : 0);
+        m_openBatches.emplace(batch.m_id, OpenBatch{std::move(requests), Core::Clock::now()});
+        m_appendStartedAt = Core::Clock::now();
     }
     const Core::Result<Platform::Offset> offset = m_log.append(ClaimsStream, Wire::pack(batch));
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_appendSince.reset();
+        m_appendStartedAt.reset();
         if (!offset) {
-            m_downUntil = Core::Clock::now() + m_settings.m_downPause;
+            m_refuseUntil = Core::Clock::now() + m_settings.m_retryPause;
         }
     }
     m_batches.add();
@@ -176,7 +176,7 @@
     }
     if (offset.error().m_code == Core::ErrorCode::Ambiguous) {
         // The record may stand in the log. The reader finds it there, or gives it up after the settle timeout.
-        m_lostAnswers.add();
+        m_appendAnswersLost.add();
         return;
     }
     failOpenBatch(batch.m_id, offset.error());
@@ -187,32 +187,32 @@
     OpenBatch batch;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const std::unordered_map<std::string, OpenBatch>::iterator it = m_open.find(id);
-        if (it == m_open.end()) {
+        const std::unordered_map<std::string, OpenBatch>::iterator it = m_openBatches.find(id);
+        if (it == m_openBatches.end()) {
             return;
         }
         batch = std::move(it->second);
-        m_open.erase(it);
+        m_openBatches.erase(it);
     }
-    for (const Pending &pending : batch.m_requests) {
+    for (const PendingRequest &pending : batch.m_requests) {
         m_refused.add();
         pending.m_callback(error);
     }
 }
 
-void ClaimWriter::failOldBatches(Core::Instant now)
+void ClaimWriter::failTimedOutBatches(Core::Instant now)
 {
     std::vector<std::string> old;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        for (const std::pair<const std::string, OpenBatch> &entry : m_open) {
-            if (now - entry.second.m_since > m_settings.m_settleTimeout) {
+        for (const std::pair<const std::string, OpenBatch> &entry : m_openBatches) {
+            if (now - entry.second.m_openedAt > m_settings.m_readBackTimeout) {
                 old.push_back(entry.first);
             }
         }
     }
     for (const std::string &id : old) {
-        failOpenBatch(id, unavailable("the batch was not found in the log in time"));
+        failOpenBatch(id, unavailableError("the batch was not found in the log in time"));
     }
 }
 
@@ -223,21 +223,21 @@
         return;
     }
     m_reading = reading;
-    m_started = false;
-    m_current = false;
-    m_wasCurrent = false;
+    m_readingStarted = false;
+    m_caughtUp = false;
+    m_hasCaughtUp = false;
 }
 
 void ClaimWriter::readLoop()
 {
     Core::Instant nextCheck = Core::Clock::now() + m_settings.m_checkInterval;
     while (m_running) {
-        failOldBatches(Core::Clock::now());
+        failTimedOutBatches(Core::Clock::now());
         if (!startReading()) {
-            std::this_thread::sleep_for(m_settings.m_downPause);
+            std::this_thread::sleep_for(m_settings.m_retryPause);
             continue;
         }
-        readOnce();
+        readPage();
         if (Core::Clock::now() >= nextCheck) {
             checkLastRecord();
             nextCheck = Core::Clock::now() + m_settings.m_checkInterval;
@@ -249,8 +249,8 @@
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        if (!m_reading || m_started) {
-            return m_started;
+        if (!m_reading || m_readingStarted) {
+            return m_readingStarted;
         }
     }
     const Core::Result<Platform::LogPage> page = m_log.read(ClaimsStream, 1, Platform::ReadOptions{1, Core::Duration(0)});
@@ -260,13 +260,13 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_table = ClaimTable(m_settings.m_window);
     m_table.startAt(page.value().m_first);
-    m_lastBody.clear();
-    m_newGeneration = false;
-    m_started = m_reading;
-    return m_started;
+    m_lastRecordBody.clear();
+    m_startNewGeneration = false;
+    m_readingStarted = m_reading;
+    return m_readingStarted;
 }
 
-void ClaimWriter::readOnce()
+void ClaimWriter::readPage()
 {
     Offset from = 0;
     {
@@ -277,31 +277,31 @@
     if (!page) {
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            m_current = false;
+            m_caughtUp = false;
         }
-        std::this_thread::sleep_for(m_settings.m_downPause);
+        std::this_thread::sleep_for(m_settings.m_retryPause);
         checkLastRecord();
         return;
     }
     if (page.value().m_next < from) {
-        restart(page.value().m_first);
+        restartStream(page.value().m_first);
         return;
     }
     if (page.value().m_first > from) {
         // Records that were never read are gone. Keys from before the gap cannot be told any more.
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_table.startAt(page.value().m_first);
-        m_lastBody.clear();
+        m_lastRecordBody.clear();
         return;
     }
-    foldPage(page.value());
+    applyPage(page.value());
 }
 
-void ClaimWriter::foldPage(const Platform::LogPage &page)
+void ClaimWriter::applyPage(const Platform::LogPage &page)
 {
     for (const Protocol::LogRecord &record : page.m_records) {
         OpenBatch batch;
-        FoldedBatch folded;
+        AppliedBatch folded;
         Epoch epoch;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
@@ -309,28 +309,28 @@
                 return;
             }
             const std::uint64_t generation = m_table.generation();
-            folded = m_table.fold(record.m_offset, record.m_body);
-            m_newGeneration = m_newGeneration && m_table.generation() == generation;
-            m_lastBody = record.m_body;
+            folded = m_table.apply(record.m_offset, record.m_body);
+            m_startNewGeneration = m_startNewGeneration && m_table.generation() == generation;
+            m_lastRecordBody = record.m_body;
             epoch = m_table.epoch();
-            const std::unordered_map<std::string, OpenBatch>::iterator it = m_open.find(folded.m_id);
-            if (it == m_open.end()) {
+            const std::unordered_map<std::string, OpenBatch>::iterator it = m_openBatches.find(folded.m_id);
+            if (it == m_openBatches.end()) {
                 continue;
             }
             batch = std::move(it->second);
-            m_open.erase(it);
+            m_openBatches.erase(it);
         }
-        settle(std::move(batch), folded, epoch);
+        completeBatch(std::move(batch), folded, epoch);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_current = m_started && m_table.position() + 1 >= page.m_next;
-    m_wasCurrent = m_wasCurrent || m_current;
+    m_caughtUp = m_readingStarted && m_table.position() + 1 >= page.m_next;
+    m_hasCaughtUp = m_hasCaughtUp || m_caughtUp;
 }
 
-void ClaimWriter::settle(OpenBatch batch, const FoldedBatch &folded, const Epoch &epoch)
+void ClaimWriter::completeBatch(OpenBatch batch, const AppliedBatch &folded, const Epoch &epoch)
 {
     std::size_t next = 0;
-    for (const Pending &pending : batch.m_requests) {
+    for (const PendingRequest &pending : batch.m_requests) {
         ClaimAnswer answer;
         answer.m_epoch = epoch;
         const std::size_t end = std::min(next + pending.m_request.m_claims.size(), folded.m_results.size());
@@ -347,7 +347,7 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         position = m_table.position();
-        body = m_lastBody;
+        body = m_lastRecordBody;
     }
     if (position == 0 || body.empty()) {
         return;
@@ -358,20 +358,20 @@
     }
     const bool stillThere = !page.value().m_records.empty() && page.value().m_records.front().m_body == body;
     if (!stillThere) {
-        restart(page.value().m_first);
+        restartStream(page.value().m_first);
     }
 }
 
-void ClaimWriter::restart(Offset first)
+void ClaimWriter::restartStream(Offset first)
 {
     LOG(WARNING) << "the claims stream has lost records; older keys are refused from now on";
     m_restarts.add();
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_table.restartAt(first);
-    m_lastBody.clear();
-    m_newGeneration = true;
-    m_current = false;
-    m_wasCurrent = false;
+    m_lastRecordBody.clear();
+    m_startNewGeneration = true;
+    m_caughtUp = false;
+    m_hasCaughtUp = false;
 }
 
 }
--- a/Libraries/LibClaims/ClaimWriter.h
+++ b/Libraries/LibClaims/ClaimWriter.h
@@ -19,9 +19,9 @@
 struct WriterSettings
 {
     Core::Duration m_batchInterval{10}; ///< Time that claims are collected for one append.
-    Core::Duration m_settleTimeout{2000}; ///< Longest wait for an appended batch to be read back.
-    Core::Duration m_slowAppend{500}; ///< An append that takes longer counts as an outage: new claims are refused at once.
-    Core::Duration m_downPause{200}; ///< After a failed append, time during which claims are refused without a try.
+    Core::Duration m_readBackTimeout{2000}; ///< Longest wait for an appended batch to be read back.
+    Core::Duration m_slowAppendLimit{500}; ///< An append that takes longer counts as an outage: new claims are refused at once.
+    Core::Duration m_retryPause{200}; ///< After a failed append, time during which claims are refused without a try.
     Core::Duration m_checkInterval{1000}; ///< How often it is checked that the log still holds the last record folded.
     Offset m_window = 20000; ///< Records that a key lives for; well under the log's retention.
     std::size_t m_maximumWaiting = 8192; ///< Requests that wait for an append.
@@ -59,10 +59,10 @@
 
     /// For new keys; fails with Unavailable until the stream has been read to its end.
     Core::Result<Epoch> epoch() const;
-    std::size_t heldKeys() const;
+    std::size_t keyCount() const;
 
 private:
-    struct Pending
+    struct PendingRequest
     {
         ClaimRequest m_request;
         ClaimCallback m_callback;
@@ -71,24 +71,24 @@
     /// A batch that is being appended or waits to be read back.
     struct OpenBatch
     {
-        std::vector<Pending> m_requests;
-        Core::Instant m_since;
+        std::vector<PendingRequest> m_requests;
+        Core::Instant m_openedAt;
     };
 
     void appendLoop();
-    std::vector<Pending> collect(Pending first);
-    void append(std::vector<Pending> requests);
+    std::vector<PendingRequest> collectBatch(PendingRequest first);
+    void appendBatch(std::vector<PendingRequest> requests);
     void readLoop();
-    void readOnce();
+    void readPage();
     void checkLastRecord();
     bool startReading();
-    void restart(Offset first);
-    void foldPage(const Platform::LogPage &page);
-    void settle(OpenBatch batch, const FoldedBatch &folded, const Epoch &epoch);
+    void restartStream(Offset first);
+    void applyPage(const Platform::LogPage &page);
+    void completeBatch(OpenBatch batch, const AppliedBatch &folded, const Epoch &epoch);
     void failOpenBatch(const std::string &id, const Core::Error &error);
-    void failOldBatches(Core::Instant now);
+    void failTimedOutBatches(Core::Instant now);
     bool isRefusing(Core::Instant now) const;
-    Core::Error unavailable(const std::string &detail) const;
+    Core::Error unavailableError(const std::string &detail) const;
 
     Platform::Log &m_log;
     const std::string m_name;
@@ -96,24 +96,24 @@
     Telemetry::Counter &m_batches;
     Telemetry::Counter &m_claims;
     Telemetry::Counter &m_refused;
-    Telemetry::Counter &m_lostAnswers;
+    Telemetry::Counter &m_appendAnswersLost;
     Telemetry::Counter &m_restarts;
-    Core::Ring<Pending> m_waiting;
+    Core::Ring<PendingRequest> m_waiting;
     std::atomic<bool> m_running = false;
 
     mutable std::mutex m_mutex; ///< Guards what follows.
     ClaimTable m_table;
-    std::string m_lastBody; ///< The record at m_table.position().
+    std::string m_lastRecordBody; ///< The record at m_table.position().
     bool m_reading = false; ///< Asked for by setReading().
-    bool m_started = false; ///< The oldest record is known, and m_table begins there.
-    bool m_current = false; ///< The stream has been read to its end, and reading works.
+    bool m_readingStarted = false; ///< The oldest record is known, and m_table begins there.
+    bool m_caughtUp = false; ///< The stream has been read to its end, and reading works.
     /// m_current was true since this writer began to read. An epoch only ever grows, so that the last one known stays good for callers while the log is down;
     /// without one they could not even form the key of the call that is to be refused as not run.
-    bool m_wasCurrent = false;
-    bool m_newGeneration = false; ///< The next batch starts a generation.
-    std::unordered_map<std::string, OpenBatch> m_open; ///< By id.
-    Core::Instant m_downUntil;
-    std::optional<Core::Instant> m_appendSince; ///< Set while an append is under way.
+    bool m_hasCaughtUp = false;
+    bool m_startNewGeneration = false; ///< The next batch starts a generation.
+    std::unordered_map<std::string, OpenBatch> m_openBatches; ///< By id.
+    Core::Instant m_refuseUntil;
+    std::optional<Core::Instant> m_appendStartedAt; ///< Set while an append is under way.
 
     std::thread m_appendThread;
     std::thread m_readThread;
--- a/Libraries/LibClaims/Writers.cpp
+++ b/Libraries/LibClaims/Writers.cpp
@@ -41,7 +41,7 @@
     return std::any_of(ranked.begin(), ranked.end(), [&entry](const Ranked &reader) { return reader.m_member->m_id == entry; });
 }
 
-std::vector<Protocol::Member> claimWriters(std::span<const Protocol::Member> members, const std::string &key)
+std::vector<Protocol::Member> selectClaimWriters(std::span<const Protocol::Member> members, const std::string &key)
 {
     std::vector<Ranked> ranked = rankEntries(members, WriterCount);
     for (Ranked &writer : ranked) {
--- a/Libraries/LibClaims/Writers.h
+++ b/Libraries/LibClaims/Writers.h
@@ -24,6 +24,6 @@
  * Rendezvous hashing over the live entries names the writers, and the key chooses among them, so that claims on one key usually meet at one
  * writer. Any entry may write any claim, since the log's order decides; entries that disagree on who is live cost appends and no promise.
  */
-std::vector<Protocol::Member> claimWriters(std::span<const Protocol::Member> members, const std::string &key);
+std::vector<Protocol::Member> selectClaimWriters(std::span<const Protocol::Member> members, const std::string &key);
 
 }
--- a/Libraries/LibControl/Checkpointer.cpp
+++ b/Libraries/LibControl/Checkpointer.cpp
@@ -48,12 +48,12 @@
 
 void Checkpointer::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void Checkpointer::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
 }
 
 Core::Duration Checkpointer::turn()
--- a/Libraries/LibControl/InstanceListDuty.cpp
+++ b/Libraries/LibControl/InstanceListDuty.cpp
@@ -19,12 +19,12 @@
 
 void InstanceListDuty::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void InstanceListDuty::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
 }
 
 Core::Duration InstanceListDuty::turn()
--- a/Libraries/LibControl/InstanceListDuty.h
+++ b/Libraries/LibControl/InstanceListDuty.h
@@ -24,7 +24,7 @@
     StateStore &m_store;
     const Core::Duration m_interval;
     Telemetry::Counter &m_failures;
-    Duty m_duty;
+    Duty m_worker;
 };
 
 }
--- a/Libraries/LibControl/LogTail.cpp
+++ b/Libraries/LibControl/LogTail.cpp
@@ -34,12 +34,12 @@
 
 void LogTail::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void LogTail::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
 }
 
 bool LogTail::isLogUp() const
--- a/Libraries/LibControl/PlannerDuty.cpp
+++ b/Libraries/LibControl/PlannerDuty.cpp
@@ -29,7 +29,7 @@
     , m_plansAppended(metrics.counter("control_plans_appended_total"))
     , m_appendFailures(metrics.counter("control_plan_append_failures_total"))
 {
-    store.onChange([this] { m_duty.wake(); });
+    store.onChange([this] { m_worker.wake(); });
 }
 
 PlannerDuty::~PlannerDuty()
@@ -39,23 +39,23 @@
 
 void PlannerDuty::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void PlannerDuty::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
 }
 
 Core::Duration PlannerDuty::turn()
 {
     const std::uint64_t membersVersion = m_store.membersVersion();
     const std::shared_ptr<const ControlState> state = m_store.current();
-    const bool isUnchanged = m_pending.empty() && membersVersion == m_seenMembers && state->m_chain == m_seenChain;
+    const bool isUnchanged = m_pending.empty() && membersVersion == m_lastMembersVersion && state->m_chain == m_seenChain;
     if (state->m_applied == 0 || isUnchanged) {
         return IdleTurn;
     }
-    m_seenMembers = membersVersion;
+    m_lastMembersVersion = membersVersion;
     m_seenChain = state->m_chain;
     const std::vector<Protocol::Member> members = m_store.members();
     const Core::Instant now = Core::Clock::now();
--- a/Libraries/LibControl/PlannerDuty.h
+++ b/Libraries/LibControl/PlannerDuty.h
@@ -55,9 +55,9 @@
     Telemetry::Counter &m_plansAppended;
     Telemetry::Counter &m_appendFailures;
     std::map<std::string, Pending> m_pending; ///< By service; used by the duty's thread only.
-    std::uint64_t m_seenMembers = 0;
+    std::uint64_t m_lastMembersVersion = 0;
     std::string m_seenChain;
-    Duty m_duty;
+    Duty m_worker;
 };
 
 }
--- a/Libraries/LibControl/StateFeed.cpp
+++ b/Libraries/LibControl/StateFeed.cpp
@@ -31,7 +31,7 @@
     node.handle("control.applied", [this](const Wire::IncomingCall &call) { onApplied(call); });
     node.handle("control.offer", [this](const Wire::IncomingCall &call) { onOffer(call); });
     node.handle("control.fence", [this](const Wire::IncomingCall &call) { onFence(call); });
-    store.onChange([this] { m_duty.wake(); });
+    store.onChange([this] { m_worker.wake(); });
 }
 
 StateFeed::~StateFeed()
@@ -41,12 +41,12 @@
 
 void StateFeed::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void StateFeed::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
 }
 
 std::map<std::string, AppliedAt> StateFeed::applied() const
@@ -67,7 +67,7 @@
         call.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "subscribe to state", "", "too many subscribers are waiting"));
         return;
     }
-    m_duty.wake();
+    m_worker.wake();
 }
 
 void StateFeed::onApplied(const Wire::IncomingCall &call)
@@ -99,7 +99,7 @@
         call.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "offer state", "", "other offers are waiting"));
         return;
     }
-    m_duty.wake();
+    m_worker.wake();
     call.m_responder.reply("");
 }
 
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -92,7 +92,7 @@
     std::uint64_t m_membersVersion = 0; ///< Of the store's members when they were last encoded.
     mutable std::mutex m_appliedMutex;
     std::map<std::string, AppliedAt> m_applied; ///< By instance; at most MaximumSubscribers.
-    Duty m_duty;
+    Duty m_worker;
 };
 
 inline constexpr std::size_t MaximumSubscribers = 8192;
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -29,7 +29,7 @@
     , m_inbox(std::make_shared<Inbox>(ArrivalCapacity))
     , m_self(std::move(self))
 {
-    store.onChange([this] { m_duty.wake(); });
+    store.onChange([this] { m_worker.wake(); });
 }
 
 StateSubscriber::~StateSubscriber()
@@ -39,12 +39,12 @@
 
 void StateSubscriber::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return turn(); });
 }
 
 void StateSubscriber::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
     m_inbox->m_arrivals.close();
     const std::lock_guard<std::mutex> lock(m_mutex);
     for (const std::pair<const std::uint64_t, Feed> &entry : m_feeds) {
@@ -60,7 +60,7 @@
         m_self = self;
         m_selfChanged = true;
     }
-    m_duty.wake();
+    m_worker.wake();
 }
 
 std::vector<Core::Address> StateSubscriber::feeds() const
@@ -254,7 +254,7 @@
 
     Wire::CallEvents events;
     const std::shared_ptr<Inbox> inbox = m_inbox;
-    Duty &duty = m_duty;
+    Duty &duty = m_worker;
     const auto deliver = [inbox, &duty](Arrival arrival) {
         if (inbox->m_arrivals.tryPush(std::move(arrival))) {
             duty.wake();
--- a/Libraries/LibEndpoint/AttemptGate.cpp
+++ b/Libraries/LibEndpoint/AttemptGate.cpp
@@ -18,7 +18,7 @@
         return Admission::OtherLife;
     }
     if (const Record *known = find(tag.m_attempt)) {
-        return known->m_state == State::Barred ? Admission::Barred : Admission::SeenBefore;
+        return known->m_state == State::Tombstoned ? Admission::Tombstoned : Admission::SeenBefore;
     }
     if (mayBeForgotten(tag)) {
         return Admission::TooOld;
@@ -32,7 +32,7 @@
     if (m_records.size() >= m_limits.m_maximumAttempts) {
         return Admission::Full;
     }
-    m_records.emplace(tag.m_attempt, Record{State::Waiting, tag.m_key, tag.m_report, 0, ""});
+    m_records.emplace(tag.m_attempt, Record{State::Waiting, tag.m_key, tag.m_reportSequence, 0, ""});
     if (!tag.m_key.empty()) {
         m_attemptOfKey.emplace(tag.m_key, tag.m_attempt);
     }
@@ -53,7 +53,7 @@
 {
     Record *record = find(attempt);
     if (record && (record->m_state == State::Waiting || record->m_state == State::Begun)) {
-        close(attempt, *record, State::Barred);
+        close(attempt, *record, State::Tombstoned);
     }
 }
 
@@ -91,7 +91,7 @@
         return;
     }
     if (record->m_state == State::Waiting) {
-        close(tag.m_attempt, *record, State::Barred);
+        close(tag.m_attempt, *record, State::Tombstoned);
     }
 }
 
@@ -114,7 +114,7 @@
         return Protocol::OutcomeAnswer{Protocol::Outcome::Running, 0, ""};
     case State::Finished:
         return Protocol::OutcomeAnswer{Protocol::Outcome::Finished, record->m_status, record->m_body};
-    case State::Barred:
+    case State::Tombstoned:
         return Protocol::OutcomeAnswer{Protocol::Outcome::NeverRan, 0, ""};
     case State::Lost:
         break;
@@ -145,7 +145,7 @@
 
 bool AttemptGate::mayBeForgotten(const AttemptTag &tag) const
 {
-    return m_horizon && tag.m_report <= *m_horizon;
+    return m_horizon && tag.m_reportSequence <= *m_horizon;
 }
 
 void AttemptGate::bar(const AttemptTag &tag)
@@ -155,18 +155,18 @@
     }
     if (m_records.size() >= m_limits.m_maximumAttempts) {
         // No room for a tombstone: the horizon takes its place, which bars everything that was sent on as old a report.
-        m_horizon = std::max(m_horizon.value_or(0), tag.m_report);
+        m_horizon = std::max(m_horizon.value_or(0), tag.m_reportSequence);
         return;
     }
-    Record &record = m_records.emplace(tag.m_attempt, Record{State::Waiting, "", tag.m_report, 0, ""}).first->second;
-    close(tag.m_attempt, record, State::Barred);
+    Record &record = m_records.emplace(tag.m_attempt, Record{State::Waiting, "", tag.m_reportSequence, 0, ""}).first->second;
+    close(tag.m_attempt, record, State::Tombstoned);
 }
 
 void AttemptGate::close(const std::string &attempt, Record &record, State state)
 {
     record.m_state = state;
     m_closed.push_back(attempt);
-    if (state == State::Barred && !record.m_key.empty()) {
+    if (state == State::Tombstoned && !record.m_key.empty()) {
         m_attemptOfKey.erase(record.m_key);
     }
 }
@@ -178,7 +178,7 @@
     }
     const std::unordered_map<std::string, Record>::iterator it = m_records.find(m_closed.front());
     const Record &record = it->second;
-    m_horizon = std::max(m_horizon.value_or(0), record.m_report);
+    m_horizon = std::max(m_horizon.value_or(0), record.m_reportSequence);
     m_answerBytes -= record.m_body.size();
     const std::unordered_map<std::string, std::string>::iterator key = m_attemptOfKey.find(record.m_key);
     if (key != m_attemptOfKey.end() && key->second == it->first) {
--- a/Libraries/LibEndpoint/AttemptGate.h
+++ b/Libraries/LibEndpoint/AttemptGate.h
@@ -18,7 +18,7 @@
     std::string m_attempt;
     std::string m_key;
     std::string m_incarnation; ///< Of the agent that the attempt was meant for; empty if the entry did not say.
-    std::uint64_t m_report = 0; ///< Newest report of that agent which the entry had seen.
+    std::uint64_t m_reportSequence = 0; ///< Newest report of that agent which the entry had seen.
 
     bool operator==(const AttemptTag &) const = default;
 };
@@ -27,7 +27,7 @@
 enum class Admission {
     Admitted, ///< It waits for begin().
     SeenBefore, ///< The attempt arrived earlier; it must not run again, outcome() tells what became of it.
-    Barred, ///< It was cancelled or asked after before it arrived; it never runs.
+    Tombstoned, ///< It was cancelled or asked after before it arrived; it never runs.
     KeyTaken, ///< Another attempt with the same key was admitted here.
     TooOld, ///< It may have been forgotten here, so it may have run.
     OtherLife, ///< It was meant for an earlier life of this agent.
@@ -84,14 +84,14 @@
         Begun,
         Finished,
         Lost, ///< Also a finished one whose answer was dropped.
-        Barred,
+        Tombstoned,
     };
 
     struct Record
     {
         State m_state = State::Waiting;
         std::string m_key;
-        std::uint64_t m_report = 0;
+        std::uint64_t m_reportSequence = 0;
         std::int32_t m_status = 0;
         std::string m_body; ///< Only if Finished.
     };
--- a/Libraries/LibEndpoint/LiveRelay.cpp
+++ b/Libraries/LibEndpoint/LiveRelay.cpp
@@ -39,7 +39,7 @@
         return Core::makeError(Core::ErrorCode::Unavailable, step, peer, "the attempt was meant for an earlier life of this agent");
     case Admission::Full:
         return Core::makeError(Core::ErrorCode::Overloaded, step, peer, "too many attempts are open");
-    case Admission::Barred:
+    case Admission::Tombstoned:
     case Admission::Admitted:
         break;
     }
--- a/Libraries/LibEntry/AgentWatch.cpp
+++ b/Libraries/LibEntry/AgentWatch.cpp
@@ -16,29 +16,29 @@
 
 }
 
-AgentWatch::AgentWatch(AgentWatchParts parts)
+AgentWatcher::AgentWatcher(AgentWatcherParts parts)
     : m_parts(std::move(parts))
     , m_reportsReceived(m_parts.m_metrics->counter("watch_reports_received_total"))
     , m_loadsIgnored(m_parts.m_metrics->counter("watch_loads_ignored_total"))
     , m_streamsLost(m_parts.m_metrics->counter("watch_streams_lost_total"))
-    , m_overruns(m_parts.m_metrics->counter("watch_reports_dropped_total"))
+    , m_reportsDropped(m_parts.m_metrics->counter("watch_reports_dropped_total"))
     , m_inbox(std::make_shared<Inbox>(ArrivalCapacity, EndCapacity))
 {
 }
 
-AgentWatch::~AgentWatch()
+AgentWatcher::~AgentWatcher()
 {
     stop();
 }
 
-void AgentWatch::start()
+void AgentWatcher::start()
 {
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return poll(); });
 }
 
-void AgentWatch::stop()
+void AgentWatcher::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
     m_inbox->m_frames.close();
     m_inbox->m_ends.close();
     for (const std::pair<const std::uint64_t, Stream> &entry : m_streams) {
@@ -47,67 +47,67 @@
     m_streams.clear();
 }
 
-void AgentWatch::wake()
+void AgentWatcher::wake()
 {
-    m_duty.wake();
+    m_worker.wake();
 }
 
-std::map<std::string, Protocol::AgentReport> AgentWatch::reports() const
+std::map<std::string, Protocol::AgentReport> AgentWatcher::reports() const
 {
     const std::lock_guard<std::mutex> lock(m_reportsMutex);
     return m_reports;
 }
 
-Core::Duration AgentWatch::turn()
+Core::Duration AgentWatcher::poll()
 {
-    takeArrivals();
+    processInbox();
     const std::shared_ptr<const Control::ControlState> state = m_parts.m_store->current();
     const std::uint64_t members = m_parts.m_store->membersVersion();
     const Core::Instant now = Core::Clock::now();
-    if (state->m_applied != m_seenApplied) {
+    if (state->m_applied != m_lastApplied) {
         m_parts.m_versions->onState(*state);
     }
-    if (state->m_applied != m_seenApplied || members != m_seenMembers || now >= m_nextChoice) {
-        m_seenApplied = state->m_applied;
-        m_seenMembers = members;
-        m_nextChoice = now + ChoiceInterval;
-        choose();
+    if (state->m_applied != m_lastApplied || members != m_lastMembersVersion || now >= m_nextUpdate) {
+        m_lastApplied = state->m_applied;
+        m_lastMembersVersion = members;
+        m_nextUpdate = now + ChoiceInterval;
+        updateWatchSet();
     }
     m_parts.m_router->poll();
     return TurnInterval;
 }
 
-void AgentWatch::takeArrivals()
+void AgentWatcher::processInbox()
 {
-    while (const std::optional<Arrival> arrival = m_inbox->m_frames.pop(Core::Duration(0))) {
-        receive(arrival->m_stream, arrival->m_frame);
+    while (const std::optional<ReceivedFrame> arrival = m_inbox->m_frames.pop(Core::Duration(0))) {
+        onFrame(arrival->m_stream, arrival->m_frame);
     }
     while (const std::optional<std::uint64_t> ended = m_inbox->m_ends.pop(Core::Duration(0))) {
-        onEnd(*ended);
+        onStreamEnd(*ended);
     }
 }
 
-void AgentWatch::onEnd(std::uint64_t streamId)
+void AgentWatcher::onStreamEnd(std::uint64_t streamId)
 {
     const std::map<std::uint64_t, Stream>::const_iterator it = m_streams.find(streamId);
     if (it == m_streams.end()) {
         return;
     }
     m_streamsLost.add();
-    m_parts.m_router->suspect(it->second.m_instance);
+    m_parts.m_router->markUnavailable(it->second.m_instance);
     const Core::Instant retryAt = Core::Clock::now() + RetryInterval;
     m_retryAt[it->second.m_instance] = retryAt;
-    m_nextChoice = std::min(m_nextChoice, retryAt);
+    m_nextUpdate = std::min(m_nextUpdate, retryAt);
     m_streams.erase(it);
 }
 
-void AgentWatch::receive(std::uint64_t streamId, const std::string &frame)
+void AgentWatcher::onFrame(std::uint64_t streamId, const std::string &frame)
 {
     const std::map<std::uint64_t, Stream>::const_iterator it = m_streams.find(streamId);
     if (it == m_streams.end()) {
         return;
     }
-    Protocol::AgentReport report = heldReport(it->second.m_instance);
+    Protocol::AgentReport report = lastReport(it->second.m_instance);
     const Core::Result<void> applied = Protocol::applyWatchFrame(frame, it->second.m_address.toString(), report);
     if (!applied && applied.error().m_code == Core::ErrorCode::Conflict) {
         m_loadsIgnored.add();
@@ -124,14 +124,14 @@
     m_reports[it->second.m_instance] = std::move(report);
 }
 
-Protocol::AgentReport AgentWatch::heldReport(const std::string &instance) const
+Protocol::AgentReport AgentWatcher::lastReport(const std::string &instance) const
 {
     const std::lock_guard<std::mutex> lock(m_reportsMutex);
     const std::map<std::string, Protocol::AgentReport>::const_iterator it = m_reports.find(instance);
     return it == m_reports.end() ? Protocol::AgentReport() : it->second;
 }
 
-std::vector<std::string> AgentWatch::heldInstances() const
+std::vector<std::string> AgentWatcher::instancesServingEarlierVersions() const
 {
     std::vector<std::string> held;
     const std::lock_guard<std::mutex> lock(m_reportsMutex);
@@ -148,14 +148,14 @@
     return held;
 }
 
-void AgentWatch::choose()
+void AgentWatcher::updateWatchSet()
 {
     const std::shared_ptr<const Control::ControlState> state = m_parts.m_store->current();
     const std::vector<Protocol::Member> members = m_parts.m_store->members();
-    reconcile(chooseWatchSet(m_parts.m_name, *state, members, heldInstances(), m_parts.m_perGroup));
+    reconcile(chooseWatchSet(m_parts.m_entryName, *state, members, instancesServingEarlierVersions(), m_parts.m_watchedPerGroup));
 }
 
-void AgentWatch::reconcile(const WatchSet &wanted)
+void AgentWatcher::reconcile(const WatchSet &wanted)
 {
     std::set<std::string> open;
     for (std::map<std::uint64_t, Stream>::const_iterator it = m_streams.begin(); it != m_streams.end();) {
@@ -167,7 +167,7 @@
         }
         m_parts.m_node->cancel(it->second.m_call);
         if (member == wanted.end()) {
-            m_parts.m_router->forget(it->second.m_instance);
+            m_parts.m_router->removeEndpoint(it->second.m_instance);
             const std::lock_guard<std::mutex> lock(m_reportsMutex);
             m_reports.erase(it->second.m_instance);
         }
@@ -179,24 +179,24 @@
         if (open.contains(entry.first) || (retryAt != m_retryAt.end() && now < retryAt->second)) {
             continue;
         }
-        this->open(entry.second);
+        this->openStream(entry.second);
     }
     std::erase_if(m_retryAt, [&wanted](const std::pair<const std::string, Core::Instant> &entry) { return !wanted.contains(entry.first); });
 }
 
-void AgentWatch::open(const Protocol::Member &member)
+void AgentWatcher::openStream(const Protocol::Member &member)
 {
     const std::uint64_t id = m_nextStream++;
     const std::shared_ptr<Inbox> inbox = m_inbox;
     Wire::CallEvents events;
     events.m_onFrame = [this, inbox, id](std::string frame) {
-        if (!inbox->m_frames.tryPush(Arrival{id, std::move(frame)})) {
-            m_overruns.add();
+        if (!inbox->m_frames.tryPush(ReceivedFrame{id, std::move(frame)})) {
+            m_reportsDropped.add();
         }
     };
     events.m_onEnd = [inbox, id](const Wire::CallEnd &) { inbox->m_ends.tryPush(id); };
-    const Wire::CallId call =
-        m_parts.m_node->call(member.m_wire, "control.watch", Wire::pack(Protocol::WatchRequest{m_parts.m_name}), Wire::CallOptions{Core::Duration(0)}, events);
+    const Wire::CallId call = m_parts.m_node->call(
+        member.m_wire, "control.watch", Wire::pack(Protocol::WatchRequest{m_parts.m_entryName}), Wire::CallOptions{Core::Duration(0)}, events);
     m_streams.emplace(id, Stream{member.m_id, member.m_wire, call});
 }
 
--- a/Libraries/LibEntry/AgentWatch.h
+++ b/Libraries/LibEntry/AgentWatch.h
@@ -13,23 +13,23 @@
 
 namespace Entry {
 
-struct AgentWatchParts
+struct AgentWatcherParts
 {
     Wire::Node *m_node = nullptr;
     Control::StateStore *m_store = nullptr;
     Router *m_router = nullptr;
     VersionTracker *m_versions = nullptr;
     Telemetry::Metrics *m_metrics = nullptr;
-    std::string m_name; ///< Of the entry.
-    std::size_t m_perGroup = 24;
+    std::string m_entryName; ///< Of the entry.
+    std::size_t m_watchedPerGroup = 24;
 };
 
 /// Opens a stream of reports to each agent of the watch set, and opens it anew when it ends.
-class AgentWatch
+class AgentWatcher
 {
 public:
-    explicit AgentWatch(AgentWatchParts parts);
-    ~AgentWatch();
+    explicit AgentWatcher(AgentWatcherParts parts);
+    ~AgentWatcher();
 
     void start();
     /// To be called before the node is stopped.
@@ -41,7 +41,7 @@
     std::map<std::string, Protocol::AgentReport> reports() const;
 
 private:
-    struct Arrival
+    struct ReceivedFrame
     {
         std::uint64_t m_stream = 0;
         std::string m_frame;
@@ -56,7 +56,7 @@
         {
         }
 
-        Core::Ring<Arrival> m_frames;
+        Core::Ring<ReceivedFrame> m_frames;
         Core::Ring<std::uint64_t> m_ends; ///< Kept apart, so that a flood of reports cannot lose one.
     };
 
@@ -67,31 +67,31 @@
         Wire::CallId m_call = 0;
     };
 
-    Core::Duration turn();
-    void takeArrivals();
-    void onEnd(std::uint64_t streamId);
-    void receive(std::uint64_t streamId, const std::string &frame);
-    Protocol::AgentReport heldReport(const std::string &instance) const;
-    void choose();
+    Core::Duration poll();
+    void processInbox();
+    void onStreamEnd(std::uint64_t streamId);
+    void onFrame(std::uint64_t streamId, const std::string &frame);
+    Protocol::AgentReport lastReport(const std::string &instance) const;
+    void updateWatchSet();
     void reconcile(const WatchSet &wanted);
-    void open(const Protocol::Member &member);
-    std::vector<std::string> heldInstances() const;
+    void openStream(const Protocol::Member &member);
+    std::vector<std::string> instancesServingEarlierVersions() const;
 
-    const AgentWatchParts m_parts;
+    const AgentWatcherParts m_parts;
     Telemetry::Counter &m_reportsReceived;
     Telemetry::Counter &m_loadsIgnored;
     Telemetry::Counter &m_streamsLost;
-    Telemetry::Counter &m_overruns;
+    Telemetry::Counter &m_reportsDropped;
     std::shared_ptr<Inbox> m_inbox;
     std::map<std::uint64_t, Stream> m_streams; ///< By a number that is never used again. Used by the duty's thread only, as are the next three.
     std::uint64_t m_nextStream = 1;
     std::map<std::string, Core::Instant> m_retryAt; ///< By instance.
-    Control::Offset m_seenApplied = 0;
-    std::uint64_t m_seenMembers = 0;
-    Core::Instant m_nextChoice;
+    Control::Offset m_lastApplied = 0;
+    std::uint64_t m_lastMembersVersion = 0;
+    Core::Instant m_nextUpdate;
     mutable std::mutex m_reportsMutex;
     std::map<std::string, Protocol::AgentReport> m_reports; ///< Of the watched agents.
-    Control::Duty m_duty;
+    Control::Duty m_worker;
 };
 
 }
--- a/Libraries/LibEntry/CallerError.cpp
+++ b/Libraries/LibEntry/CallerError.cpp
@@ -12,7 +12,7 @@
     switch (code) {
     case CallerCode::InvalidInput:
         return 400;
-    case CallerCode::Unknown:
+    case CallerCode::NotFound:
         return 404;
     case CallerCode::KeyUsed:
         return 409;
@@ -37,7 +37,7 @@
     switch (code) {
     case CallerCode::InvalidInput:
         return "invalid-input";
-    case CallerCode::Unknown:
+    case CallerCode::NotFound:
         return "unknown";
     case CallerCode::KeyUsed:
         return "key-used";
--- a/Libraries/LibEntry/CallerError.h
+++ b/Libraries/LibEntry/CallerError.h
@@ -12,7 +12,7 @@
 
 enum class CallerCode {
     InvalidInput,
-    Unknown,
+    NotFound,
     KeyUsed,
     KeyExpired,
     TooLarge,
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -243,7 +243,7 @@
     void serve(HTTPServerRequest &request, HTTPServerResponse &response)
     {
         const Core::Instant arrival = Core::Clock::now();
-        const Core::Result<std::string> body = readBody(request, m_frontend.m_settings->m_callers.m_maximumBody);
+        const Core::Result<std::string> body = readBody(request, m_frontend.m_settings->m_callers.m_maximumBodyBytes);
         if (!body) {
             response.setKeepAlive(false);
             const bool tooLarge = body.error().m_code == Core::ErrorCode::Overloaded;
@@ -267,7 +267,7 @@
             handleCall(request, response, path, body.value(), arrival);
         } else {
             const Core::Error error = Core::makeError(Core::ErrorCode::NotFound, "read request", "", "no such method and path");
-            sendError(response, CallerError{CallerCode::Unknown, error, std::nullopt, {}});
+            sendError(response, CallerError{CallerCode::NotFound, error, std::nullopt, {}});
         }
     }
 
@@ -288,7 +288,7 @@
 
     std::optional<CallerError> refusal() const
     {
-        const std::optional<CallerError> leaving = refusalWhileLeaving(m_frontend);
+        const std::optional<CallerError> leaving = refusalWhileDraining(m_frontend);
         return leaving ? leaving : refusalUnlessReady(m_frontend);
     }
 
@@ -380,7 +380,7 @@
 
     bool accept(const Poco::Net::StreamSocket &socket) override
     {
-        if (m_guard->tryEnter()) {
+        if (m_guard->tryAcquire()) {
             m_guard->beginReceiving(socket);
             return true;
         }
@@ -425,7 +425,7 @@
     ~GuardedConnection() override
     {
         m_guard->endReceiving(socket());
-        m_guard->leave();
+        m_guard->release();
     }
 
 private:
@@ -459,8 +459,8 @@
 
 CallerServer::CallerServer(Frontend &frontend)
     : m_frontend(frontend)
-    , m_guard(
-          std::make_shared<ConnectionGuard>(frontend.m_settings->m_callers.m_requestTime, frontend.m_settings->m_callers.m_connections, *frontend.m_metrics))
+    , m_guard(std::make_shared<ConnectionGuard>(
+          frontend.m_settings->m_callers.m_requestTimeout, frontend.m_settings->m_callers.m_maximumConnections, *frontend.m_metrics))
 {
 }
 
@@ -473,16 +473,16 @@
 {
     const Core::Address &listen = m_frontend.m_settings->m_instance.m_member.m_callers;
     const CallerLimits &limits = m_frontend.m_settings->m_callers;
-    const int connections = static_cast<int>(limits.m_connections);
+    const int connections = static_cast<int>(limits.m_maximumConnections);
     try {
         const Poco::Net::ServerSocket socket = Network::listenOn(listen, ListenBacklog);
         Poco::Net::HTTPServerParams::Ptr parameters = new Poco::Net::HTTPServerParams;
         parameters->setMaxThreads(connections);
         parameters->setMaxQueued(connections);
         parameters->setThreadIdleTime(Poco::Timespan(ThreadIdleSeconds, 0));
-        parameters->setTimeout(Poco::Timespan(0, limits.m_requestTime.count() * 1000));
+        parameters->setTimeout(Poco::Timespan(0, limits.m_requestTimeout.count() * 1000));
         parameters->setKeepAlive(true);
-        parameters->setKeepAliveTimeout(Poco::Timespan(0, limits.m_keepAlive.count() * 1000));
+        parameters->setKeepAliveTimeout(Poco::Timespan(0, limits.m_keepAliveTimeout.count() * 1000));
         const Poco::Net::HTTPRequestHandlerFactory::Ptr handlers = new CallerHandlerFactory(m_frontend, m_guard);
         m_threads = std::make_unique<Poco::ThreadPool>("callers", MinimumThreads, connections + MinimumThreads, ThreadIdleSeconds);
         m_server = std::make_unique<Poco::Net::TCPServer>(new GuardedConnectionFactory(parameters, handlers, m_guard), *m_threads, socket, parameters);
@@ -502,7 +502,7 @@
     }
     m_server->stop();
     m_guard->stop();
-    m_guard->cutAll();
+    m_guard->closeAll();
     m_threads->joinAll();
     m_server.reset();
     m_threads.reset();
--- a/Libraries/LibEntry/ClaimService.cpp
+++ b/Libraries/LibEntry/ClaimService.cpp
@@ -32,29 +32,29 @@
     , m_self(parts.m_self)
     , m_writer(*parts.m_log, parts.m_self.m_id, parts.m_settings, *parts.m_metrics)
 {
-    m_node.handle(Claims::ClaimMethod, [this](const Wire::IncomingCall &call) { answer(call); });
+    m_node.handle(Claims::ClaimMethod, [this](const Wire::IncomingCall &call) { handleClaim(call); });
 }
 
 void ClaimService::start()
 {
     m_writer.start();
-    m_duty.start([this] { return turn(); });
+    m_worker.start([this] { return poll(); });
 }
 
 void ClaimService::stop()
 {
-    m_duty.stop();
+    m_worker.stop();
     m_writer.stop();
 }
 
-void ClaimService::answer(const Wire::IncomingCall &call)
+void ClaimService::handleClaim(const Wire::IncomingCall &call)
 {
     const Core::Result<Claims::ClaimRequest> request = Wire::unpack<Claims::ClaimRequest>(call.m_body, call.m_peer);
     if (!request) {
         call.m_responder.fail(request.error());
         return;
     }
-    if (request.value().m_claims.size() + request.value().m_bars.size() > MaximumPerRequest) {
+    if (request.value().m_claims.size() + request.value().m_tombstones.size() > MaximumPerRequest) {
         call.m_responder.fail(Core::makeError(Core::ErrorCode::InvalidInput, "write claims", m_self.m_id, "too many claims in one request"));
         return;
     }
@@ -68,7 +68,7 @@
     });
 }
 
-Core::Result<Claims::ClaimAnswer> ClaimService::writeHere(const Claims::ClaimRequest &request, Core::Duration timeout)
+Core::Result<Claims::ClaimAnswer> ClaimService::writeLocally(const Claims::ClaimRequest &request, Core::Duration timeout)
 {
     const std::shared_ptr<std::promise<Core::Result<Claims::ClaimAnswer>>> promise = std::make_shared<std::promise<Core::Result<Claims::ClaimAnswer>>>();
     std::future<Core::Result<Claims::ClaimAnswer>> future = promise->get_future();
@@ -79,7 +79,7 @@
     return future.get();
 }
 
-Core::Result<Claims::ClaimAnswer> ClaimService::writeAt(const Protocol::Member &writer, const Claims::ClaimRequest &request, Core::Duration timeout)
+Core::Result<Claims::ClaimAnswer> ClaimService::writeRemotely(const Protocol::Member &writer, const Claims::ClaimRequest &request, Core::Duration timeout)
 {
     const std::string bytes = BOOST_OUTCOME_TRYX(m_node.request(writer.m_wire, Claims::ClaimMethod, Wire::pack(request), timeout));
     const Claims::ClaimAnswer answer = BOOST_OUTCOME_TRYX(Wire::unpack<Claims::ClaimAnswer>(bytes, writer.m_id));
@@ -93,13 +93,13 @@
 {
     const std::vector<Protocol::Member> members = m_store.members();
     Core::Error last = Core::makeError(Core::ErrorCode::Unavailable, "write claims", m_self.m_id, "no claim writer is known");
-    for (const Protocol::Member &writer : Claims::claimWriters(members, key)) {
+    for (const Protocol::Member &writer : Claims::selectClaimWriters(members, key)) {
         const Core::Duration left = std::min(timeLeft(deadline), WriterTimeout);
         if (left <= Core::Duration(0)) {
             break;
         }
         const bool here = writer.m_id == m_self.m_id;
-        const Core::Result<Claims::ClaimAnswer> answer = here ? writeHere(request, left) : writeAt(writer, request, left);
+        const Core::Result<Claims::ClaimAnswer> answer = here ? writeLocally(request, left) : writeRemotely(writer, request, left);
         if (answer) {
             return answer;
         }
@@ -108,7 +108,7 @@
     return last;
 }
 
-Core::Duration ClaimService::turn()
+Core::Duration ClaimService::poll()
 {
     const std::vector<Protocol::Member> members = m_store.members();
     m_writer.setReading(Claims::isClaimReader(members, m_self.m_id));
--- a/Libraries/LibEntry/ClaimService.h
+++ b/Libraries/LibEntry/ClaimService.h
@@ -38,10 +38,10 @@
     }
 
 private:
-    Core::Result<Claims::ClaimAnswer> writeHere(const Claims::ClaimRequest &request, Core::Duration timeout);
-    Core::Result<Claims::ClaimAnswer> writeAt(const Protocol::Member &writer, const Claims::ClaimRequest &request, Core::Duration timeout);
-    void answer(const Wire::IncomingCall &call);
-    Core::Duration turn();
+    Core::Result<Claims::ClaimAnswer> writeLocally(const Claims::ClaimRequest &request, Core::Duration timeout);
+    Core::Result<Claims::ClaimAnswer> writeRemotely(const Protocol::Member &writer, const Claims::ClaimRequest &request, Core::Duration timeout);
+    void handleClaim(const Wire::IncomingCall &call);
+    Core::Duration poll();
 
     Wire::Node &m_node;
     Control::StateStore &m_store;
@@ -49,7 +49,7 @@
     Claims::ClaimWriter m_writer;
     mutable std::mutex m_mutex;
     std::optional<Claims::Epoch> m_epoch; ///< For new keys, as a writer told it; empty while none can be asked.
-    Control::Duty m_duty; ///< Looks whether this entry is a reader, and asks for the epoch if it is not.
+    Control::Duty m_worker; ///< Looks whether this entry is a reader, and asks for the epoch if it is not.
 };
 
 }
--- a/Libraries/LibEntry/ConnectionGuard.cpp
+++ b/Libraries/LibEntry/ConnectionGuard.cpp
@@ -11,10 +11,10 @@
 }
 
 ConnectionGuard::ConnectionGuard(Core::Duration requestTime, std::size_t maximumConnections, Telemetry::Metrics &metrics)
-    : m_requestTime(requestTime)
+    : m_requestTimeout(requestTime)
     , m_maximumConnections(maximumConnections)
     , m_refused(metrics.counter("callers_connections_refused_total"))
-    , m_cut(metrics.counter("callers_connections_cut_total"))
+    , m_closed(metrics.counter("callers_connections_cut_total"))
 {
 }
 
@@ -25,7 +25,7 @@
 
 void ConnectionGuard::start()
 {
-    m_thread = std::thread([this] { run(); });
+    m_thread = std::thread([this] { checkLoop(); });
 }
 
 void ConnectionGuard::stop()
@@ -40,7 +40,7 @@
     }
 }
 
-bool ConnectionGuard::tryEnter()
+bool ConnectionGuard::tryAcquire()
 {
     if (m_connections.fetch_add(1) < m_maximumConnections) {
         return true;
@@ -50,7 +50,7 @@
     return false;
 }
 
-void ConnectionGuard::leave()
+void ConnectionGuard::release()
 {
     m_connections.fetch_sub(1);
 }
@@ -58,7 +58,7 @@
 void ConnectionGuard::beginReceiving(const Poco::Net::StreamSocket &socket)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_receiving.insert_or_assign(socket.impl(), Receiving{socket, Core::Clock::now()});
+    m_receiving.insert_or_assign(socket.impl(), ReceivingConnection{socket, Core::Clock::now()});
 }
 
 void ConnectionGuard::endReceiving(const Poco::Net::StreamSocket &socket)
@@ -67,25 +67,25 @@
     m_receiving.erase(socket.impl());
 }
 
-void ConnectionGuard::run()
+void ConnectionGuard::checkLoop()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
         m_changed.wait_for(lock, LookInterval);
-        cutSlow(Core::Clock::now());
+        closeTimedOut(Core::Clock::now());
     }
 }
 
-void ConnectionGuard::cutAll()
+void ConnectionGuard::closeAll()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    cutSlow(Core::Instant::max());
+    closeTimedOut(Core::Instant::max());
 }
 
-void ConnectionGuard::cutSlow(Core::Instant now)
+void ConnectionGuard::closeTimedOut(Core::Instant now)
 {
-    for (std::unordered_map<const void *, Receiving>::iterator it = m_receiving.begin(); it != m_receiving.end();) {
-        if (now - it->second.m_since < m_requestTime) {
+    for (std::unordered_map<const void *, ReceivingConnection>::iterator it = m_receiving.begin(); it != m_receiving.end();) {
+        if (now - it->second.m_since < m_requestTimeout) {
             ++it;
             continue;
         }
@@ -94,7 +94,7 @@
         } catch (const Poco::Exception &) {
             // The connection is gone already, which is what was wanted.
         }
-        m_cut.add();
+        m_closed.add();
         it = m_receiving.erase(it);
     }
 }
--- a/Libraries/LibEntry/ConnectionGuard.h
+++ b/Libraries/LibEntry/ConnectionGuard.h
@@ -29,8 +29,8 @@
     void stop();
 
     /// Counts a new connection; false if there are too many.
-    bool tryEnter();
-    void leave();
+    bool tryAcquire();
+    void release();
 
     /// The socket is idle or a request starts to arrive on it.
     void beginReceiving(const Poco::Net::StreamSocket &socket);
@@ -38,7 +38,7 @@
     void endReceiving(const Poco::Net::StreamSocket &socket);
 
     /// Ends every connection that is idle or sending.
-    void cutAll();
+    void closeAll();
 
     std::size_t connections() const
     {
@@ -46,24 +46,24 @@
     }
 
 private:
-    struct Receiving
+    struct ReceivingConnection
     {
         Poco::Net::StreamSocket m_socket;
         Core::Instant m_since;
     };
 
-    void run();
-    void cutSlow(Core::Instant now);
+    void checkLoop();
+    void closeTimedOut(Core::Instant now);
 
-    const Core::Duration m_requestTime;
+    const Core::Duration m_requestTimeout;
     const std::size_t m_maximumConnections;
     Telemetry::Counter &m_refused;
-    Telemetry::Counter &m_cut;
+    Telemetry::Counter &m_closed;
     std::atomic<std::size_t> m_connections = 0;
     std::mutex m_mutex; ///< Guards what follows.
     std::condition_variable m_changed;
     bool m_stopping = false;
-    std::unordered_map<const void *, Receiving> m_receiving; ///< By the socket's implementation; at most m_maximumConnections.
+    std::unordered_map<const void *, ReceivingConnection> m_receiving; ///< By the socket's implementation; at most m_maximumConnections.
     std::thread m_thread;
 };
 
--- a/Libraries/LibEntry/Entry.cpp
+++ b/Libraries/LibEntry/Entry.cpp
@@ -51,18 +51,19 @@
     , m_tail(m_log, m_store, m_metrics, tailSettings(m_settings))
     , m_feed(m_node, m_store, m_metrics)
     , m_subscriber(m_node, m_store, m_settings.m_instance.m_member, m_settings.m_entries, m_metrics)
-    , m_listDuty(m_instanceList, m_store, m_metrics)
+    , m_instanceListWorker(m_instanceList, m_store, m_metrics)
     , m_planner(m_log, m_store, m_settings.m_instance.m_member, m_metrics)
     , m_checkpointer(m_log, m_store, m_settings.m_instance.m_member, m_metrics, checkpointerSettings(m_settings))
     , m_router(m_settings.m_scheduler, m_metrics)
     , m_versions(m_router)
-    , m_watch(AgentWatchParts{&m_node, &m_store, &m_router, &m_versions, &m_metrics, m_settings.m_instance.m_member.m_id, m_settings.m_watchedPerGroup})
+    , m_agentWatcher(
+          AgentWatcherParts{&m_node, &m_store, &m_router, &m_versions, &m_metrics, m_settings.m_instance.m_member.m_id, m_settings.m_watchedPerGroup})
     , m_claims(ClaimServiceParts{&m_node, &m_store, &m_claimsLog, &m_metrics, m_settings.m_instance.m_member, m_settings.m_claims})
     , m_frontend{&m_settings, &m_node, &m_store, &m_router, &m_versions, &m_claims, &m_metrics}
     , m_callers(m_frontend)
     , m_admin(m_settings.m_instance.m_member.m_admin, m_metrics)
 {
-    m_store.onChange([this] { m_watch.wake(); });
+    m_store.onChange([this] { m_agentWatcher.wake(); });
     registerPages();
 }
 
@@ -91,11 +92,11 @@
     m_feed.start();
     m_tail.start();
     m_subscriber.start();
-    m_listDuty.start();
+    m_instanceListWorker.start();
     m_planner.start();
     m_checkpointer.start();
     m_claims.start();
-    m_watch.start();
+    m_agentWatcher.start();
     BOOST_OUTCOME_TRYV(m_callers.start());
     BOOST_OUTCOME_TRYV(m_admin.start());
     LOG(INFO) << "entry " << m_settings.m_instance.m_member.m_id << " runs";
@@ -105,7 +106,7 @@
 void Entry::startLeaving()
 {
     LOG(INFO) << "leaving";
-    m_frontend.m_standing = Standing::Announced;
+    m_frontend.m_state = Standing::Leaving;
     Protocol::Member self = m_settings.m_instance.m_member;
     self.m_leaving = true;
     m_store.announce(self);
@@ -116,7 +117,7 @@
 {
     const Core::Instant announced = Core::Clock::now();
     std::this_thread::sleep_for(m_settings.m_addressLifetime + LifetimeMargin);
-    m_frontend.m_standing = Standing::Draining;
+    m_frontend.m_state = Standing::Draining;
     while (m_frontend.m_openRequests > 0) {
         if (Core::Clock::now() - announced > m_settings.m_drainLimit) {
             LOG(WARNING) << "the drain limit came before the last answer was complete";
@@ -136,11 +137,11 @@
     m_started = false;
     m_admin.stop();
     m_callers.stop();
-    m_watch.stop();
+    m_agentWatcher.stop();
     m_claims.stop();
     m_checkpointer.stop();
     m_planner.stop();
-    m_listDuty.stop();
+    m_instanceListWorker.stop();
     m_subscriber.stop();
     m_tail.stop();
     m_node.stop();
@@ -150,13 +151,13 @@
 Telemetry::AdminAnswer Entry::status() const
 {
     const std::shared_ptr<const Control::ControlState> state = m_store.current();
-    StatusSituation situation;
+    StatusInput situation;
     situation.m_self = m_settings.m_instance.m_member;
     situation.m_state = state.get();
     situation.m_members = m_store.members();
     situation.m_applied = m_feed.applied();
-    situation.m_reports = m_watch.reports();
-    return Telemetry::AdminAnswer{200, "application/json", Telemetry::toJsonText(statusPage(situation))};
+    situation.m_reports = m_agentWatcher.reports();
+    return Telemetry::AdminAnswer{200, "application/json", Telemetry::toJsonText(makeStatusPage(situation))};
 }
 
 Poco::JSON::Object::Ptr Entry::dumpInstance() const
@@ -165,7 +166,7 @@
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     object->set("id", self.m_id);
     object->set("incarnation", self.m_incarnation);
-    object->set("leaving", m_frontend.m_standing != Standing::Serving);
+    object->set("leaving", m_frontend.m_state != Standing::Serving);
     object->set("ready", m_store.isReady());
     object->set("log_up", m_tail.isLogUp());
     object->set("open_requests", m_frontend.m_openRequests.load());
@@ -202,7 +203,7 @@
     const Core::Result<Claims::Epoch> epoch = m_claims.writer().epoch();
     object->set("current", epoch.has_value());
     object->set("epoch", epoch ? Claims::formatEpoch(epoch.value()) : std::string());
-    object->set("held_keys", m_claims.writer().heldKeys());
+    object->set("held_keys", m_claims.writer().keyCount());
     return object;
 }
 
--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -49,12 +49,12 @@
     Control::LogTail m_tail;
     Control::StateFeed m_feed;
     Control::StateSubscriber m_subscriber;
-    Control::InstanceListDuty m_listDuty;
+    Control::InstanceListDuty m_instanceListWorker;
     Control::PlannerDuty m_planner;
     Control::Checkpointer m_checkpointer;
     Router m_router;
     VersionTracker m_versions;
-    AgentWatch m_watch;
+    AgentWatcher m_agentWatcher;
     ClaimService m_claims;
     Frontend m_frontend;
     CallerServer m_callers;
--- a/Libraries/LibEntry/EntrySettings.cpp
+++ b/Libraries/LibEntry/EntrySettings.cpp
@@ -9,11 +9,11 @@
 CallerLimits readCallerLimits(Settings::Reader &section)
 {
     CallerLimits limits;
-    limits.m_connections = static_cast<std::size_t>(section.integer("connections", 1, 16384, 512));
-    limits.m_maximumBody = static_cast<std::size_t>(section.integer("body_bytes", 1024, 64 << 20, 1 << 20));
-    limits.m_maximumAnswer = static_cast<std::size_t>(section.integer("answer_bytes", 1024, 256 << 20, 16 << 20));
-    limits.m_requestTime = section.milliseconds("request_ms", 100, 600000, 10000);
-    limits.m_keepAlive = section.milliseconds("keep_alive_ms", 100, 600000, 5000);
+    limits.m_maximumConnections = static_cast<std::size_t>(section.integer("connections", 1, 16384, 512));
+    limits.m_maximumBodyBytes = static_cast<std::size_t>(section.integer("body_bytes", 1024, 64 << 20, 1 << 20));
+    limits.m_maximumAnswerBytes = static_cast<std::size_t>(section.integer("answer_bytes", 1024, 256 << 20, 16 << 20));
+    limits.m_requestTimeout = section.milliseconds("request_ms", 100, 600000, 10000);
+    limits.m_keepAliveTimeout = section.milliseconds("keep_alive_ms", 100, 600000, 5000);
     limits.m_defaultTimeout = section.milliseconds("default_timeout_ms", 1, 600000, 30000);
     limits.m_maximumTimeout = section.milliseconds("maximum_timeout_ms", 1, 3600000, 600000);
     limits.m_defaultTokens = static_cast<std::uint32_t>(section.integer("default_tokens", 1, 1 << 20, 256));
@@ -52,7 +52,7 @@
     Claims::WriterSettings settings;
     settings.m_batchInterval = section.milliseconds("batch_ms", 1, 1000, 10);
     settings.m_window = static_cast<Claims::Offset>(section.integer("window_records", 16, 10000000, 20000));
-    settings.m_settleTimeout = section.milliseconds("settle_ms", 10, 60000, 2000);
+    settings.m_readBackTimeout = section.milliseconds("settle_ms", 10, 60000, 2000);
     return settings;
 }
 
--- a/Libraries/LibEntry/EntrySettings.h
+++ b/Libraries/LibEntry/EntrySettings.h
@@ -12,11 +12,11 @@
 /// Bounds on what callers can ask of an entry.
 struct CallerLimits
 {
-    std::size_t m_connections = 512; ///< Connections served at once, one thread each; more are refused at once.
-    std::size_t m_maximumBody = 1 << 20; ///< Bytes of a request's body.
-    std::size_t m_maximumAnswer = 16 << 20; ///< Bytes of a plain service's answer.
-    Core::Duration m_requestTime{10000}; ///< Time for a caller to send its request, from the first byte to the last.
-    Core::Duration m_keepAlive{5000}; ///< Idle time after which a connection is closed.
+    std::size_t m_maximumConnections = 512; ///< Connections served at once, one thread each; more are refused at once.
+    std::size_t m_maximumBodyBytes = 1 << 20; ///< Bytes of a request's body.
+    std::size_t m_maximumAnswerBytes = 16 << 20; ///< Bytes of a plain service's answer.
+    Core::Duration m_requestTimeout{10000}; ///< Time for a caller to send its request, from the first byte to the last.
+    Core::Duration m_keepAliveTimeout{5000}; ///< Idle time after which a connection is closed.
     Core::Duration m_defaultTimeout{30000};
     Core::Duration m_maximumTimeout{600000};
     std::uint32_t m_defaultTokens = 256;
--- a/Libraries/LibEntry/Frontend.h
+++ b/Libraries/LibEntry/Frontend.h
@@ -11,9 +11,9 @@
 namespace Entry {
 
 /// Where an entry is in its life.
-enum class Standing {
+enum class EntryState {
     Serving,
-    Announced, ///< Leaving, but still serving callers that hold its address.
+    Leaving, ///< Leaving, but still serving callers that hold its address.
     Draining, ///< New work is refused; what runs is finished.
 };
 
@@ -27,7 +27,7 @@
     VersionTracker *m_versions = nullptr;
     ClaimService *m_claims = nullptr;
     Telemetry::Metrics *m_metrics = nullptr;
-    std::atomic<Standing> m_standing = Standing::Serving;
+    std::atomic<Standing> m_state = Standing::Serving;
     std::atomic<std::size_t> m_openRequests = 0; ///< Requests for work that have not been answered to their end.
 };
 
@@ -35,7 +35,7 @@
 std::vector<std::string> callerAddresses(const Frontend &frontend, std::size_t count);
 
 /// The refusal of new work while leaving; empty if work is taken.
-std::optional<CallerError> refusalWhileLeaving(const Frontend &frontend);
+std::optional<CallerError> refusalWhileDraining(const Frontend &frontend);
 /// Adds to a refusal of an entry that is leaving where the caller may go instead, whatever the reason of the refusal.
 CallerError withOtherEntries(const Frontend &frontend, CallerError error);
 /// The refusal before any accepted state is known; empty if it is.
--- a/Libraries/LibEntry/Generation.cpp
+++ b/Libraries/LibEntry/Generation.cpp
@@ -26,9 +26,9 @@
     std::optional<CallerError> run()
     {
         while (true) {
-            const Core::Result<ServedVersion> served = m_frontend.m_versions->serve(m_request.m_template, m_request.m_account);
+            const Core::Result<ServedVersion> served = m_frontend.m_versions->selectVersion(m_request.m_template, m_request.m_account);
             if (!served) {
-                return CallerError{CallerCode::Unknown, served.error(), std::nullopt, {}};
+                return CallerError{CallerCode::NotFound, served.error(), std::nullopt, {}};
             }
             if (served.value().m_digest.empty()) {
                 const Core::Error error = Core::makeError(Core::ErrorCode::Unavailable, "route request", m_request.m_template, "no whole version serves yet");
@@ -40,11 +40,11 @@
                 return m_maybeRan ? failure(m_lastError) : *refused;
             }
             const AttemptOutcome outcome = attempt(served.value(), std::get<Grant>(acquired));
-            if (outcome.m_end == AttemptEnd::Whole || outcome.m_end == AttemptEnd::CallerGone) {
+            if (outcome.m_end == AttemptEnd::Complete || outcome.m_end == AttemptEnd::CallerGone) {
                 return std::nullopt;
             }
             m_lastError = outcome.m_error;
-            m_maybeRan = m_maybeRan || outcome.m_end == AttemptEnd::Lost;
+            m_maybeRan = m_maybeRan || outcome.m_end == AttemptEnd::Unknown;
             if (!mayRetry(outcome)) {
                 return failure(outcome.m_error);
             }
@@ -81,7 +81,7 @@
         request.m_priority = m_request.m_priority;
         request.m_body = text.str();
         request.m_agentIncarnation = granted.m_member.m_incarnation;
-        request.m_agentReport = granted.m_report;
+        request.m_agentReport = granted.m_reportSequence;
         return request;
     }
 
@@ -100,12 +100,12 @@
     static Routing::CallResult callResult(const AttemptOutcome &outcome)
     {
         switch (outcome.m_end) {
-        case AttemptEnd::Whole:
+        case AttemptEnd::Complete:
             return Routing::CallResult::Answered;
         case AttemptEnd::CallerGone:
             return Routing::CallResult::Abandoned;
         case AttemptEnd::NotRun:
-        case AttemptEnd::Lost:
+        case AttemptEnd::Unknown:
             break;
         }
         const Core::ErrorCode code = outcome.m_error.m_code;
--- a/Libraries/LibEntry/LiveAttempt.cpp
+++ b/Libraries/LibEntry/LiveAttempt.cpp
@@ -76,18 +76,18 @@
 
 LiveAttempt::~LiveAttempt()
 {
-    if (!ended()) {
+    if (!callEnd()) {
         m_node.cancel(m_call);
     }
 }
 
-std::optional<Wire::CallEnd> LiveAttempt::ended() const
+std::optional<Wire::CallEnd> LiveAttempt::callEnd() const
 {
     const std::lock_guard<std::mutex> lock(m_inbox->m_endMutex);
     return m_inbox->m_end;
 }
 
-Core::Error LiveAttempt::lost(const std::string &detail) const
+Core::Error LiveAttempt::ambiguousError(const std::string &detail) const
 {
     return Core::makeError(Core::ErrorCode::Ambiguous, "read answer", m_peer, detail);
 }
@@ -100,44 +100,44 @@
         const std::optional<std::string> arrival = m_inbox->m_frames.pop(idle ? GoneInterval : Core::Duration(0));
         idle = !arrival;
         if (m_inbox->m_overrun) {
-            return AttemptOutcome{AttemptEnd::Lost, lost("the caller reads too slowly")};
+            return AttemptOutcome{AttemptEnd::Unknown, ambiguousError("the caller reads too slowly")};
         }
         if (!arrival) {
-            const std::optional<Wire::CallEnd> end = ended();
+            const std::optional<Wire::CallEnd> end = callEnd();
             if (end) {
-                return conclude(*end);
+                return makeOutcome(*end);
             }
             if (isGone()) {
-                return AttemptOutcome{AttemptEnd::CallerGone, lost("the caller went away")};
+                return AttemptOutcome{AttemptEnd::CallerGone, ambiguousError("the caller went away")};
             }
             continue;
         }
         const Core::Result<Protocol::AnswerFrame> frame = Wire::unpack<Protocol::AnswerFrame>(*arrival, m_peer);
         if (!frame) {
-            return AttemptOutcome{AttemptEnd::Lost, frame.error()};
+            return AttemptOutcome{AttemptEnd::Unknown, frame.error()};
         }
         const Core::Result<void> checked = m_checker.check(frame.value());
         if (!checked) {
-            return AttemptOutcome{AttemptEnd::Lost, checked.error()};
+            return AttemptOutcome{AttemptEnd::Unknown, checked.error()};
         }
         if (!consume(frame.value())) {
-            return AttemptOutcome{AttemptEnd::CallerGone, lost("the caller went away")};
+            return AttemptOutcome{AttemptEnd::CallerGone, ambiguousError("the caller went away")};
         }
     }
 }
 
-AttemptOutcome LiveAttempt::conclude(const Wire::CallEnd &end) const
+AttemptOutcome LiveAttempt::makeOutcome(const Wire::CallEnd &end) const
 {
-    if (end.m_succeeded && m_checker.isWhole()) {
-        return AttemptOutcome{AttemptEnd::Whole, {}};
+    if (end.m_succeeded && m_checker.isComplete()) {
+        return AttemptOutcome{AttemptEnd::Complete, {}};
     }
     if (end.m_succeeded) {
-        return AttemptOutcome{AttemptEnd::Lost, lost("the answer ended without its end frame")};
+        return AttemptOutcome{AttemptEnd::Unknown, ambiguousError("the answer ended without its end frame")};
     }
-    return AttemptOutcome{provesNotRun(end) ? AttemptEnd::NotRun : AttemptEnd::Lost, end.m_error};
+    return AttemptOutcome{provesNotRun(end) ? AttemptEnd::NotRun : AttemptEnd::Unknown, end.m_error};
 }
 
-Core::Result<Protocol::OutcomeAnswer> askOutcome(Wire::Node &node, const OutcomeQuestion &question, Core::Duration timeout)
+Core::Result<Protocol::OutcomeAnswer> queryOutcome(Wire::Node &node, const OutcomeQuery &question, Core::Duration timeout)
 {
     const std::string bytes = BOOST_OUTCOME_TRYX(node.request(question.m_agent, "live.outcome", Wire::pack(question.m_request), timeout));
     return Wire::unpack<Protocol::OutcomeAnswer>(bytes, question.m_agent.toString());
--- a/Libraries/LibEntry/LiveAttempt.h
+++ b/Libraries/LibEntry/LiveAttempt.h
@@ -14,15 +14,15 @@
 
 /// How an attempt ended.
 enum class AttemptEnd {
-    Whole, ///< Every frame was checked, and the end was.
+    Complete, ///< Every frame was checked, and the end was.
     NotRun, ///< It is certain that it did not run and will not: nothing was sent, or the agent has refused it.
-    Lost, ///< It may have run; what came of it is not known here.
+    Unknown, ///< It may have run; what came of it is not known here.
     CallerGone,
 };
 
 struct AttemptOutcome
 {
-    AttemptEnd m_end = AttemptEnd::Lost;
+    AttemptEnd m_end = AttemptEnd::Unknown;
     Core::Error m_error; ///< Unless Whole.
 
     bool operator==(const AttemptOutcome &) const = default;
@@ -70,9 +70,9 @@
         std::optional<Wire::CallEnd> m_end; ///< Kept apart, so that a full ring cannot lose it.
     };
 
-    std::optional<Wire::CallEnd> ended() const;
-    AttemptOutcome conclude(const Wire::CallEnd &end) const;
-    Core::Error lost(const std::string &detail) const;
+    std::optional<Wire::CallEnd> callEnd() const;
+    AttemptOutcome makeOutcome(const Wire::CallEnd &end) const;
+    Core::Error ambiguousError(const std::string &detail) const;
 
     Wire::Node &m_node;
     const std::string m_peer;
@@ -83,11 +83,11 @@
 };
 
 /// Asks an agent what became of an attempt.
-struct OutcomeQuestion
+struct OutcomeQuery
 {
     Core::Address m_agent;
     Protocol::OutcomeRequest m_request;
 };
-Core::Result<Protocol::OutcomeAnswer> askOutcome(Wire::Node &node, const OutcomeQuestion &question, Core::Duration timeout);
+Core::Result<Protocol::OutcomeAnswer> queryOutcome(Wire::Node &node, const OutcomeQuery &question, Core::Duration timeout);
 
 }
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -43,7 +43,7 @@
     return error;
 }
 
-std::variant<Grant, CallerError> Router::acquire(Routing::Submission submission, const GoneCheck &isGone)
+std::variant<Grant, CallerError> Router::acquire(Routing::Submission submission, const DisconnectCheck &isGone)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     submission.m_request.m_ticket = m_nextTicket++;
@@ -56,10 +56,11 @@
     if (const Routing::Refused *refused = std::get_if<Routing::Refused>(&admission)) {
         return refusal(*refused, submission.m_group);
     }
-    return await(lock, submission, isGone);
+    return waitForResolution(lock, submission, isGone);
 }
 
-std::variant<Grant, CallerError> Router::await(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const GoneCheck &isGone)
+std::variant<Grant, CallerError>
+Router::waitForResolution(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const DisconnectCheck &isGone)
 {
     const Core::Instant since = Core::Clock::now();
     const Routing::Ticket ticket = submission.m_request.m_ticket;
@@ -69,7 +70,7 @@
     while (!waiter->m_resolution) {
         const Core::Instant now = Core::Clock::now();
         if (now >= submission.m_request.m_deadline) {
-            resolve(m_scheduler.poll(now));
+            notifyWaiters(m_scheduler.poll(now));
             break;
         }
         const Core::Instant until = std::min(now + GoneInterval, submission.m_request.m_deadline);
@@ -86,7 +87,7 @@
     }
     m_waiters.erase(ticket);
     if (!waiter->m_resolution) {
-        m_scheduler.withdraw(ticket);
+        m_scheduler.cancel(ticket);
         return refusal(Routing::Refused{ticket, Routing::RefusalReason::TooLate, m_scheduler.retryAfter(submission.m_group)}, submission.m_group);
     }
     if (const Routing::Refused *refused = std::get_if<Routing::Refused>(&*waiter->m_resolution)) {
@@ -98,7 +99,7 @@
     return Grant{std::get<Routing::Granted>(*waiter->m_resolution), now};
 }
 
-void Router::resolve(const std::vector<Routing::Resolution> &resolutions)
+void Router::notifyWaiters(const std::vector<Routing::Resolution> &resolutions)
 {
     for (const Routing::Resolution &resolution : resolutions) {
         const Routing::Ticket ticket = std::visit([](const auto &each) { return each.m_ticket; }, resolution);
@@ -116,7 +117,7 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
     m_scheduler.finish(grant.m_granted, result, grant.m_started, now);
-    resolve(m_scheduler.poll(now));
+    notifyWaiters(m_scheduler.poll(now));
 }
 
 bool Router::tryRetry()
@@ -132,26 +133,26 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
     m_scheduler.table().update(report, now);
-    resolve(m_scheduler.poll(now));
+    notifyWaiters(m_scheduler.poll(now));
 }
 
-void Router::forget(const std::string &instance)
+void Router::removeEndpoint(const std::string &instance)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_scheduler.table().remove(instance);
 }
 
-void Router::suspect(const std::string &instance)
+void Router::markUnavailable(const std::string &instance)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_scheduler.table().suspect(instance);
-    resolve(m_scheduler.poll(Core::Clock::now()));
+    m_scheduler.table().markUnavailable(instance);
+    notifyWaiters(m_scheduler.poll(Core::Clock::now()));
 }
 
 void Router::poll()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    resolve(m_scheduler.poll(Core::Clock::now()));
+    notifyWaiters(m_scheduler.poll(Core::Clock::now()));
 }
 
 void Router::readTable(const std::function<void(const Routing::EndpointTable &table)> &read) const
--- a/Libraries/LibEntry/Router.h
+++ b/Libraries/LibEntry/Router.h
@@ -28,10 +28,10 @@
     Router(Routing::SchedulerSettings settings, Telemetry::Metrics &metrics);
 
     /// Tells whether the caller has gone away; asked now and then while its request waits.
-    using GoneCheck = std::function<bool()>;
+    using DisconnectCheck = std::function<bool()>;
 
     /// Waits for an endpoint. Refusals come as soon as they are certain, never at the end of a wait in vain.
-    std::variant<Grant, CallerError> acquire(Routing::Submission submission, const GoneCheck &isGone);
+    std::variant<Grant, CallerError> acquire(Routing::Submission submission, const DisconnectCheck &isGone);
     /// Gives back what acquire() granted. To be called exactly once for each grant.
     void release(const Grant &grant, Routing::CallResult result);
 
@@ -40,9 +40,9 @@
 
     void onReport(const Protocol::AgentReport &report);
     /// The instance is no longer watched.
-    void forget(const std::string &instance);
+    void removeEndpoint(const std::string &instance);
     /// The instance's stream of reports ended: no new work until it reports again.
-    void suspect(const std::string &instance);
+    void markUnavailable(const std::string &instance);
     /// To be called now and then, so that waiting requests notice endpoints that went silent.
     void poll();
 
@@ -58,8 +58,9 @@
     };
 
     CallerError refusal(const Routing::Refused &refused, const Routing::GroupKey &group) const;
-    void resolve(const std::vector<Routing::Resolution> &resolutions);
-    std::variant<Grant, CallerError> await(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const GoneCheck &isGone);
+    void notifyWaiters(const std::vector<Routing::Resolution> &resolutions);
+    std::variant<Grant, CallerError>
+    waitForResolution(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const DisconnectCheck &isGone);
 
     Telemetry::Counter &m_granted;
     Telemetry::Counter &m_waited;
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -61,7 +61,7 @@
     live.m_path = request.m_path;
     live.m_body = request.m_body;
     live.m_agentIncarnation = granted.m_member.m_incarnation;
-    live.m_agentReport = granted.m_report;
+    live.m_agentReport = granted.m_reportSequence;
     if (request.m_key) {
         live.m_repeatable = false;
         live.m_key = Claims::scopedKey(*request.m_key, request.m_account, request.m_service).m_text;
@@ -78,7 +78,7 @@
 
 Routing::CallResult callResult(const AttemptOutcome &outcome)
 {
-    if (outcome.m_end == AttemptEnd::Whole) {
+    if (outcome.m_end == AttemptEnd::Complete) {
         return Routing::CallResult::Answered;
     }
     const Core::ErrorCode code = outcome.m_error.m_code;
@@ -93,7 +93,7 @@
     AttemptReport report;
     LiveAttempt live(*frontend.m_node, grant.m_granted.m_member.m_wire, request, deadline);
     bool tooLarge = false;
-    const std::size_t limit = frontend.m_settings->m_callers.m_maximumAnswer;
+    const std::size_t limit = frontend.m_settings->m_callers.m_maximumAnswerBytes;
     report.m_outcome = live.run(
         [&report, &tooLarge, limit](const Protocol::AnswerFrame &frame) {
             report.m_answer.m_status = frame.m_status;
@@ -103,7 +103,7 @@
         },
         isGone);
     if (tooLarge) {
-        report.m_outcome.m_end = AttemptEnd::Lost;
+        report.m_outcome.m_end = AttemptEnd::Unknown;
         report.m_outcome.m_error = Core::makeError(Core::ErrorCode::Corrupt, "read answer", grant.m_granted.m_member.m_id, "the answer is too large");
     }
     frontend.m_router->release(grant, callResult(report.m_outcome));
@@ -128,7 +128,7 @@
         const Grant &grant = std::get<Grant>(acquired);
         const Protocol::LiveRequest live = makeLiveRequest(request, grant.m_granted, Core::randomIdentifier());
         const AttemptReport report = runAttempt(frontend, grant, live, deadline, isGone);
-        if (report.m_outcome.m_end == AttemptEnd::Whole) {
+        if (report.m_outcome.m_end == AttemptEnd::Complete) {
             return report.m_answer;
         }
         lastError = report.m_outcome.m_error;
@@ -170,20 +170,20 @@
             return *refused;
         }
         m_grant = std::get<Grant>(acquired);
-        Claims::Step step = Claims::begin(Core::randomIdentifier());
-        while (!std::holds_alternative<Claims::Conclude>(step.m_action)) {
+        Claims::Step step = Claims::beginCall(Core::randomIdentifier());
+        while (!std::holds_alternative<Claims::ReportVerdict>(step.m_action)) {
             const Claims::Event event = std::visit([this](const auto &action) { return perform(action); }, step.m_action);
-            step = Claims::advance(step.m_state, event, Core::randomIdentifier());
+            step = Claims::advanceCall(step.m_state, event, Core::randomIdentifier());
         }
         if (m_grant) {
             // The endpoint was not used: another attempt holds the key, or the claim failed.
             m_frontend.m_router->release(*m_grant, Routing::CallResult::Abandoned);
         }
-        return conclude(std::get<Claims::Conclude>(step.m_action).m_verdict);
+        return conclude(std::get<Claims::ReportVerdict>(step.m_action).m_verdict);
     }
 
 private:
-    Claims::Event perform(const Claims::MakeClaim &action)
+    Claims::Event perform(const Claims::WriteClaim &action)
     {
         const Routing::Granted &granted = agent();
         Claims::Claim claim;
@@ -192,7 +192,7 @@
         claim.m_entry = m_frontend.m_settings->m_instance.m_member.m_id;
         claim.m_agent = granted.m_member.m_id;
         claim.m_agentIncarnation = granted.m_member.m_incarnation;
-        claim.m_agentReport = granted.m_report;
+        claim.m_agentReport = granted.m_reportSequence;
         claim.m_agentWire = granted.m_member.m_wire;
         const Core::Result<Claims::ClaimAnswer> answer = m_frontend.m_claims->write(m_key.m_text, Claims::ClaimRequest{{}, {claim}}, m_deadline);
         if (!answer || answer.value().m_results.size() != 1) {
@@ -203,7 +203,7 @@
             m_error = Core::makeError(Core::ErrorCode::Timeout, "claim key", "", "the time was over before the call could be sent");
             return Claims::DeadlinePassed{};
         }
-        return Claims::ClaimJudged{answer.value().m_results.front()};
+        return Claims::ClaimDecided{answer.value().m_results.front()};
     }
 
     Claims::Event perform(const Claims::Dispatch &action)
@@ -216,52 +216,52 @@
         const AttemptReport report = runAttempt(m_frontend, grant, live, m_deadline, [] { return false; });
         m_error = report.m_outcome.m_error;
         switch (report.m_outcome.m_end) {
-        case AttemptEnd::Whole:
+        case AttemptEnd::Complete:
             m_answer = report.m_answer;
             return Claims::CompleteAnswer{};
         case AttemptEnd::NotRun:
-            return Claims::CertainlyNotRun{};
-        case AttemptEnd::Lost:
+            return Claims::AttemptNotRun{};
+        case AttemptEnd::Unknown:
         case AttemptEnd::CallerGone:
             break;
         }
-        return Claims::AnswerLost{};
+        return Claims::AnswerIncomplete{};
     }
 
-    Claims::Event perform(const Claims::AskOutcome &action)
+    Claims::Event perform(const Claims::QueryOutcome &action)
     {
         const bool over = timeLeft(m_deadline) <= Core::Duration(0);
-        if (action.m_later && over) {
+        if (action.m_isDelayed && over) {
             m_error = Core::makeError(Core::ErrorCode::Timeout, "ask outcome", "", "it was still running when the time was over");
             return Claims::DeadlinePassed{};
         }
-        if (action.m_later) {
+        if (action.m_isDelayed) {
             std::this_thread::sleep_for(OutcomeInterval);
         }
-        const OutcomeQuestion question = action.m_own ? ownQuestion(action) : otherQuestion(action);
+        const OutcomeQuery question = action.m_isOwn ? ownQuestion(action) : otherQuestion(action);
         for (int attempt = 0; attempt < OutcomeTries; ++attempt) {
-            const Core::Result<Protocol::OutcomeAnswer> answer = askOutcome(*m_frontend.m_node, question, OutcomeTimeout);
+            const Core::Result<Protocol::OutcomeAnswer> answer = queryOutcome(*m_frontend.m_node, question, OutcomeTimeout);
             if (answer) {
                 m_answer = ServiceAnswer{answer.value().m_status, answer.value().m_body};
-                return Claims::OutcomeTold{answer.value().m_outcome};
+                return Claims::OutcomeReceived{answer.value().m_outcome};
             }
             m_error = answer.error();
         }
-        return Claims::OutcomeUnreachable{};
+        return Claims::OutcomeUnavailable{};
     }
 
-    Claims::Event perform(const Claims::WriteBar &action)
+    Claims::Event perform(const Claims::WriteTombstone &action)
     {
-        const Claims::AttemptBar bar{m_key.m_text, action.m_attempt};
+        const Claims::AttemptTombstone bar{m_key.m_text, action.m_attempt};
         const Core::Result<Claims::ClaimAnswer> answer = m_frontend.m_claims->write(m_key.m_text, Claims::ClaimRequest{{bar}, {}}, m_deadline);
         if (answer) {
-            return Claims::BarWritten{};
+            return Claims::TombstoneWritten{};
         }
         m_error = answer.error();
-        return Claims::BarFailed{};
+        return Claims::TombstoneFailed{};
     }
 
-    Claims::Event perform(const Claims::Conclude &)
+    Claims::Event perform(const Claims::ReportVerdict &)
     {
         return Claims::DeadlinePassed{};
     }
@@ -271,16 +271,16 @@
         return m_grant->m_granted;
     }
 
-    OutcomeQuestion ownQuestion(const Claims::AskOutcome &action) const
+    OutcomeQuery ownQuestion(const Claims::QueryOutcome &action) const
     {
-        const Protocol::OutcomeRequest request{action.m_attempt, m_key.m_text, m_used.m_member.m_incarnation, m_used.m_report};
-        return OutcomeQuestion{m_used.m_member.m_wire, request};
+        const Protocol::OutcomeRequest request{action.m_attempt, m_key.m_text, m_used.m_member.m_incarnation, m_used.m_reportSequence};
+        return OutcomeQuery{m_used.m_member.m_wire, request};
     }
 
-    OutcomeQuestion otherQuestion(const Claims::AskOutcome &action) const
+    OutcomeQuery otherQuestion(const Claims::QueryOutcome &action) const
     {
-        const Claims::Claim &winner = action.m_winner;
-        return OutcomeQuestion{winner.m_agentWire, Protocol::OutcomeRequest{action.m_attempt, m_key.m_text, winner.m_agentIncarnation, winner.m_agentReport}};
+        const Claims::Claim &winner = action.m_holder;
+        return OutcomeQuery{winner.m_agentWire, Protocol::OutcomeRequest{action.m_attempt, m_key.m_text, winner.m_agentIncarnation, winner.m_agentReport}};
     }
 
     ServiceResult conclude(Claims::CallVerdict verdict) const
@@ -319,7 +319,7 @@
 {
     const Core::Result<std::uint32_t> weight = accountWeight(*frontend.m_store->current(), request);
     if (!weight) {
-        return CallerError{CallerCode::Unknown, weight.error(), std::nullopt, {}};
+        return CallerError{CallerCode::NotFound, weight.error(), std::nullopt, {}};
     }
     Routing::Submission submission = makeSubmission(request, weight.value(), deadline);
     if (!request.m_key) {
--- a/Libraries/LibEntry/StatusPage.cpp
+++ b/Libraries/LibEntry/StatusPage.cpp
@@ -11,7 +11,7 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-Control::Offset appliedAt(const StatusSituation &situation, const Protocol::Member &member)
+Control::Offset appliedAt(const StatusInput &situation, const Protocol::Member &member)
 {
     if (member.m_id == situation.m_self.m_id) {
         return situation.m_state->m_applied;
@@ -28,7 +28,7 @@
     return applied;
 }
 
-Object::Ptr describeMember(const StatusSituation &situation, const Protocol::Member &member)
+Object::Ptr describeMember(const StatusInput &situation, const Protocol::Member &member)
 {
     Object::Ptr object = new Object;
     object->set("id", member.m_id);
@@ -45,7 +45,7 @@
     return object;
 }
 
-bool serves(const StatusSituation &situation, const std::string &instance, const std::string &digest)
+bool serves(const StatusInput &situation, const std::string &instance, const std::string &digest)
 {
     const std::map<std::string, Protocol::AgentReport>::const_iterator it = situation.m_reports.find(instance);
     if (it == situation.m_reports.end() || !it->second.m_endpointHealthy) {
@@ -56,7 +56,7 @@
         attestations.begin(), attestations.end(), [&digest](const Protocol::Attestation &attestation) { return attestation.m_digest == digest; });
 }
 
-Object::Ptr describeDeployment(const StatusSituation &situation, const Control::Deployment &deployment)
+Object::Ptr describeDeployment(const StatusInput &situation, const Control::Deployment &deployment)
 {
     Array::Ptr serving = new Array;
     Array::Ptr waiting = new Array;
@@ -82,7 +82,7 @@
     return object;
 }
 
-Object::Ptr describeService(const StatusSituation &situation, const std::string &service, const Control::Plan &plan)
+Object::Ptr describeService(const StatusInput &situation, const std::string &service, const Control::Plan &plan)
 {
     Array::Ptr deployments = new Array;
     for (const Control::Deployment &deployment : plan.m_deployments) {
@@ -95,7 +95,7 @@
     return object;
 }
 
-Array::Ptr describeTransfers(const StatusSituation &situation)
+Array::Ptr describeTransfers(const StatusInput &situation)
 {
     Array::Ptr transfers = new Array;
     for (const std::pair<const std::string, Protocol::AgentReport> &entry : situation.m_reports) {
@@ -113,7 +113,7 @@
 
 }
 
-Object::Ptr statusPage(const StatusSituation &situation)
+Object::Ptr makeStatusPage(const StatusInput &situation)
 {
     Array::Ptr members = new Array;
     for (const Protocol::Member &member : situation.m_members) {
--- a/Libraries/LibEntry/StatusPage.h
+++ b/Libraries/LibEntry/StatusPage.h
@@ -12,7 +12,7 @@
 namespace Entry {
 
 /// What the page is made from.
-struct StatusSituation
+struct StatusInput
 {
     Protocol::Member m_self;
     const Control::ControlState *m_state = nullptr;
@@ -22,6 +22,6 @@
 };
 
 /// {"entry","applied","members":[...],"services":[{"service","plan","deployments":[...]}],"transfers":[...]}
-Poco::JSON::Object::Ptr statusPage(const StatusSituation &situation);
+Poco::JSON::Object::Ptr makeStatusPage(const StatusInput &situation);
 
 }
--- a/Libraries/LibEntry/VersionTracker.cpp
+++ b/Libraries/LibEntry/VersionTracker.cpp
@@ -28,7 +28,7 @@
             record.m_parameters = parameters;
             for (const Control::EarlierVersion &earlier : entry.second.m_earlier) {
                 if (earlier.m_account == parameters.m_account) {
-                    record.m_earlier.push_back(earlier);
+                    record.m_earlierVersions.push_back(earlier);
                 }
             }
             accounts.emplace(key, std::move(record));
@@ -37,7 +37,7 @@
     m_accounts = std::move(accounts);
 }
 
-Core::Result<ServedVersion> VersionTracker::serve(const std::string &templateName, const std::string &account)
+Core::Result<ServedVersion> VersionTracker::selectVersion(const std::string &templateName, const std::string &account)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const std::map<AccountKey, AccountRecord>::iterator it = m_accounts.find(AccountKey{templateName, account});
@@ -45,19 +45,19 @@
         return Core::makeError(Core::ErrorCode::NotFound, "find template", templateName, "no template in force names the account " + account);
     }
     AccountRecord &record = it->second;
-    Routing::VersionSituation situation;
-    situation.m_wanted = record.m_parameters.m_digest;
+    Routing::RolloutState situation;
+    situation.m_wantedDigest = record.m_parameters.m_digest;
     situation.m_wantedReplicas = record.m_parameters.m_replicas;
     std::string previousVersion;
     situation.m_switched = record.m_switched;
     m_router.readTable([&situation, &record, &previousVersion](const Routing::EndpointTable &table) {
         const Core::Instant now = Core::Clock::now();
-        situation.m_wantedServing = table.countAvailable(Routing::GroupKey{record.m_service, situation.m_wanted}, now);
+        situation.m_wantedServing = table.countAvailable(Routing::GroupKey{record.m_service, situation.m_wantedDigest}, now);
         situation.m_watched = table.countServiceAvailable(record.m_service, now);
-        for (const Control::EarlierVersion &earlier : record.m_earlier) {
+        for (const Control::EarlierVersion &earlier : record.m_earlierVersions) {
             situation.m_previousServing = table.countAvailable(Routing::GroupKey{record.m_service, earlier.m_digest}, now);
             if (situation.m_previousServing > 0) {
-                situation.m_previous = earlier.m_digest;
+                situation.m_previousDigest = earlier.m_digest;
                 previousVersion = earlier.m_version;
                 break;
             }
@@ -77,7 +77,7 @@
         if (entry.second.m_service != service) {
             continue;
         }
-        for (const Control::EarlierVersion &earlier : entry.second.m_earlier) {
+        for (const Control::EarlierVersion &earlier : entry.second.m_earlierVersions) {
             digests.push_back(earlier.m_digest);
         }
     }
--- a/Libraries/LibEntry/VersionTracker.h
+++ b/Libraries/LibEntry/VersionTracker.h
@@ -32,7 +32,7 @@
     /// Takes in newly accepted state.
     void onState(const Control::ControlState &state);
     /// Fails with NotFound if no template in force names the account.
-    Core::Result<ServedVersion> serve(const std::string &templateName, const std::string &account);
+    Core::Result<ServedVersion> selectVersion(const std::string &templateName, const std::string &account);
 
     /// Digests that accounts may still be answered by besides those planned.
     std::vector<std::string> previousDigests(const std::string &service) const;
@@ -50,7 +50,7 @@
     {
         std::string m_service;
         Control::AccountParameters m_parameters; ///< In force.
-        std::vector<Control::EarlierVersion> m_earlier; ///< Versions before it, newest first.
+        std::vector<Control::EarlierVersion> m_earlierVersions; ///< Versions before it, newest first.
         bool m_switched = false; ///< The version in force has answered.
     };
 
--- a/Libraries/LibPlatform/HttpExchange.cpp
+++ b/Libraries/LibPlatform/HttpExchange.cpp
@@ -36,9 +36,9 @@
 
     Poco::Net::HTTPResponse response;
     std::istream &input = session.receiveResponse(response);
-    HttpAnswer answer{response.getStatus(), readBounded(input, question.m_maximumAnswer)};
-    if (answer.m_body.size() > question.m_maximumAnswer) {
-        return Core::makeError(Core::ErrorCode::Corrupt, question.m_step, peer, "the answer is longer than " + std::to_string(question.m_maximumAnswer));
+    HttpAnswer answer{response.getStatus(), readBounded(input, question.m_maximumAnswerBytes)};
+    if (answer.m_body.size() > question.m_maximumAnswerBytes) {
+        return Core::makeError(Core::ErrorCode::Corrupt, question.m_step, peer, "the answer is longer than " + std::to_string(question.m_maximumAnswerBytes));
     }
     const bool isCut = response.hasContentLength() && static_cast<std::size_t>(response.getContentLength64()) != answer.m_body.size();
     if (isCut) {
--- a/Libraries/LibPlatform/HttpExchange.h
+++ b/Libraries/LibPlatform/HttpExchange.h
@@ -16,7 +16,7 @@
     std::string m_target; ///< Path and query.
     std::string m_body;
     Core::Duration m_timeout{3000}; ///< For each wait on the peer.
-    std::size_t m_maximumAnswer = 16 << 20; ///< Larger answers are refused as Corrupt.
+    std::size_t m_maximumAnswerBytes = 16 << 20; ///< Larger answers are refused as Corrupt.
 };
 
 struct HttpAnswer
--- a/Libraries/LibPlatform/HttpLog.cpp
+++ b/Libraries/LibPlatform/HttpLog.cpp
@@ -104,7 +104,7 @@
     question.m_target =
         "/log/" + stream + "?from=" + std::to_string(from) + "&max=" + std::to_string(maximum) + "&wait_ms=" + std::to_string(options.m_wait.count());
     question.m_timeout = m_timeout + options.m_wait;
-    question.m_maximumAnswer = MaximumPageBytes;
+    question.m_maximumAnswerBytes = MaximumPageBytes;
     const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, question));
     if (answer.m_status != Ok && answer.m_status != Gone) {
         return refusal(question.m_step, peer, answer.m_status);
--- a/Libraries/LibRouting/AnswerChecker.cpp
+++ b/Libraries/LibRouting/AnswerChecker.cpp
@@ -18,7 +18,7 @@
 
 Core::Result<void> AnswerChecker::check(const Protocol::AnswerFrame &frame)
 {
-    if (m_whole) {
+    if (m_complete) {
         return mismatch("a frame after the end");
     }
     if (frame.m_attempt != m_attempt) {
@@ -47,7 +47,7 @@
     if (frame.m_totalDigest != m_digest.finishHex()) {
         return mismatch("the answer's digest does not match");
     }
-    m_whole = true;
+    m_complete = true;
     return Core::success();
 }
 
--- a/Libraries/LibRouting/AnswerChecker.h
+++ b/Libraries/LibRouting/AnswerChecker.h
@@ -26,9 +26,9 @@
     /// Fails with Corrupt, after which nothing more of the answer may be used.
     Core::Result<void> check(const Protocol::AnswerFrame &frame);
     /// True once a correct end frame came.
-    bool isWhole() const
+    bool isComplete() const
     {
-        return m_whole;
+        return m_complete;
     }
     std::uint64_t bytes() const
     {
@@ -45,7 +45,7 @@
     std::uint64_t m_nextNumber = 0;
     std::uint64_t m_bytes = 0;
     Core::Sha256 m_digest; ///< Over the data of all frames so far.
-    bool m_whole = false;
+    bool m_complete = false;
 };
 
 }
--- a/Libraries/LibRouting/Endpoint.cpp
+++ b/Libraries/LibRouting/Endpoint.cpp
@@ -15,7 +15,7 @@
 
 bool isAvailable(const EndpointView &endpoint, Core::Instant now)
 {
-    return endpoint.m_healthy && !endpoint.m_member.m_leaving && now - endpoint.m_lastHeard < SilenceLimit && now >= endpoint.m_avoidUntil;
+    return endpoint.m_healthy && !endpoint.m_member.m_leaving && now - endpoint.m_lastReportTime < ReportTimeout && now >= endpoint.m_avoidUntil;
 }
 
 bool attests(const EndpointView &endpoint, const std::string &digest)
@@ -47,10 +47,10 @@
 
 double estimatedCost(const EndpointView &endpoint)
 {
-    return endpoint.m_serviceSeconds * (IdleCost + estimatedLoad(endpoint));
+    return endpoint.m_meanCallSeconds * (IdleCost + estimatedLoad(endpoint));
 }
 
-bool hasRoom(const EndpointView &endpoint)
+bool hasFreeSlot(const EndpointView &endpoint)
 {
     return estimatedRequests(endpoint) < std::max(1U, endpoint.m_load.m_capacity);
 }
--- a/Libraries/LibRouting/Endpoint.h
+++ b/Libraries/LibRouting/Endpoint.h
@@ -11,7 +11,7 @@
 namespace Routing {
 
 /// Time without a report after which an endpoint's agent counts as gone. Reports come at least once a second.
-inline constexpr Core::Duration SilenceLimit{3500};
+inline constexpr Core::Duration ReportTimeout{3500};
 
 /// One endpoint as the entry sees it. The load is as old as the report; the outstanding work is the entry's own and exact.
 struct EndpointView
@@ -21,11 +21,11 @@
     bool m_healthy = false;
     std::vector<Protocol::Attestation> m_attestations;
     Protocol::EndpointLoad m_load;
-    Core::Instant m_lastHeard;
+    Core::Instant m_lastReportTime;
     Core::Instant m_avoidUntil; ///< No new work before this, after a failed call.
     std::uint32_t m_outstanding = 0; ///< Calls of this entry that have not ended.
     std::uint32_t m_outstandingAtReport = 0; ///< m_outstanding when the newest report came: what the reported load already contains.
-    double m_serviceSeconds = 0; ///< Moving average of the time of this entry's calls; 0 before the first.
+    double m_meanCallSeconds = 0; ///< Moving average of the time of this entry's calls; 0 before the first.
     std::uint64_t m_hash = 0; ///< Stable hash of the instance's name, for rendezvous.
 
     bool operator==(const EndpointView &) const = default;
@@ -50,6 +50,6 @@
 double estimatedCost(const EndpointView &endpoint);
 
 /// True if another request would start at once, as far as the entry can tell.
-bool hasRoom(const EndpointView &endpoint);
+bool hasFreeSlot(const EndpointView &endpoint);
 
 }
--- a/Libraries/LibRouting/EndpointTable.cpp
+++ b/Libraries/LibRouting/EndpointTable.cpp
@@ -21,11 +21,11 @@
 
 void EndpointTable::update(const Protocol::AgentReport &report, Core::Instant now)
 {
-    const std::map<std::string, EndpointIndex>::const_iterator it = m_slots.find(report.m_member.m_id);
-    const bool known = it != m_slots.end();
+    const std::map<std::string, EndpointIndex>::const_iterator it = m_indexes.find(report.m_member.m_id);
+    const bool known = it != m_indexes.end();
     const EndpointIndex index = known ? it->second : static_cast<EndpointIndex>(m_endpoints.size());
     if (!known) {
-        m_slots[report.m_member.m_id] = index;
+        m_indexes[report.m_member.m_id] = index;
         m_endpoints.emplace_back();
         m_endpoints[index].m_hash = Core::stableHash(report.m_member.m_id);
     }
@@ -43,7 +43,7 @@
     endpoint.m_healthy = report.m_endpointHealthy;
     endpoint.m_attestations = report.m_attestations;
     endpoint.m_load = report.m_load;
-    endpoint.m_lastHeard = now;
+    endpoint.m_lastReportTime = now;
     endpoint.m_outstandingAtReport = endpoint.m_outstanding;
     if (regroup) {
         rebuildGroups();
@@ -52,19 +52,19 @@
 
 void EndpointTable::remove(const std::string &instance)
 {
-    const std::map<std::string, EndpointIndex>::const_iterator it = m_slots.find(instance);
-    if (it == m_slots.end()) {
+    const std::map<std::string, EndpointIndex>::const_iterator it = m_indexes.find(instance);
+    if (it == m_indexes.end()) {
         return;
     }
     m_endpoints[it->second].m_attestations.clear();
-    suspect(instance);
+    markUnavailable(instance);
     rebuildGroups();
 }
 
-void EndpointTable::suspect(const std::string &instance)
+void EndpointTable::markUnavailable(const std::string &instance)
 {
-    const std::map<std::string, EndpointIndex>::const_iterator it = m_slots.find(instance);
-    if (it == m_slots.end()) {
+    const std::map<std::string, EndpointIndex>::const_iterator it = m_indexes.find(instance);
+    if (it == m_indexes.end()) {
         return;
     }
     EndpointView &endpoint = m_endpoints[it->second];
@@ -74,8 +74,8 @@
 
 const EndpointView *EndpointTable::find(const std::string &instance) const
 {
-    const std::map<std::string, EndpointIndex>::const_iterator it = m_slots.find(instance);
-    return it == m_slots.end() ? nullptr : &m_endpoints[it->second];
+    const std::map<std::string, EndpointIndex>::const_iterator it = m_indexes.find(instance);
+    return it == m_indexes.end() ? nullptr : &m_endpoints[it->second];
 }
 
 std::span<const EndpointIndex> EndpointTable::group(const GroupKey &key) const
@@ -96,12 +96,12 @@
     return countAvailable(GroupKey{service, ""}, now);
 }
 
-void EndpointTable::begin(EndpointIndex index)
+void EndpointTable::onCallStarted(EndpointIndex index)
 {
     m_endpoints[index].m_outstanding += 1;
 }
 
-void EndpointTable::end(EndpointIndex index, const std::string &incarnation, double seconds)
+void EndpointTable::onCallEnded(EndpointIndex index, const std::string &incarnation, double seconds)
 {
     EndpointView &endpoint = m_endpoints[index];
     if (endpoint.m_member.m_incarnation != incarnation) {
@@ -112,7 +112,7 @@
     if (seconds < 0) {
         return;
     }
-    endpoint.m_serviceSeconds = endpoint.m_serviceSeconds == 0 ? seconds : (1 - AverageShare) * endpoint.m_serviceSeconds + AverageShare * seconds;
+    endpoint.m_meanCallSeconds = endpoint.m_meanCallSeconds == 0 ? seconds : (1 - AverageShare) * endpoint.m_meanCallSeconds + AverageShare * seconds;
 }
 
 void EndpointTable::avoid(EndpointIndex index, Core::Instant until)
--- a/Libraries/LibRouting/EndpointTable.h
+++ b/Libraries/LibRouting/EndpointTable.h
@@ -36,7 +36,7 @@
     void remove(const std::string &instance);
 
     /// The stream of reports has ended: the endpoint is not available until the next report.
-    void suspect(const std::string &instance);
+    void markUnavailable(const std::string &instance);
 
     const EndpointView *find(const std::string &instance) const;
     const EndpointView &at(EndpointIndex index) const
@@ -55,9 +55,9 @@
     std::size_t countServiceAvailable(const std::string &service, Core::Instant now) const;
 
     /// A call of this entry starts at the endpoint.
-    void begin(EndpointIndex index);
+    void onCallStarted(EndpointIndex index);
     /// The call has ended. @p seconds is negative if it does not count for the average.
-    void end(EndpointIndex index, const std::string &incarnation, double seconds);
+    void onCallEnded(EndpointIndex index, const std::string &incarnation, double seconds);
     /// Puts the endpoint aside after a failure that says something about it.
     void avoid(EndpointIndex index, Core::Instant until);
 
@@ -65,7 +65,7 @@
     void rebuildGroups();
 
     std::vector<EndpointView> m_endpoints; ///< A slot whose instance is not in m_slots is free and never available.
-    std::map<std::string, EndpointIndex> m_slots; ///< By name of the instance.
+    std::map<std::string, EndpointIndex> m_indexes; ///< By name of the instance.
     std::map<GroupKey, std::vector<EndpointIndex>> m_groups;
 };
 
--- a/Libraries/LibRouting/FairQueue.cpp
+++ b/Libraries/LibRouting/FairQueue.cpp
@@ -11,7 +11,7 @@
 /// Idle accounts that are remembered for their charges.
 constexpr std::size_t MaximumAccounts = 4096;
 
-double chargeOf(const Waiting &waiting)
+double chargeOf(const QueuedRequest &waiting)
 {
     return waiting.m_cost / std::max(1U, waiting.m_weight);
 }
@@ -23,20 +23,20 @@
 {
 }
 
-bool FairQueue::push(Waiting waiting)
+bool FairQueue::push(QueuedRequest waiting)
 {
     Account &account = m_accounts[waiting.m_account];
-    if (account.m_waiting.size() >= m_maximumPerAccount) {
+    if (account.m_requests.size() >= m_maximumPerAccount) {
         return false;
     }
-    if (account.m_waiting.empty()) {
+    if (account.m_requests.empty()) {
         account.m_nextStart = std::max(account.m_nextStart, m_virtualTime);
     }
     account.m_weight = std::max(1U, waiting.m_weight);
     const std::int32_t priority = waiting.m_priority;
-    const std::deque<Waiting>::const_iterator position =
-        std::find_if(account.m_waiting.begin(), account.m_waiting.end(), [priority](const Waiting &other) { return other.m_priority < priority; });
-    account.m_waiting.insert(position, std::move(waiting));
+    const std::deque<QueuedRequest>::const_iterator position =
+        std::find_if(account.m_requests.begin(), account.m_requests.end(), [priority](const QueuedRequest &other) { return other.m_priority < priority; });
+    account.m_requests.insert(position, std::move(waiting));
     m_size += 1;
     return true;
 }
@@ -45,49 +45,49 @@
 {
     std::map<std::string, Account>::const_iterator best = m_accounts.end();
     for (std::map<std::string, Account>::const_iterator it = m_accounts.begin(); it != m_accounts.end(); ++it) {
-        if (!it->second.m_waiting.empty() && (best == m_accounts.end() || it->second.m_nextStart < best->second.m_nextStart)) {
+        if (!it->second.m_requests.empty() && (best == m_accounts.end() || it->second.m_nextStart < best->second.m_nextStart)) {
             best = it;
         }
     }
     return best;
 }
 
-const Waiting *FairQueue::front() const
+const QueuedRequest *FairQueue::front() const
 {
     const std::map<std::string, Account>::const_iterator it = nextAccount();
-    return it == m_accounts.end() ? nullptr : &it->second.m_waiting.front();
+    return it == m_accounts.end() ? nullptr : &it->second.m_requests.front();
 }
 
-std::optional<Waiting> FairQueue::pop()
+std::optional<QueuedRequest> FairQueue::pop()
 {
     const std::map<std::string, Account>::const_iterator next = nextAccount();
     if (next == m_accounts.end()) {
         return std::nullopt;
     }
     Account &account = m_accounts[next->first];
-    Waiting waiting = std::move(account.m_waiting.front());
-    account.m_waiting.pop_front();
+    QueuedRequest waiting = std::move(account.m_requests.front());
+    account.m_requests.pop_front();
     m_size -= 1;
     m_virtualTime = std::max(m_virtualTime, account.m_nextStart);
     account.m_nextStart += chargeOf(waiting);
     return waiting;
 }
 
-void FairQueue::charge(const Waiting &started)
+void FairQueue::charge(const QueuedRequest &started)
 {
     Account &account = m_accounts[started.m_account];
     account.m_nextStart = std::max(account.m_nextStart, m_virtualTime) + chargeOf(started);
     if (m_size == 0) {
-        forgetIdleAccounts();
+        removeIdleAccounts();
     }
 }
 
 bool FairQueue::remove(Ticket ticket)
 {
     for (std::pair<const std::string, Account> &entry : m_accounts) {
-        std::deque<Waiting> &waiting = entry.second.m_waiting;
-        const std::deque<Waiting>::const_iterator it =
-            std::find_if(waiting.begin(), waiting.end(), [ticket](const Waiting &candidate) { return candidate.m_ticket == ticket; });
+        std::deque<QueuedRequest> &waiting = entry.second.m_requests;
+        const std::deque<QueuedRequest>::const_iterator it =
+            std::find_if(waiting.begin(), waiting.end(), [ticket](const QueuedRequest &candidate) { return candidate.m_ticket == ticket; });
         if (it != waiting.end()) {
             waiting.erase(it);
             m_size -= 1;
@@ -97,13 +97,13 @@
     return false;
 }
 
-std::vector<Waiting> FairQueue::takeExpired(Core::Instant now)
+std::vector<QueuedRequest> FairQueue::removeExpired(Core::Instant now)
 {
-    std::vector<Waiting> expired;
+    std::vector<QueuedRequest> expired;
     for (std::pair<const std::string, Account> &entry : m_accounts) {
-        std::deque<Waiting> &waiting = entry.second.m_waiting;
-        const std::deque<Waiting>::iterator first =
-            std::stable_partition(waiting.begin(), waiting.end(), [now](const Waiting &candidate) { return now < candidate.m_deadline; });
+        std::deque<QueuedRequest> &waiting = entry.second.m_requests;
+        const std::deque<QueuedRequest>::iterator first =
+            std::stable_partition(waiting.begin(), waiting.end(), [now](const QueuedRequest &candidate) { return now < candidate.m_deadline; });
         std::move(first, waiting.end(), std::back_inserter(expired));
         waiting.erase(first, waiting.end());
     }
@@ -120,7 +120,7 @@
             continue;
         }
         const double share = (own + 1) * entry.second.m_weight / std::max(1U, weight);
-        ahead += std::min(static_cast<double>(entry.second.m_waiting.size()), share);
+        ahead += std::min(static_cast<double>(entry.second.m_requests.size()), share);
     }
     return ahead;
 }
@@ -128,10 +128,10 @@
 std::size_t FairQueue::sizeOf(const std::string &account) const
 {
     const std::map<std::string, Account>::const_iterator it = m_accounts.find(account);
-    return it == m_accounts.end() ? 0 : it->second.m_waiting.size();
+    return it == m_accounts.end() ? 0 : it->second.m_requests.size();
 }
 
-void FairQueue::forgetIdleAccounts()
+void FairQueue::removeIdleAccounts()
 {
     if (m_accounts.size() <= MaximumAccounts) {
         return;
--- a/Libraries/LibRouting/FairQueue.h
+++ b/Libraries/LibRouting/FairQueue.h
@@ -15,7 +15,7 @@
 using Ticket = std::uint64_t;
 
 /// A request in the queue.
-struct Waiting
+struct QueuedRequest
 {
     Ticket m_ticket = 0;
     std::string m_account;
@@ -24,7 +24,7 @@
     double m_cost = 1; ///< Work that the request asks for, in any unit that is the same for all.
     Core::Instant m_deadline;
 
-    bool operator==(const Waiting &) const = default;
+    bool operator==(const QueuedRequest &) const = default;
 };
 
 /**
@@ -40,17 +40,17 @@
     explicit FairQueue(std::size_t maximumPerAccount);
 
     /// False if the account's queue is full.
-    bool push(Waiting waiting);
+    bool push(QueuedRequest waiting);
     /// The next request whose turn it is; it stays in the queue.
-    const Waiting *front() const;
+    const QueuedRequest *front() const;
     /// Takes front() out and charges its account.
-    std::optional<Waiting> pop();
+    std::optional<QueuedRequest> pop();
     /// Charges an account for work that did not have to wait.
-    void charge(const Waiting &started);
+    void charge(const QueuedRequest &started);
     /// Takes one request out without charge; false if it is not here.
     bool remove(Ticket ticket);
     /// Takes out every request whose deadline has passed.
-    std::vector<Waiting> takeExpired(Core::Instant now);
+    std::vector<QueuedRequest> removeExpired(Core::Instant now);
 
     std::size_t size() const
     {
@@ -65,12 +65,12 @@
     {
         std::uint32_t m_weight = 1; ///< Of its newest request.
         double m_nextStart = 0; ///< Virtual time at which its next request may start.
-        std::deque<Waiting> m_waiting; ///< By falling priority, then by arrival; at most m_maximumPerAccount.
+        std::deque<QueuedRequest> m_requests; ///< By falling priority, then by arrival; at most m_maximumPerAccount.
     };
 
     /// The account whose turn it is.
     std::map<std::string, Account>::const_iterator nextAccount() const;
-    void forgetIdleAccounts();
+    void removeIdleAccounts();
 
     std::size_t m_maximumPerAccount;
     double m_virtualTime = 0; ///< Start time of the request that went last; never falls.
--- a/Libraries/LibRouting/Pick.cpp
+++ b/Libraries/LibRouting/Pick.cpp
@@ -33,7 +33,7 @@
     if (!isEligible(endpoint, choice.m_group.m_digest, choice.m_now)) {
         return false;
     }
-    if (choice.m_request.m_needsRoom && !hasRoom(endpoint)) {
+    if (choice.m_request.m_needsFreeSlot && !hasFreeSlot(endpoint)) {
         return false;
     }
     const std::span<const std::string> excluded = choice.m_request.m_excluded;
@@ -81,7 +81,7 @@
 
 std::optional<EndpointIndex> pickFastestFree(const Choice &choice, Core::Random &random)
 {
-    return cheapest(choice, random, [](const EndpointView &endpoint) { return endpoint.m_serviceSeconds; });
+    return cheapest(choice, random, [](const EndpointView &endpoint) { return endpoint.m_meanCallSeconds; });
 }
 
 /// Samples until two members may take the request. Falls back to a look at all, so that the last endpoint with room is found too.
@@ -123,7 +123,7 @@
             continue;
         }
         requests += estimatedRequests(endpoint);
-        seconds += endpoint.m_serviceSeconds;
+        seconds += endpoint.m_meanCallSeconds;
         available += 1;
         capacity += std::max(1U, endpoint.m_load.m_capacity);
         const std::uint64_t weight = affinityWeight(choice.m_request.m_affinity, endpoint.m_hash);
@@ -138,13 +138,13 @@
     const EndpointView &endpoint = choice.m_table.at(*owner);
     const double bound = (1 + AffinitySlack) * static_cast<double>(requests + 1) / static_cast<double>(capacity);
     const bool withinBound = estimatedRequests(endpoint) == 0 || estimatedLoad(endpoint) <= bound;
-    const bool isSlow = endpoint.m_serviceSeconds > SlowFactor * seconds / static_cast<double>(available);
+    const bool isSlow = endpoint.m_meanCallSeconds > SlowFactor * seconds / static_cast<double>(available);
     return withinBound && !isSlow ? owner : pickOfTwo(choice, random);
 }
 
 }
 
-bool waitsForRoom(Strategy strategy)
+bool waitsForFreeSlot(Strategy strategy)
 {
     return strategy != Strategy::Random && strategy != Strategy::LeastReportedLoad;
 }
--- a/Libraries/LibRouting/Pick.h
+++ b/Libraries/LibRouting/Pick.h
@@ -17,14 +17,14 @@
 };
 
 /// Whether requests wait at the entry until an endpoint has room. The baselines that look at reports only cannot tell, and send at once.
-bool waitsForRoom(Strategy strategy);
+bool waitsForFreeSlot(Strategy strategy);
 
 /// What the choice depends on besides the endpoints.
 struct SelectionRequest
 {
     std::uint64_t m_affinity = 0; ///< Hash of client account and prompt prefix; 0 if there is none.
     std::span<const std::string> m_excluded; ///< Instances that this request has failed at.
-    bool m_needsRoom = true; ///< Pass over endpoints at which the request would have to wait.
+    bool m_needsFreeSlot = true; ///< Pass over endpoints at which the request would have to wait.
 };
 
 /// An endpoint of the group that may take the request now; empty if there is none.
--- a/Libraries/LibRouting/Scheduler.cpp
+++ b/Libraries/LibRouting/Scheduler.cpp
@@ -23,17 +23,17 @@
 {
 }
 
-Scheduler::Group &Scheduler::groupOf(const GroupKey &key)
+Scheduler::Group &Scheduler::findOrCreateGroup(const GroupKey &key)
 {
     const std::map<GroupKey, Group>::iterator it = m_groups.find(key);
     if (it != m_groups.end()) {
         return it->second;
     }
-    forgetIdleGroups();
+    removeIdleGroups();
     return m_groups.emplace(key, Group{FairQueue(m_settings.m_queuePerAccount), {}, 0, 0}).first->second;
 }
 
-void Scheduler::forgetIdleGroups()
+void Scheduler::removeIdleGroups()
 {
     if (m_groups.size() < MaximumGroups) {
         return;
@@ -43,15 +43,15 @@
 
 std::optional<Granted> Scheduler::tryGrant(const Submission &submission, Core::Instant now)
 {
-    const SelectionRequest request{submission.m_affinity, submission.m_excluded, waitsForRoom(m_settings.m_strategy)};
+    const SelectionRequest request{submission.m_affinity, submission.m_excluded, waitsForFreeSlot(m_settings.m_strategy)};
     const std::optional<EndpointIndex> index = selectEndpoint(m_settings.m_strategy, m_table, submission.m_group, request, now, m_random);
     if (!index) {
         return std::nullopt;
     }
-    m_table.begin(*index);
+    m_table.onCallStarted(*index);
     const EndpointView &endpoint = m_table.at(*index);
     m_runningGroups[submission.m_request.m_ticket] = submission.m_group;
-    groupOf(submission.m_group).m_running += 1;
+    findOrCreateGroup(submission.m_group).m_running += 1;
     return Granted{submission.m_request.m_ticket, *index, endpoint.m_member, endpoint.m_sequence};
 }
 
@@ -61,7 +61,7 @@
     if (submission.m_excluded.empty()) {
         m_retryBudget.onRequest();
     }
-    Group &group = groupOf(submission.m_group);
+    Group &group = findOrCreateGroup(submission.m_group);
     if (!hasCandidate(submission, now)) {
         return Refused{ticket, RefusalReason::NoEndpoint, m_settings.m_minimumRetryAfter};
     }
@@ -73,7 +73,7 @@
         }
     }
     const double ahead = group.m_queue.requestsAhead(submission.m_request.m_account, submission.m_request.m_weight);
-    if (now + expectedWait(group, ahead) + expectedCall(group) >= submission.m_request.m_deadline) {
+    if (now + expectedWait(group, ahead) + expectedCallTime(group) >= submission.m_request.m_deadline) {
         return Refused{ticket, RefusalReason::TooLate, retryAfter(submission.m_group)};
     }
     if (!group.m_queue.push(submission.m_request)) {
@@ -97,7 +97,7 @@
 void Scheduler::finish(const Granted &granted, CallResult result, Core::Instant started, Core::Instant now)
 {
     const double seconds = Core::secondsBetween(started, now);
-    m_table.end(granted.m_endpoint, granted.m_member.m_incarnation, result == CallResult::Answered ? seconds : -1);
+    m_table.onCallEnded(granted.m_endpoint, granted.m_member.m_incarnation, result == CallResult::Answered ? seconds : -1);
     if (result == CallResult::Failed) {
         m_table.avoid(granted.m_endpoint, now + m_settings.m_avoidAfterFailure);
     }
@@ -105,15 +105,15 @@
     if (it == m_runningGroups.end()) {
         return;
     }
-    Group &group = groupOf(it->second);
+    Group &group = findOrCreateGroup(it->second);
     group.m_running -= std::min<std::size_t>(1, group.m_running);
     if (result == CallResult::Answered) {
-        group.m_callSeconds = group.m_callSeconds == 0 ? seconds : (1 - AverageShare) * group.m_callSeconds + AverageShare * seconds;
+        group.m_meanCallSeconds = group.m_meanCallSeconds == 0 ? seconds : (1 - AverageShare) * group.m_meanCallSeconds + AverageShare * seconds;
     }
     m_runningGroups.erase(it);
 }
 
-void Scheduler::withdraw(Ticket ticket)
+void Scheduler::cancel(Ticket ticket)
 {
     for (std::pair<const GroupKey, Group> &entry : m_groups) {
         if (entry.second.m_submissions.erase(ticket) > 0) {
@@ -142,7 +142,7 @@
 
 void Scheduler::refuseExpired(const GroupKey &key, Group &group, Core::Instant now, std::vector<Resolution> &resolutions)
 {
-    for (const Waiting &waiting : group.m_queue.takeExpired(now)) {
+    for (const QueuedRequest &waiting : group.m_queue.removeExpired(now)) {
         group.m_submissions.erase(waiting.m_ticket);
         resolutions.push_back(Refused{waiting.m_ticket, RefusalReason::TooLate, retryAfter(key)});
     }
@@ -150,7 +150,7 @@
 
 void Scheduler::refuseAll(const GroupKey &key, Group &group, std::vector<Resolution> &resolutions)
 {
-    while (const std::optional<Waiting> waiting = group.m_queue.pop()) {
+    while (const std::optional<QueuedRequest> waiting = group.m_queue.pop()) {
         group.m_submissions.erase(waiting->m_ticket);
         resolutions.push_back(Refused{waiting->m_ticket, RefusalReason::NoEndpoint, retryAfter(key)});
     }
@@ -158,7 +158,7 @@
 
 void Scheduler::grantWaiting(Group &group, Core::Instant now, std::vector<Resolution> &resolutions)
 {
-    while (const Waiting *front = group.m_queue.front()) {
+    while (const QueuedRequest *front = group.m_queue.front()) {
         const Ticket ticket = front->m_ticket;
         const std::optional<Granted> granted = tryGrant(group.m_submissions.at(ticket), now);
         if (!granted) {
@@ -175,13 +175,13 @@
     if (group.m_running == 0) {
         return Core::Duration(0);
     }
-    const double seconds = group.m_callSeconds * ahead / static_cast<double>(group.m_running);
+    const double seconds = group.m_meanCallSeconds * ahead / static_cast<double>(group.m_running);
     return Core::Duration(static_cast<std::int64_t>(seconds * 1000));
 }
 
-Core::Duration Scheduler::expectedCall(const Group &group)
+Core::Duration Scheduler::expectedCallTime(const Group &group)
 {
-    return Core::Duration(static_cast<std::int64_t>(CallMargin * group.m_callSeconds * 1000));
+    return Core::Duration(static_cast<std::int64_t>(CallMargin * group.m_meanCallSeconds * 1000));
 }
 
 Core::Duration Scheduler::retryAfter(const GroupKey &key) const
--- a/Libraries/LibRouting/Scheduler.h
+++ b/Libraries/LibRouting/Scheduler.h
@@ -29,7 +29,7 @@
 /// A request that wants an endpoint.
 struct Submission
 {
-    Waiting m_request;
+    QueuedRequest m_request;
     GroupKey m_group;
     std::uint64_t m_affinity = 0;
     std::vector<std::string> m_excluded; ///< Instances at which the request has failed.
@@ -43,7 +43,7 @@
     Ticket m_ticket = 0;
     EndpointIndex m_endpoint = 0;
     Protocol::Member m_member; ///< As known when it was granted.
-    std::uint64_t m_report = 0; ///< Newest report of the agent that the choice rests on.
+    std::uint64_t m_reportSequence = 0; ///< Newest report of the agent that the choice rests on.
 
     bool operator==(const Granted &) const = default;
 };
@@ -110,7 +110,7 @@
     /// A granted call has ended.
     void finish(const Granted &granted, CallResult result, Core::Instant started, Core::Instant now);
     /// The request is no longer wanted. Does nothing unless it waits in the queue.
-    void withdraw(Ticket ticket);
+    void cancel(Ticket ticket);
     /// Grants and refusals of queued requests; to be called after finish(), after reports, and now and then for deadlines.
     std::vector<Resolution> poll(Core::Instant now);
 
@@ -128,11 +128,11 @@
     {
         FairQueue m_queue;
         std::map<Ticket, Submission> m_submissions; ///< Of the requests in m_queue.
-        double m_callSeconds = 0; ///< Moving average of the time of the group's calls; 0 before the first.
+        double m_meanCallSeconds = 0; ///< Moving average of the time of the group's calls; 0 before the first.
         std::size_t m_running = 0; ///< Granted and not finished.
     };
 
-    Group &groupOf(const GroupKey &key);
+    Group &findOrCreateGroup(const GroupKey &key);
     /// Whether any endpoint could take the request, now or once it has room.
     bool hasCandidate(const Submission &submission, Core::Instant now) const;
     std::optional<Granted> tryGrant(const Submission &submission, Core::Instant now);
@@ -141,8 +141,8 @@
     void grantWaiting(Group &group, Core::Instant now, std::vector<Resolution> &resolutions);
     /// Time until @p ahead requests have started, at the rate of the moment.
     Core::Duration expectedWait(const Group &group, double ahead) const;
-    static Core::Duration expectedCall(const Group &group);
-    void forgetIdleGroups();
+    static Core::Duration expectedCallTime(const Group &group);
+    void removeIdleGroups();
 
     const SchedulerSettings m_settings;
     Core::Random m_random;
--- a/Libraries/LibRouting/VersionChoice.cpp
+++ b/Libraries/LibRouting/VersionChoice.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::size_t replicasToSwitch(const VersionSituation &situation)
+std::size_t replicasToSwitch(const RolloutState &situation)
 {
     const std::size_t reachable = std::min<std::size_t>(situation.m_wantedReplicas, std::max<std::size_t>(1, situation.m_watched));
     const std::size_t share = static_cast<std::size_t>(std::ceil(SwitchShare * static_cast<double>(reachable)));
@@ -18,19 +18,19 @@
 
 }
 
-std::string chooseVersion(const VersionSituation &situation)
+std::string chooseVersion(const RolloutState &situation)
 {
-    const bool previousServes = !situation.m_previous.empty() && situation.m_previousServing > 0;
+    const bool previousServes = !situation.m_previousDigest.empty() && situation.m_previousServing > 0;
     if (situation.m_wantedServing >= replicasToSwitch(situation)) {
-        return situation.m_wanted;
+        return situation.m_wantedDigest;
     }
     if (situation.m_switched && situation.m_wantedServing > 0) {
-        return situation.m_wanted;
+        return situation.m_wantedDigest;
     }
     if (previousServes) {
-        return situation.m_previous;
+        return situation.m_previousDigest;
     }
-    return situation.m_wantedServing > 0 ? situation.m_wanted : std::string();
+    return situation.m_wantedServing > 0 ? situation.m_wantedDigest : std::string();
 }
 
 }
--- a/Tests/Agent/Rig.h
+++ b/Tests/Agent/Rig.h
@@ -24,7 +24,7 @@
 constexpr const char *Instance = "hcm-a-m01";
 
 /// Waits for a condition, never for a time; fails the test if it does not come about.
-inline void await(const std::string &what, const std::function<bool()> &condition)
+inline void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
     const Core::Instant deadline = Core::Clock::now() + Patience;
     while (!condition()) {
@@ -298,7 +298,7 @@
             REQUIRE(m_ended.wait_for(Patience) == std::future_status::ready);
             return m_ended.get();
         }
-        bool isWhole()
+        bool isComplete()
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             return !m_frames.empty() && m_frames.back().m_kind == Protocol::AnswerKind::End;
--- a/Tests/Agent/TestModelAgent.cpp
+++ b/Tests/Agent/TestModelAgent.cpp
@@ -84,7 +84,7 @@
     rig.serve(rig.m_old);
     const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5));
     REQUIRE(call->end().m_succeeded);
-    REQUIRE(call->isWhole());
+    REQUIRE(call->isComplete());
     REQUIRE(call->m_frames.size() == 6);
     std::string text;
     for (std::size_t index = 0; index < call->m_frames.size(); ++index) {
@@ -161,7 +161,7 @@
     rig.m_engine.setFaults(R"({"cut_answers_after_tokens":2})");
     const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5));
     REQUIRE(call->end().m_error.m_code == Core::ErrorCode::Ambiguous);
-    REQUIRE_FALSE(call->isWhole());
+    REQUIRE_FALSE(call->isComplete());
 }
 
 TEST_CASE("a cancelled draft stops at the engine")
@@ -216,7 +216,7 @@
     REQUIRE(rig.m_agent->awaitDrained());
     rig.m_agent->stop();
     REQUIRE(call->end().m_succeeded);
-    REQUIRE(call->isWhole());
+    REQUIRE(call->isComplete());
     REQUIRE(call->frames() == LongDraft + 1);
 }
 
@@ -248,5 +248,5 @@
         const Poco::JSON::Array::Ptr ran = Rig::request(rig.m_engine.m_address, "GET", "/journal")->getArray("ran");
         return ran->size() == 1 && !ran->getObject(0)->getValue<bool>("completed");
     });
-    REQUIRE_FALSE(call->isWhole());
+    REQUIRE_FALSE(call->isComplete());
 }
--- a/Tests/Agent/TestOrderDuty.cpp
+++ b/Tests/Agent/TestOrderDuty.cpp
@@ -149,5 +149,6 @@
     const std::shared_ptr<const Weights::HeldVersion> weights = rig.m_host.heldWeights(rig.m_version.m_digest);
     const Endpoint::Order order{Endpoint::OrderKind::Load, rig.m_version.m_digest, rig.m_version.m_manifest.m_contentDigest, 5};
     REQUIRE(client.load(order, *weights, std::make_shared<Endpoint::ExchangeBreaker>()).error().m_code == Core::ErrorCode::Ambiguous);
-    Rig::await("the engine to give up the load", [&rig] { return Rig::request(rig.m_engine.m_address, "GET", "/status")->getArray("models")->size() == 0; });
+    Rig::waitUntil("the engine to give up the load",
+                   [&rig] { return Rig::request(rig.m_engine.m_address, "GET", "/status")->getArray("models")->size() == 0; });
 }
--- a/Tests/Agent/TestPlainAgent.cpp
+++ b/Tests/Agent/TestPlainAgent.cpp
@@ -54,7 +54,7 @@
     const Protocol::LiveRequest request = Rig::booking("b1", "key", "life-1");
     const std::shared_ptr<Caller::Call> call = rig.m_caller->call(request);
     REQUIRE(call->end().m_succeeded);
-    REQUIRE(call->isWhole());
+    REQUIRE(call->isComplete());
     const Protocol::OutcomeAnswer outcome = rig.m_caller->outcome(request);
     REQUIRE(outcome.m_outcome == Outcome::Finished);
     REQUIRE(outcome.m_body == call->m_frames.front().m_data);
--- a/Tests/Agent/TestProgram.cpp
+++ b/Tests/Agent/TestProgram.cpp
@@ -66,7 +66,7 @@
     await("the first tokens", [&call] { return call->frames() > 2; });
     process.value().signal(SIGTERM);
     REQUIRE(call->end().m_succeeded);
-    REQUIRE(call->isWhole());
+    REQUIRE(call->isComplete());
     REQUIRE(call->frames() == 3001);
     REQUIRE(process.value().wait(Rig::Patience) == 0);
     std::filesystem::remove(settings.path() + ".log");
--- a/Tests/Entry/Site.h
+++ b/Tests/Entry/Site.h
@@ -25,7 +25,7 @@
 
 /// Waits for a condition without a limit of its own; ctest's timeout ends a test that hangs.
 template <typename Condition>
-void await(Condition condition)
+void waitUntil(Condition condition)
 {
     while (!condition()) {
         std::this_thread::sleep_for(Core::Duration(5));
@@ -38,7 +38,7 @@
     std::string m_body;
     std::string m_retryAfter;
 
-    bool isWhole() const
+    bool isComplete() const
     {
         return m_body.find("{\"end\":true") != std::string::npos;
     }
@@ -74,7 +74,7 @@
 class FakeAgent
 {
 public:
-    using Conduct = std::function<void(FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &responder)>;
+    using Behavior = std::function<void(FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &responder)>;
 
     FakeAgent(const std::string &id, const std::string &service)
         : m_node(settings(m_address), m_metrics)
@@ -90,7 +90,7 @@
         if (service == ModelService) {
             m_report.m_attestations.push_back(Protocol::Attestation{Digest, 1});
         }
-        m_conduct = [](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &responder) { agent.answer(request, responder); };
+        m_behavior = [](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &responder) { agent.answer(request, responder); };
         m_node.handle("control.watch", [this](const Wire::IncomingCall &call) {
             const std::lock_guard<std::mutex> lock(m_mutex);
             m_watchers.push_back(call.m_responder);
@@ -109,16 +109,16 @@
     }
 
     /// Changes what the agent reports.
-    void change(const std::function<void(Protocol::AgentReport &report)> &change)
+    void changeReport(const std::function<void(Protocol::AgentReport &report)> &change)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         change(m_report);
     }
 
-    void setConduct(Conduct conduct)
+    void setBehavior(Behavior conduct)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_conduct = std::move(conduct);
+        m_behavior = std::move(conduct);
     }
 
     void setOutcomeReachable(bool reachable)
@@ -157,7 +157,7 @@
         m_gate.finish(request.m_attempt, 200, "red linen frames");
     }
 
-    void lose(const Protocol::LiveRequest &request)
+    void runAndLoseOutcome(const Protocol::LiveRequest &request)
     {
         m_effects += 1;
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -193,10 +193,10 @@
     {
         const Protocol::LiveRequest request = Wire::unpack<Protocol::LiveRequest>(call.m_body, call.m_peer).value();
         m_calls += 1;
-        Conduct conduct;
+        Behavior conduct;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            conduct = m_conduct;
+            conduct = m_behavior;
             const Endpoint::AttemptTag tag{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
             const Endpoint::Admission admission = m_gate.admit(tag);
             if (!request.m_repeatable && admission != Endpoint::Admission::Admitted) {
@@ -240,7 +240,7 @@
     Endpoint::AttemptGate m_gate;
     Protocol::AgentReport m_report;
     std::vector<Wire::Responder> m_watchers;
-    Conduct m_conduct;
+    Behavior m_behavior;
     std::atomic<bool> m_outcomeReachable = true;
     std::atomic<bool> m_stopping = false;
     std::atomic<int> m_effects = 0;
@@ -271,7 +271,7 @@
         return m_address;
     }
 
-    void list(const Protocol::Member &member)
+    void registerAgent(const Protocol::Member &member)
     {
         const std::string body = R"({"address":")" + member.m_wire.toString() + R"(","role":"agent","service":")" + member.m_service
             + R"(","region":"r","failure_domain":"f","state":"live"})";
@@ -284,7 +284,7 @@
     }
 
     /// Puts a template in force whose account "sao-mai" wants the digest.
-    void publish(Control::Offset basedOn = 0, const std::string &digest = Digest)
+    void publishTemplate(Control::Offset basedOn = 0, const std::string &digest = Digest)
     {
         Control::PublishTemplate change;
         change.m_basedOn = basedOn;
@@ -375,10 +375,10 @@
     }
 
     /// A fresh key; waits until this entry hands out epochs.
-    std::string freshKey(const std::string &text) const
+    std::string newKey(const std::string &text) const
     {
         std::string epoch;
-        await([this, &epoch] {
+        waitUntil([this, &epoch] {
             const Poco::JSON::Object::Ptr answer = Poco::JSON::Parser().parse(addresses()).extract<Poco::JSON::Object::Ptr>();
             epoch = answer->getValue<std::string>("key_epoch");
             return !epoch.empty();
@@ -387,7 +387,7 @@
     }
 
     /// Whether the entry's dump calls this many endpoints available.
-    bool sees(std::size_t available) const
+    bool hasAvailableEndpoints(std::size_t available) const
     {
         const std::string dump = send(member().m_admin, "GET", "/dump", "").m_body;
         std::size_t count = 0;
--- a/Tests/Entry/TestAnswers.cpp
+++ b/Tests/Entry/TestAnswers.cpp
@@ -15,16 +15,16 @@
 
     Pair()
     {
-        m_platform.publish();
-        m_platform.list(m_first.member());
-        m_platform.list(m_second.member());
-        await([this] { return m_entry.sees(2); });
+        m_platform.publishTemplate();
+        m_platform.registerAgent(m_first.member());
+        m_platform.registerAgent(m_second.member());
+        waitUntil([this] { return m_entry.hasAvailableEndpoints(2); });
     }
 
-    void setConduct(const FakeAgent::Conduct &conduct)
+    void setConduct(const FakeAgent::Behavior &conduct)
     {
-        m_first.setConduct(conduct);
-        m_second.setConduct(conduct);
+        m_first.setBehavior(conduct);
+        m_second.setBehavior(conduct);
     }
 
     int calls() const
@@ -34,7 +34,7 @@
 };
 
 /// Sends the frames of a whole answer after a change to them, and finishes the stream as if all were well.
-FakeAgent::Conduct changedAnswer(const std::function<void(std::vector<Protocol::AnswerFrame> &frames)> &change)
+FakeAgent::Behavior changedAnswer(const std::function<void(std::vector<Protocol::AnswerFrame> &frames)> &change)
 {
     return [change](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
         std::vector<Protocol::AnswerFrame> frames = FakeAgent::frames(request);
@@ -54,7 +54,7 @@
     const HttpReply reply = pair.m_entry.generate();
     REQUIRE(reply.m_status == 200);
     REQUIRE(reply.m_body.starts_with("{\"version\":\"7\",\"digest\":\"" + Digest + "\"}\n{\"token\":\"red \"}\n"));
-    REQUIRE(reply.isWhole());
+    REQUIRE(reply.isComplete());
 }
 
 TEST_CASE("an answer with crossed, doubled or missing frames never looks whole")
@@ -83,7 +83,7 @@
     }
     const HttpReply reply = pair.m_entry.generate();
     REQUIRE(reply.m_status == 200);
-    REQUIRE_FALSE(reply.isWhole());
+    REQUIRE_FALSE(reply.isComplete());
     REQUIRE(reply.m_body.find("\"code\":\"outcome-unknown\"") != std::string::npos);
 }
 
@@ -92,9 +92,9 @@
     // An engine names another version than its agent attests. The analyst would get a draft of weights that the account has not accepted.
     Pair pair;
     // One prompt keeps to one endpoint: that one is made to misbehave.
-    REQUIRE(pair.m_entry.generate().isWhole());
+    REQUIRE(pair.m_entry.generate().isComplete());
     FakeAgent &owner = pair.m_first.calls() > 0 ? pair.m_first : pair.m_second;
-    owner.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) {
+    owner.setBehavior(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) {
         for (Protocol::AnswerFrame &frame : frames) {
             frame.m_version = OtherDigest;
             frame.m_data = "wrong";
@@ -102,7 +102,7 @@
     }));
     for (int request = 0; request < 6; ++request) {
         const HttpReply reply = pair.m_entry.generate();
-        REQUIRE(reply.isWhole());
+        REQUIRE(reply.isComplete());
         REQUIRE(reply.m_body.find("wrong") == std::string::npos);
     }
     REQUIRE(owner.calls() > 1);
@@ -111,13 +111,13 @@
 TEST_CASE("an endpoint that refuses is replaced by another, within the retry budget")
 {
     Pair pair;
-    pair.m_first.setConduct([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    pair.m_first.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         responder.fail(Core::makeError(Core::ErrorCode::Unavailable, "admit attempt", "", "leaving"));
     });
     for (int request = 0; request < 6; ++request) {
-        REQUIRE(pair.m_entry.generate().isWhole());
+        REQUIRE(pair.m_entry.generate().isComplete());
     }
-    pair.m_second.setConduct([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    pair.m_second.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "generate", "", "full"));
     });
     const HttpReply refused = pair.m_entry.generate();
@@ -132,31 +132,31 @@
     Pair pair;
     std::promise<Wire::Responder> started;
     std::promise<Protocol::LiveRequest> asked;
-    pair.m_first.setConduct([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
+    pair.m_first.setBehavior([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
         asked.set_value(request);
         started.set_value(responder);
     });
-    pair.m_second.change([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
-    await([&pair] { return pair.m_entry.sees(1); });
+    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
+    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
     std::future<HttpReply> running = std::async(std::launch::async, [&pair] { return pair.m_entry.generate(); });
     const Wire::Responder responder = started.get_future().get();
-    pair.m_first.change([](Protocol::AgentReport &report) { report.m_member.m_leaving = true; });
-    await([&pair] { return pair.m_entry.sees(0); });
-    pair.m_second.change([](Protocol::AgentReport &report) { report.m_endpointHealthy = true; });
-    await([&pair] { return pair.m_entry.sees(1); });
+    pair.m_first.changeReport([](Protocol::AgentReport &report) { report.m_member.m_leaving = true; });
+    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(0); });
+    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = true; });
+    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
     for (int request = 0; request < 10; ++request) {
-        REQUIRE(pair.m_entry.generate().isWhole());
+        REQUIRE(pair.m_entry.generate().isComplete());
     }
     REQUIRE(pair.m_first.calls() == 1);
     pair.m_first.answer(asked.get_future().get(), responder);
-    REQUIRE(running.get().isWhole());
+    REQUIRE(running.get().isComplete());
 }
 
 TEST_CASE("overload is answered at once with a time to come back")
 {
     // Every engine is busy and the account's queue is full. The next caller must not wait for its deadline to learn that.
     Pair pair;
-    const FakeAgent::Conduct hang = [](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    const FakeAgent::Behavior hang = [](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         static std::mutex mutex;
         static std::vector<Wire::Responder> held;
         const std::lock_guard<std::mutex> lock(mutex);
@@ -167,7 +167,7 @@
     for (int request = 0; request < 16 + 64; ++request) {
         held.push_back(std::async(std::launch::async, [&pair] { return pair.m_entry.generate({{"Oriolerail-Timeout-Ms", "3000"}}); }));
     }
-    await([&pair] { return send(pair.m_entry.member().m_admin, "GET", "/metrics", "").m_body.find("routing_queued 64") != std::string::npos; });
+    waitUntil([&pair] { return send(pair.m_entry.member().m_admin, "GET", "/metrics", "").m_body.find("routing_queued 64") != std::string::npos; });
     const HttpReply refused = pair.m_entry.generate();
     REQUIRE(refused.m_status == 429);
     REQUIRE(refused.code() == "not-run");
@@ -183,9 +183,9 @@
     // A buyer closes the window. The engine would go on writing for nobody, and everyone behind would wait for it.
     Pair pair;
     std::promise<Wire::Responder> started;
-    pair.m_first.setConduct([&started](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) { started.set_value(responder); });
-    pair.m_second.change([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
-    await([&pair] { return pair.m_entry.sees(1); });
+    pair.m_first.setBehavior([&started](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) { started.set_value(responder); });
+    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
+    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
     const Core::Address &callers = pair.m_entry.member().m_callers;
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(callers.m_host, callers.m_port));
     const std::string body = R"({"account":"sao-mai","template":"season","prompt":"moodboard"})";
@@ -194,7 +194,7 @@
     const Wire::Responder responder = started.get_future().get();
     REQUIRE_FALSE(responder.isCancelled());
     socket.close();
-    await([&responder] { return responder.isCancelled(); });
+    waitUntil([&responder] { return responder.isCancelled(); });
 }
 
 TEST_CASE("a request without an answer ends at its deadline, and the agent is told the time that is left")
@@ -209,7 +209,7 @@
     const HttpReply reply = pair.m_entry.generate({{"Oriolerail-Timeout-Ms", "300"}});
     REQUIRE(reply.m_status == 504);
     REQUIRE(reply.code() == "timeout");
-    await([&held, &mutex] {
+    waitUntil([&held, &mutex] {
         const std::lock_guard<std::mutex> lock(mutex);
         return held.size() == 1 && held[0].isCancelled();
     });
@@ -244,7 +244,7 @@
 {
     // It sends a byte now and then, so that every single read succeeds. A few hundred like it would hold every thread of the entry.
     FakePlatform platform;
-    TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_requestTime = Core::Duration(400); });
+    TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_requestTimeout = Core::Duration(400); });
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(entry.member().m_callers.m_host, entry.member().m_callers.m_port));
     bool cut = false;
     const std::string text = "POST /v1/generate HTTP/1.1\r\nHost: x\r\nX-Long: " + std::string(100000, 'x');
@@ -262,7 +262,7 @@
 TEST_CASE("connections over the limit are told at once to come back")
 {
     FakePlatform platform;
-    TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_connections = 2; });
+    TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_maximumConnections = 2; });
     const Poco::Net::SocketAddress address(entry.member().m_callers.m_host, entry.member().m_callers.m_port);
     const Poco::Net::StreamSocket first(address);
     const Poco::Net::StreamSocket second(address);
--- a/Tests/Entry/TestKeyedCalls.cpp
+++ b/Tests/Entry/TestKeyedCalls.cpp
@@ -15,11 +15,11 @@
 
     Desk()
     {
-        m_platform.publish();
-        m_platform.list(m_agent.member());
-        await([this] { return m_first.sees(1) && m_second.sees(1); });
+        m_platform.publishTemplate();
+        m_platform.registerAgent(m_agent.member());
+        waitUntil([this] { return m_first.hasAvailableEndpoints(1) && m_second.hasAvailableEndpoints(1); });
         // Each must know the other, so that both name the same writers.
-        await([this] { return knowsOther(m_first, m_second) && knowsOther(m_second, m_first); });
+        waitUntil([this] { return knowsOther(m_first, m_second) && knowsOther(m_second, m_first); });
     }
 
     static bool knowsOther(const TestEntry &entry, const TestEntry &other)
@@ -33,13 +33,13 @@
 TEST_CASE("a keyed call runs once, and its key gives the first outcome through either entry")
 {
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
+    const std::string key = desk.m_first.newKey("crew-7");
     const HttpReply reply = desk.m_first.keyedCall(key);
     REQUIRE(reply.m_status == 200);
     REQUIRE(desk.m_second.keyedCall(key).m_body == reply.m_body);
     REQUIRE(desk.m_first.keyedCall(key).m_body == reply.m_body);
     REQUIRE(desk.m_agent.effects() == 1);
-    REQUIRE(desk.m_first.keyedCall(desk.m_first.freshKey("crew-8")).m_status == 200);
+    REQUIRE(desk.m_first.keyedCall(desk.m_first.newKey("crew-8")).m_status == 200);
     REQUIRE(desk.m_agent.effects() == 2);
 }
 
@@ -48,7 +48,7 @@
     // A booking application loses patience and sends the same confirmation through a second address. Two crews would come.
     Desk desk;
     for (int round = 0; round < 5; ++round) {
-        const std::string key = desk.m_first.freshKey("crew-" + std::to_string(round));
+        const std::string key = desk.m_first.newKey("crew-" + std::to_string(round));
         std::future<HttpReply> other = std::async(std::launch::async, [&desk, &key] { return desk.m_second.keyedCall(key); });
         const HttpReply reply = desk.m_first.keyedCall(key);
         const HttpReply otherReply = other.get();
@@ -66,8 +66,8 @@
 {
     // The booking was made and the connection broke before the answer came. Sent again it would be made twice.
     Desk desk;
-    desk.m_agent.setConduct([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.run(request); });
-    const HttpReply reply = desk.m_first.keyedCall(desk.m_first.freshKey("crew-7"));
+    desk.m_agent.setBehavior([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.run(request); });
+    const HttpReply reply = desk.m_first.keyedCall(desk.m_first.newKey("crew-7"));
     REQUIRE(reply.m_status == 200);
     REQUIRE(reply.m_body == "red linen frames");
     REQUIRE(desk.m_agent.effects() == 1);
@@ -77,14 +77,14 @@
 TEST_CASE("an outcome that nobody knows is called unknown, and the call is not repeated")
 {
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
+    const std::string key = desk.m_first.newKey("crew-7");
     SECTION("the endpoint's answer was lost at the agent")
     {
-        desk.m_agent.setConduct([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.lose(request); });
+        desk.m_agent.setBehavior([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.runAndLoseOutcome(request); });
     }
     SECTION("the agent is out of reach")
     {
-        desk.m_agent.setConduct([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.run(request); });
+        desk.m_agent.setBehavior([](FakeAgent &agent, const Protocol::LiveRequest &request, const Wire::Responder &) { agent.run(request); });
         desk.m_agent.setOutcomeReachable(false);
     }
     const HttpReply reply = desk.m_first.keyedCall(key);
@@ -100,8 +100,8 @@
 {
     // The agent is full or leaving. The caller is told to come back, comes back with the same key, and must be served.
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
-    desk.m_agent.setConduct([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    const std::string key = desk.m_first.newKey("crew-7");
+    desk.m_agent.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "queue attempt", "", "full"));
     });
     const HttpReply refused = desk.m_first.keyedCall(key);
@@ -114,7 +114,7 @@
 TEST_CASE("while the log is down a keyed call is refused at once as not run, and it does not run")
 {
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
+    const std::string key = desk.m_first.newKey("crew-7");
     desk.m_platform.setFaults(R"({"down":true})");
     const HttpReply refused = desk.m_first.keyedCall(key);
     REQUIRE(refused.m_status == 503);
@@ -123,14 +123,14 @@
     REQUIRE(desk.m_agent.calls() == 0);
     REQUIRE(desk.m_first.call().m_status == 200);
     desk.m_platform.setFaults(R"({"down":false})");
-    await([&desk, &key] { return desk.m_first.keyedCall(key).m_status == 200; });
+    waitUntil([&desk, &key] { return desk.m_first.keyedCall(key).m_status == 200; });
     REQUIRE(desk.m_agent.effects() == 2);
 }
 
 TEST_CASE("lost answers of the log delay a keyed call and do not double it")
 {
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
+    const std::string key = desk.m_first.newKey("crew-7");
     desk.m_platform.setFaults(R"({"lose_answers":true})");
     HttpReply reply = desk.m_first.keyedCall(key);
     while (reply.m_status == 503) {
@@ -143,15 +143,15 @@
 TEST_CASE("a key older than the claims that are kept is refused")
 {
     FakePlatform platform;
-    platform.publish();
+    platform.publishTemplate();
     FakeAgent agent("portal-1", PlainService);
-    platform.list(agent.member());
+    platform.registerAgent(agent.member());
     TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_claims.m_window = 16; });
-    await([&entry] { return entry.sees(1); });
-    const std::string old = entry.freshKey("old");
+    waitUntil([&entry] { return entry.hasAvailableEndpoints(1); });
+    const std::string old = entry.newKey("old");
     REQUIRE(entry.keyedCall(old).m_status == 200);
     for (int call = 0; call < 20; ++call) {
-        REQUIRE(entry.keyedCall(entry.freshKey("new-" + std::to_string(call))).m_status == 200);
+        REQUIRE(entry.keyedCall(entry.newKey("new-" + std::to_string(call))).m_status == 200);
     }
     const HttpReply refused = entry.keyedCall(old);
     REQUIRE(refused.m_status == 410);
@@ -162,7 +162,7 @@
 TEST_CASE("keys of two accounts don't meet")
 {
     Desk desk;
-    const std::string key = desk.m_first.freshKey("crew-7");
+    const std::string key = desk.m_first.newKey("crew-7");
     REQUIRE(desk.m_first.keyedCall(key).m_status == 200);
     const std::string path = std::string("/v1/call/") + PlainService + "/crew/confirm";
     REQUIRE(send(desk.m_first.member().m_callers, "POST", path, "{}", {{"Oriolerail-Account", "accrochage"}, {"Idempotency-Key", key}}).m_status == 200);
--- a/Tests/Entry/TestLeaving.cpp
+++ b/Tests/Entry/TestLeaving.cpp
@@ -22,8 +22,8 @@
 
     FakePlatform &published()
     {
-        m_platform.publish();
-        m_platform.list(m_agent.member());
+        m_platform.publishTemplate();
+        m_platform.registerAgent(m_agent.member());
         return m_platform;
     }
 };
@@ -37,22 +37,22 @@
     FakeAgent &agent = site.m_agent;
     TestEntry &stays = site.m_stays;
     TestEntry &leaves = site.m_leaves;
-    await([&stays, &leaves] { return stays.sees(1) && leaves.sees(1); });
-    await([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
+    waitUntil([&stays, &leaves] { return stays.hasAvailableEndpoints(1) && leaves.hasAvailableEndpoints(1); });
+    waitUntil([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
 
     std::promise<Wire::Responder> started;
     std::promise<Protocol::LiveRequest> asked;
-    agent.setConduct([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
+    agent.setBehavior([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
         asked.set_value(request);
         started.set_value(responder);
     });
     std::future<HttpReply> running = std::async(std::launch::async, [&leaves] { return leaves.generate(); });
     const Wire::Responder responder = started.get_future().get();
-    agent.setConduct([](FakeAgent &self, const Protocol::LiveRequest &request, const Wire::Responder &answer) { self.answer(request, answer); });
+    agent.setBehavior([](FakeAgent &self, const Protocol::LiveRequest &request, const Wire::Responder &answer) { self.answer(request, answer); });
 
     leaves.entry().startLeaving();
     REQUIRE(leaves.addresses().find(leaves.member().m_callers.toString()) == std::string::npos);
-    REQUIRE(leaves.generate().isWhole());
+    REQUIRE(leaves.generate().isComplete());
     std::future<bool> drained = std::async(std::launch::async, [&leaves] { return leaves.entry().awaitDrained(); });
     HttpReply refused = leaves.generate();
     while (refused.m_status == 200) {
@@ -62,10 +62,10 @@
     REQUIRE(refused.m_status == 503);
     REQUIRE(refused.code() == "not-run");
     REQUIRE(refused.m_body.find(stays.member().m_callers.toString()) != std::string::npos);
-    await([&stays, &leaves] { return stays.addresses().find(leaves.member().m_callers.toString()) == std::string::npos; });
+    waitUntil([&stays, &leaves] { return stays.addresses().find(leaves.member().m_callers.toString()) == std::string::npos; });
 
     agent.answer(asked.get_future().get(), responder);
-    REQUIRE(running.get().isWhole());
+    REQUIRE(running.get().isComplete());
     REQUIRE(drained.get());
 }
 
@@ -76,11 +76,11 @@
     FakeAgent &agent = site.m_agent;
     TestEntry &stays = site.m_stays;
     TestEntry &leaves = site.m_leaves;
-    await([&leaves] { return leaves.generate().isWhole(); });
-    await([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
+    waitUntil([&leaves] { return leaves.generate().isComplete(); });
+    waitUntil([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
 
     leaves.entry().startLeaving();
-    agent.change([](Protocol::AgentReport &report) { report.m_attestations.clear(); });
+    agent.changeReport([](Protocol::AgentReport &report) { report.m_attestations.clear(); });
     HttpReply refused = leaves.generate();
     while (refused.m_status == 200) {
         refused = leaves.generate();
--- a/Tests/LibClaims/TestClaimModel.cpp
+++ b/Tests/LibClaims/TestClaimModel.cpp
@@ -87,9 +87,9 @@
     }
     for (const Call &call : world.m_calls) {
         const Claims::CallState &state = call.m_step.m_state;
-        text += "|call" + std::to_string(static_cast<int>(state.m_phase)) + state.m_attempt + state.m_other.m_attempt + std::to_string(state.m_reclaims)
+        text += "|call" + std::to_string(static_cast<int>(state.m_phase)) + state.m_attempt + state.m_holder.m_attempt + std::to_string(state.m_reclaims)
             + std::to_string(call.m_step.m_action.index()) + std::to_string(call.m_life);
-        if (const Claims::Conclude *conclude = std::get_if<Claims::Conclude>(&call.m_step.m_action)) {
+        if (const Claims::ReportVerdict *conclude = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action)) {
             text += std::to_string(static_cast<int>(conclude->m_verdict));
         }
     }
@@ -127,13 +127,13 @@
 }
 
 /// Folds the whole log as a fresh writer does, and returns what became of a batch.
-Claims::FoldedBatch foldLog(const World &world, const std::string &id)
+Claims::AppliedBatch foldLog(const World &world, const std::string &id)
 {
     Claims::ClaimTable table(100);
-    Claims::FoldedBatch found;
+    Claims::AppliedBatch found;
     Claims::Offset offset = 0;
     for (const Claims::ClaimBatch &batch : world.m_log) {
-        const Claims::FoldedBatch folded = table.fold(++offset, Wire::pack(batch));
+        const Claims::AppliedBatch folded = table.apply(++offset, Wire::pack(batch));
         if (folded.m_id == id) {
             found = folded;
         }
@@ -155,7 +155,7 @@
         World world;
         for (std::size_t index = 0; index < Calls; ++index) {
             const std::string attempt = "call" + std::to_string(index) + ".1";
-            world.m_calls.push_back(Call{Claims::begin(attempt), 0, 1, {attempt}});
+            world.m_calls.push_back(Call{Claims::beginCall(attempt), 0, 1, {attempt}});
         }
         explore(world);
         return m_problem;
@@ -195,7 +195,7 @@
             return "ran " + std::to_string(effects) + " times under one key";
         }
         for (const Call &call : world.m_calls) {
-            const Claims::Conclude *conclude = std::get_if<Claims::Conclude>(&call.m_step.m_action);
+            const Claims::ReportVerdict *conclude = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action);
             if (!conclude) {
                 continue;
             }
@@ -233,11 +233,11 @@
         Call &call = world.m_calls[index];
         const std::string nextAttempt = "call" + std::to_string(index) + "." + std::to_string(call.m_attempts + 1);
         const Claims::CallState before = call.m_step.m_state;
-        call.m_step = Claims::advance(before, event, nextAttempt);
-        if (!m_mechanisms.m_asking && before.m_phase == Claims::CallPhase::Dispatched && std::holds_alternative<Claims::AnswerLost>(event)) {
-            call.m_step.m_action = Claims::Conclude{Claims::CallVerdict::NotRun};
+        call.m_step = Claims::advanceCall(before, event, nextAttempt);
+        if (!m_mechanisms.m_asking && before.m_phase == Claims::CallPhase::Dispatched && std::holds_alternative<Claims::AnswerIncomplete>(event)) {
+            call.m_step.m_action = Claims::ReportVerdict{Claims::CallVerdict::NotRun};
         }
-        if (!m_mechanisms.m_bars && std::holds_alternative<Claims::WriteBar>(call.m_step.m_action)) {
+        if (!m_mechanisms.m_bars && std::holds_alternative<Claims::WriteTombstone>(call.m_step.m_action)) {
             call.m_step.m_state.m_phase = Claims::CallPhase::Dispatched;
             call.m_step.m_action = Claims::Dispatch{call.m_step.m_state.m_attempt};
         }
@@ -273,7 +273,7 @@
         proceed(late, index, bad);
     }
 
-    void perform(const World &world, std::size_t index, const Claims::MakeClaim &action)
+    void perform(const World &world, std::size_t index, const Claims::WriteClaim &action)
     {
         Claims::Claim claim;
         claim.m_key = key();
@@ -286,12 +286,12 @@
             world,
             index,
             batch,
-            [this](const Claims::FoldedBatch &folded) {
+            [this](const Claims::AppliedBatch &folded) {
                 Claims::ClaimResult result = folded.m_results.at(0);
                 if (!m_mechanisms.m_claims) {
                     result.m_verdict = Claims::Verdict::Won;
                 }
-                return Claims::Event(Claims::ClaimJudged{result});
+                return Claims::Event(Claims::ClaimDecided{result});
             },
             Claims::Event(Claims::ClaimFailed{}));
     }
@@ -301,43 +301,47 @@
         const int life = world.m_calls[index].m_life;
         World arrived = world;
         const bool ran = arrive(arrived, m_mechanisms, action.m_attempt, life);
-        proceed(arrived, index, ran ? Claims::Event(Claims::CompleteAnswer{}) : Claims::Event(Claims::CertainlyNotRun{}));
+        proceed(arrived, index, ran ? Claims::Event(Claims::CompleteAnswer{}) : Claims::Event(Claims::AttemptNotRun{}));
         if (world.m_faults >= MaximumFaults) {
             return;
         }
         arrived.m_faults += 1;
-        proceed(arrived, index, Claims::AnswerLost{});
+        proceed(arrived, index, Claims::AnswerIncomplete{});
         World unsent = world;
         unsent.m_faults += 1;
-        proceed(unsent, index, Claims::CertainlyNotRun{});
+        proceed(unsent, index, Claims::AttemptNotRun{});
         World late = unsent;
         late.m_late.push_back(Late{action.m_attempt, life});
-        proceed(late, index, Claims::AnswerLost{});
+        proceed(late, index, Claims::AnswerIncomplete{});
     }
 
-    void perform(const World &world, std::size_t index, const Claims::AskOutcome &action)
+    void perform(const World &world, std::size_t index, const Claims::QueryOutcome &action)
     {
         World asked = world;
-        const int life = action.m_own ? world.m_calls[index].m_life : lifeOf(action.m_winner);
+        const int life = action.m_isOwn ? world.m_calls[index].m_life : lifeOf(action.m_holder);
         const Protocol::Outcome outcome = ask(asked, m_mechanisms, action.m_attempt, life);
-        proceed(asked, index, Claims::OutcomeTold{outcome});
+        proceed(asked, index, Claims::OutcomeReceived{outcome});
         if (world.m_faults >= MaximumFaults) {
             return;
         }
         asked.m_faults += 1;
-        proceed(asked, index, Claims::OutcomeUnreachable{});
+        proceed(asked, index, Claims::OutcomeUnavailable{});
     }
 
-    void perform(const World &world, std::size_t index, const Claims::WriteBar &action)
+    void perform(const World &world, std::size_t index, const Claims::WriteTombstone &action)
     {
         Claims::ClaimBatch batch;
         batch.m_id = "bar " + action.m_attempt + std::to_string(index);
-        batch.m_bars.push_back(Claims::AttemptBar{key().m_text, action.m_attempt});
+        batch.m_tombstones.push_back(Claims::AttemptTombstone{key().m_text, action.m_attempt});
         append(
-            world, index, batch, [](const Claims::FoldedBatch &) { return Claims::Event(Claims::BarWritten{}); }, Claims::Event(Claims::BarFailed{}));
+            world,
+            index,
+            batch,
+            [](const Claims::AppliedBatch &) { return Claims::Event(Claims::TombstoneWritten{}); },
+            Claims::Event(Claims::TombstoneFailed{}));
     }
 
-    void perform(const World &, std::size_t, const Claims::Conclude &)
+    void perform(const World &, std::size_t, const Claims::ReportVerdict &)
     {
     }
 
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -30,8 +30,8 @@
     {
         m_writer.reset();
         Claims::WriterSettings settings;
-        settings.m_settleTimeout = Core::Duration(300);
-        settings.m_downPause = Core::Duration(20);
+        settings.m_readBackTimeout = Core::Duration(300);
+        settings.m_retryPause = Core::Duration(20);
         settings.m_checkInterval = Core::Duration(20);
         m_writer = std::make_unique<Claims::ClaimWriter>(m_log, "entry-1", settings, m_metrics);
         m_writer->start();
@@ -180,13 +180,13 @@
     }
     std::set<std::string> writers;
     for (int index = 0; index < 200; ++index) {
-        writers.insert(Claims::claimWriters(members, "key-" + std::to_string(index)).front().m_id);
+        writers.insert(Claims::selectClaimWriters(members, "key-" + std::to_string(index)).front().m_id);
     }
     REQUIRE(writers.size() == Claims::WriterCount);
     std::reverse(members.begin(), members.end());
-    REQUIRE(writers.contains(Claims::claimWriters(members, "key-1").front().m_id));
+    REQUIRE(writers.contains(Claims::selectClaimWriters(members, "key-1").front().m_id));
     for (Protocol::Member &member : members) {
         member.m_leaving = true;
     }
-    REQUIRE(Claims::claimWriters(members, "key-1").empty());
+    REQUIRE(Claims::selectClaimWriters(members, "key-1").empty());
 }
--- a/Tests/LibEndpoint/TestAttemptGate.cpp
+++ b/Tests/LibEndpoint/TestAttemptGate.cpp
@@ -46,7 +46,7 @@
     // The call is held up in the network; the entry asks, learns that nothing ran, and tells its caller so. Then the call arrives.
     AttemptGate gate(Life, {});
     REQUIRE(gate.outcome(tag("late")).m_outcome == Outcome::NeverRan);
-    REQUIRE(gate.admit(tag("late", "key")) == Admission::Barred);
+    REQUIRE(gate.admit(tag("late", "key")) == Admission::Tombstoned);
     REQUIRE_FALSE(gate.begin("late"));
 }
 
--- a/Tests/LibRouting/Fleet.h
+++ b/Tests/LibRouting/Fleet.h
@@ -22,7 +22,7 @@
     return report;
 }
 
-inline std::string nameOf(std::size_t index)
+inline std::string instanceName(std::size_t index)
 {
     return "engine-" + std::to_string(index);
 }
--- a/Tests/LibRouting/TestAnswerChecker.cpp
+++ b/Tests/LibRouting/TestAnswerChecker.cpp
@@ -47,7 +47,7 @@
             return false;
         }
     }
-    return checker.isWhole();
+    return checker.isComplete();
 }
 
 }
--- a/Tests/LibRouting/TestPick.cpp
+++ b/Tests/LibRouting/TestPick.cpp
@@ -20,14 +20,14 @@
     Routing::EndpointTable table;
     const std::size_t size = 1 + random.below(40);
     for (std::size_t index = 0; index < size; ++index) {
-        Protocol::AgentReport report = makeReport(nameOf(index), 1, static_cast<std::uint32_t>(random.below(6)));
+        Protocol::AgentReport report = makeReport(instanceName(index), 1, static_cast<std::uint32_t>(random.below(6)));
         report.m_member.m_leaving = random.below(5) == 0;
         report.m_endpointHealthy = random.below(5) != 0;
         if (random.below(4) == 0) {
             report.m_attestations[0].m_digest = "digest-6";
         }
         const bool silent = random.below(5) == 0;
-        table.update(report, silent ? now - Routing::SilenceLimit : now);
+        table.update(report, silent ? now - Routing::ReportTimeout : now);
     }
     return table;
 }
@@ -48,13 +48,13 @@
                                             Routing::Strategy::PrefixAffinity};
     for (int round = 0; round < 500; ++round) {
         const Routing::EndpointTable table = randomFleet(random, Start);
-        const std::vector<std::string> excluded{nameOf(random.below(40))};
+        const std::vector<std::string> excluded{instanceName(random.below(40))};
         const Routing::SelectionRequest request{random.next() | 1, excluded, random.below(2) == 0};
         bool any = false;
         for (const Routing::EndpointView &endpoint : table.endpoints()) {
             any = any
                 || (Routing::isEligible(endpoint, Digest, Start) && endpoint.m_member.m_id != excluded[0]
-                    && (!request.m_needsRoom || Routing::hasRoom(endpoint)));
+                    && (!request.m_needsFreeSlot || Routing::hasFreeSlot(endpoint)));
         }
         for (const Routing::Strategy strategy : strategies) {
             const std::optional<Routing::EndpointIndex> index = Routing::selectEndpoint(strategy, table, Group, request, Start, random);
@@ -65,7 +65,7 @@
             const Routing::EndpointView &endpoint = table.at(*index);
             REQUIRE(Routing::isEligible(endpoint, Digest, Start));
             REQUIRE(endpoint.m_member.m_id != excluded[0]);
-            REQUIRE((!request.m_needsRoom || Routing::hasRoom(endpoint)));
+            REQUIRE((!request.m_needsFreeSlot || Routing::hasFreeSlot(endpoint)));
         }
     }
 }
@@ -88,15 +88,15 @@
     // An instance is replaced under its name. The ends of calls to the old process would otherwise make the new one look idle or overfull.
     Routing::EndpointTable table;
     table.update(makeReport("engine-0", 9), Start);
-    table.begin(0);
+    table.onCallStarted(0);
     Protocol::AgentReport fresh = makeReport("engine-0", 1);
     fresh.m_member.m_incarnation = "another-life";
     table.update(fresh, Start);
     REQUIRE(table.at(0).m_outstanding == 0);
-    table.begin(0);
-    table.end(0, "engine-0-life", 1.0);
+    table.onCallStarted(0);
+    table.onCallEnded(0, "engine-0-life", 1.0);
     REQUIRE(table.at(0).m_outstanding == 1);
-    table.end(0, "another-life", 1.0);
+    table.onCallEnded(0, "another-life", 1.0);
     REQUIRE(table.at(0).m_outstanding == 0);
 }
 
@@ -104,11 +104,11 @@
 {
     Routing::EndpointTable table;
     table.update(makeReport("engine-0", 1, 2), Start);
-    table.begin(0);
+    table.onCallStarted(0);
     REQUIRE(Routing::estimatedRequests(table.at(0)) == 3);
     table.update(makeReport("engine-0", 2, 3), Start);
     REQUIRE(Routing::estimatedRequests(table.at(0)) == 3);
-    table.end(0, "engine-0-life", 1.0);
+    table.onCallEnded(0, "engine-0-life", 1.0);
     REQUIRE(Routing::estimatedRequests(table.at(0)) == 2);
 }
 
@@ -117,7 +117,7 @@
     Core::Random random(1);
     Routing::EndpointTable table;
     for (std::size_t index = 0; index < 16; ++index) {
-        table.update(makeReport(nameOf(index), 1, 0, 16), Start);
+        table.update(makeReport(instanceName(index), 1, 0, 16), Start);
     }
     const Routing::SelectionRequest request{Routing::affinityHash("sao-mai", "season report: "), {}, true};
     std::map<Routing::EndpointIndex, int> picks;
@@ -129,7 +129,7 @@
     REQUIRE(picks.size() == 1);
     const Routing::EndpointIndex owner = picks.begin()->first;
     for (int call = 0; call < 12; ++call) {
-        table.begin(owner);
+        table.onCallStarted(owner);
     }
     const std::optional<Routing::EndpointIndex> spilled = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
     REQUIRE(spilled);
@@ -139,7 +139,7 @@
 TEST_CASE("an account moves to a new version once enough replicas serve it, and stays with the old one until then")
 {
     // A rollout begins and one replica of sixteen serves the new version. Sent there at once, the whole account would wait for one engine.
-    Routing::VersionSituation situation{"new", 16, "old", 1, 15, 16, false};
+    Routing::RolloutState situation{"new", 16, "old", 1, 15, 16, false};
     REQUIRE(Routing::chooseVersion(situation) == "old");
     situation.m_wantedServing = 8;
     REQUIRE(Routing::chooseVersion(situation) == "new");
@@ -150,5 +150,5 @@
     REQUIRE(Routing::chooseVersion(situation) == "old");
     situation.m_previousServing = 0;
     REQUIRE(Routing::chooseVersion(situation).empty());
-    REQUIRE(Routing::chooseVersion(Routing::VersionSituation{"new", 16, "", 1, 0, 16, false}) == "new");
+    REQUIRE(Routing::chooseVersion(Routing::RolloutState{"new", 16, "", 1, 0, 16, false}) == "new");
 }
