--- a/Tests/LibRouting/TestScheduler.cpp
+++ b/Tests/LibRouting/TestScheduler.cpp
@@ -13,9 +13,9 @@
 const Core::Instant Start = Core::Instant() + Core::Duration(1000000);
 const Routing::GroupKey Group{Service, Digest};
 
-Routing::Waiting makeWaiting(Routing::Ticket ticket, const std::string &account, std::int32_t priority = 0)
+Routing::QueuedRequest makeWaiting(Routing::Ticket ticket, const std::string &account, std::int32_t priority = 0)
 {
-    return Routing::Waiting{ticket, account, 1, priority, 1, Start + Core::Duration(60000)};
+    return Routing::QueuedRequest{ticket, account, 1, priority, 1, Start + Core::Duration(60000)};
 }
 
 Routing::Submission makeSubmission(Routing::Ticket ticket, const std::string &account, Core::Duration timeout = Core::Duration(60000))
@@ -33,7 +33,7 @@
     settings.m_queuePerAccount = queuePerAccount;
     Routing::Scheduler scheduler(settings, Core::Random(7));
     for (std::size_t index = 0; index < engines; ++index) {
-        scheduler.table().update(makeReport(nameOf(index), 1), Start);
+        scheduler.table().update(makeReport(instanceName(index), 1), Start);
     }
     return scheduler;
 }
@@ -68,14 +68,14 @@
     std::map<std::string, double> work;
     for (std::uint32_t account = 1; account <= 10; ++account) {
         for (int request = 0; request < 3000; ++request) {
-            Routing::Waiting waiting = makeWaiting(account * 10000 + static_cast<Routing::Ticket>(request), "account-" + std::to_string(account));
+            Routing::QueuedRequest waiting = makeWaiting(account * 10000 + static_cast<Routing::Ticket>(request), "account-" + std::to_string(account));
             waiting.m_weight = account <= 2 ? 4 : 1;
             waiting.m_cost = static_cast<double>(1 + random.below(100));
             queue.push(waiting);
         }
     }
     for (int served = 0; served < 5000; ++served) {
-        const std::optional<Routing::Waiting> waiting = queue.pop();
+        const std::optional<Routing::QueuedRequest> waiting = queue.pop();
         work[waiting->m_account] += waiting->m_cost / waiting->m_weight;
     }
     for (const std::pair<const std::string, double> &entry : work) {
@@ -91,7 +91,7 @@
     queue.push(makeWaiting(3, "a", 5));
     queue.push(makeWaiting(4, "b"));
     std::vector<Routing::Ticket> order;
-    while (const std::optional<Routing::Waiting> waiting = queue.pop()) {
+    while (const std::optional<Routing::QueuedRequest> waiting = queue.pop()) {
         order.push_back(waiting->m_ticket);
     }
     REQUIRE(order == std::vector<Routing::Ticket>{2, 4, 3, 1});
@@ -113,8 +113,8 @@
         if (round % 500 == 0) {
             ++sequence;
             for (std::size_t index = 0; index < 5; ++index) {
-                const Routing::EndpointView *endpoint = scheduler.table().find(nameOf(index));
-                scheduler.table().update(makeReport(nameOf(index), sequence, endpoint->m_outstanding), now);
+                const Routing::EndpointView *endpoint = scheduler.table().find(instanceName(index));
+                scheduler.table().update(makeReport(instanceName(index), sequence, endpoint->m_outstanding), now);
             }
         }
         if (random.below(2) == 0) {
@@ -183,7 +183,7 @@
         scheduler.submit(makeSubmission(ticket, "a"), Start);
     }
     REQUIRE(scheduler.queued() == 1);
-    const std::vector<Routing::Resolution> resolutions = scheduler.poll(Start + Routing::SilenceLimit);
+    const std::vector<Routing::Resolution> resolutions = scheduler.poll(Start + Routing::ReportTimeout);
     REQUIRE(resolutions.size() == 1);
     REQUIRE(std::get<Routing::Refused>(resolutions[0]).m_reason == Routing::RefusalReason::NoEndpoint);
 }
@@ -218,7 +218,7 @@
     // The only endpoints that are left have just refused the request. Queued, it would sit there until its deadline although nothing can come of it.
     Routing::Scheduler scheduler = makeScheduler(2);
     Routing::Submission submission = makeSubmission(1, "a");
-    submission.m_excluded = {nameOf(0), nameOf(1)};
+    submission.m_excluded = {instanceName(0), instanceName(1)};
     const Routing::Admission refused = scheduler.submit(submission, Start);
     REQUIRE(std::get<Routing::Refused>(refused).m_reason == Routing::RefusalReason::NoEndpoint);
 }
--- a/Tests/Support/Explorer.h
+++ b/Tests/Support/Explorer.h
@@ -23,7 +23,7 @@
 struct Step
 {
     std::string m_name;
-    std::function<bool(State &)> m_take;
+    std::function<bool(State &)> m_apply;
 };
 
 /**
--- a/Tests/Support/LoopbackPeer.h
+++ b/Tests/Support/LoopbackPeer.h
@@ -120,7 +120,7 @@
 
     bool isDisconnected() const
     {
-        return m_isGone;
+        return m_isDisconnected;
     }
 
     void readRequest(std::function<void()> onRequest)
@@ -128,13 +128,13 @@
         m_socket.async_read_some(boost::asio::buffer(m_buffer),
                                  [self = shared_from_this(), then = std::move(onRequest)](const boost::system::error_code &error, std::size_t size) {
                                      if (error) {
-                                         self->m_isGone = true;
+                                         self->m_isDisconnected = true;
                                          return;
                                      }
                                      self->m_request.append(self->m_buffer.data(), size);
-                                     const bool isWhole = !self->m_isTold && self->m_request.find("\r\n\r\n") != std::string::npos;
+                                     const bool isWhole = !self->m_requestDelivered && self->m_request.find("\r\n\r\n") != std::string::npos;
                                      if (isWhole) {
-                                         self->m_isTold = true;
+                                         self->m_requestDelivered = true;
                                          then();
                                      }
                                      self->readRequest(then);
@@ -145,8 +145,8 @@
     Http::Socket m_socket;
     std::array<char, 4096> m_buffer{};
     std::string m_request;
-    bool m_isTold = false;
-    bool m_isGone = false;
+    bool m_requestDelivered = false;
+    bool m_isDisconnected = false;
 };
 
 /// Accepts connections and hands each one over once the head of its request has come.
--- a/Utilities/oriolerail/EntryStatus.cpp
+++ b/Utilities/oriolerail/EntryStatus.cpp
@@ -44,7 +44,7 @@
     while (true) {
         const EntryStatus status = askEntries(arguments);
         const InForce inForce{countLive(status.m_page), Control::instancesBehind(status.m_page, revision), status.m_errors.size()};
-        if (inForce.isWhole() || Core::Clock::now() >= deadline) {
+        if (inForce.isComplete() || Core::Clock::now() >= deadline) {
             return inForce;
         }
         std::this_thread::sleep_for(PollInterval);
--- a/Utilities/oriolerail/EntryStatus.h
+++ b/Utilities/oriolerail/EntryStatus.h
@@ -23,7 +23,7 @@
     std::vector<std::string> m_behind; ///< Those among them where it is not in force.
     std::size_t m_unreachable = 0; ///< Entries that did not answer.
 
-    bool isWhole() const
+    bool isComplete() const
     {
         return m_instances > 0 && m_behind.empty();
     }
--- a/Utilities/oriolerail/Publish.cpp
+++ b/Utilities/oriolerail/Publish.cpp
@@ -116,13 +116,13 @@
     object->set("instances", static_cast<Poco::UInt64>(inForce.m_instances));
     object->set("not_in_force", behind);
     object->set("unreachable_entries", static_cast<Poco::UInt64>(inForce.m_unreachable));
-    if (inForce.isWhole()) {
+    if (inForce.isComplete()) {
         text += "in force on all " + std::to_string(inForce.m_instances) + " instances\n";
     } else if (inForce.m_behind.empty()) {
         text += "no entry could be asked\n";
     }
     print(arguments, object, text);
-    return inForce.isWhole() ? ExitOk : ExitFailed;
+    return inForce.isComplete() ? ExitOk : ExitFailed;
 }
 
 }
