--- a/Libraries/LibControl/Checkpointer.h
+++ b/Libraries/LibControl/Checkpointer.h
@@ -54,7 +54,7 @@
     Telemetry::Counter &m_failures;
     Offset m_lastCheckpoint = 0; ///< Used by the duty's thread only, as is the following.
     Core::Instant m_lastChange;
-    Duty m_worker;
+    Worker m_worker;
 };
 
 /// Rank of an entry among the live entries for a key: 0 acts first.
--- a/Libraries/LibControl/Duty.cpp
+++ b/Libraries/LibControl/Duty.cpp
@@ -4,12 +4,12 @@
 
 namespace Control {
 
-Duty::~Duty()
+Worker::~Worker()
 {
     stop();
 }
 
-void Duty::start(std::function<Core::Duration()> turn)
+void Worker::start(std::function<Core::Duration()> turn)
 {
     if (m_thread.joinable()) {
         return;
@@ -18,7 +18,7 @@
     m_thread = std::thread([this, turn = std::move(turn)] { run(turn); });
 }
 
-void Duty::stop()
+void Worker::stop()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -30,7 +30,7 @@
     }
 }
 
-void Duty::wake()
+void Worker::wake()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -39,20 +39,20 @@
     m_changed.notify_all();
 }
 
-bool Duty::isStopping() const
+bool Worker::isStopping() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return m_stopping;
 }
 
-bool Duty::pause(Core::Duration duration)
+bool Worker::pause(Core::Duration duration)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     m_changed.wait_for(lock, duration, [this] { return m_stopping; });
     return m_stopping;
 }
 
-void Duty::run(const std::function<Core::Duration()> &turn)
+void Worker::run(const std::function<Core::Duration()> &turn)
 {
     while (!isStopping()) {
         const Core::Duration wait = turn();
--- a/Libraries/LibControl/Duty.h
+++ b/Libraries/LibControl/Duty.h
@@ -11,14 +11,14 @@
 namespace Control {
 
 /// Runs a turn, waits as long as the turn said or until it is woken, and so on. Turns must end within a bounded time.
-class Duty
+class Worker
 {
 public:
-    Duty() = default;
-    ~Duty();
+    Worker() = default;
+    ~Worker();
 
-    Duty(const Duty &) = delete;
-    Duty &operator=(const Duty &) = delete;
+    Worker(const Worker &) = delete;
+    Worker &operator=(const Worker &) = delete;
 
     /// Starts the thread. @p turn returns how long to wait until the next one.
     void start(std::function<Core::Duration()> turn);
--- a/Libraries/LibControl/Fold.cpp
+++ b/Libraries/LibControl/Fold.cpp
@@ -251,7 +251,7 @@
     return "";
 }
 
-RecordOutcome fold(ControlState &state, Offset position, std::string_view body)
+RecordOutcome applyRecord(ControlState &state, Offset position, std::string_view body)
 {
     RecordOutcome outcome;
     outcome.m_offset = state.m_applied + 1;
--- a/Libraries/LibControl/Fold.h
+++ b/Libraries/LibControl/Fold.h
@@ -10,7 +10,7 @@
  *
  * A malformed record is refused and passed over like any other: one bad writer must not stop every reader.
  */
-RecordOutcome fold(ControlState &state, Offset position, std::string_view body);
+RecordOutcome applyRecord(ControlState &state, Offset position, std::string_view body);
 
 /// Largest offset budget of one burst, in copies; the origin's link carries about four.
 inline constexpr double MaximumOriginCopies = 64;
--- a/Libraries/LibControl/InstanceListDuty.cpp
+++ b/Libraries/LibControl/InstanceListDuty.cpp
@@ -4,7 +4,7 @@
 
 namespace Control {
 
-InstanceListDuty::InstanceListDuty(Platform::InstanceList &list, StateStore &store, Telemetry::Metrics &metrics, Core::Duration interval)
+InstanceListWorker::InstanceListWorker(Platform::InstanceList &list, StateStore &store, Telemetry::Metrics &metrics, Core::Duration interval)
     : m_list(list)
     , m_store(store)
     , m_interval(interval)
@@ -12,22 +12,22 @@
 {
 }
 
-InstanceListDuty::~InstanceListDuty()
+InstanceListWorker::~InstanceListWorker()
 {
     stop();
 }
 
-void InstanceListDuty::start()
+void InstanceListWorker::start()
 {
     m_worker.start([this] { return turn(); });
 }
 
-void InstanceListDuty::stop()
+void InstanceListWorker::stop()
 {
     m_worker.stop();
 }
 
-Core::Duration InstanceListDuty::turn()
+Core::Duration InstanceListWorker::turn()
 {
     const Core::Result<std::vector<Protocol::Member>> listed = m_list.instances();
     if (!listed) {
--- a/Libraries/LibControl/InstanceListDuty.h
+++ b/Libraries/LibControl/InstanceListDuty.h
@@ -8,11 +8,11 @@
 namespace Control {
 
 /// Polls the list into the store, on a thread of its own. While the list is down, the members that are known stay.
-class InstanceListDuty
+class InstanceListWorker
 {
 public:
-    InstanceListDuty(Platform::InstanceList &list, StateStore &store, Telemetry::Metrics &metrics, Core::Duration interval = Core::Duration(1000));
-    ~InstanceListDuty();
+    InstanceListWorker(Platform::InstanceList &list, StateStore &store, Telemetry::Metrics &metrics, Core::Duration interval = Core::Duration(1000));
+    ~InstanceListWorker();
 
     void start();
     void stop();
@@ -24,7 +24,7 @@
     StateStore &m_store;
     const Core::Duration m_interval;
     Telemetry::Counter &m_failures;
-    Duty m_worker;
+    Worker m_worker;
 };
 
 }
--- a/Libraries/LibControl/LogTail.h
+++ b/Libraries/LibControl/LogTail.h
@@ -55,7 +55,7 @@
     std::atomic<bool> m_isLogUp = false;
     Core::Duration m_backOff; ///< Used by the duty's thread only, as are the following.
     std::optional<Core::Instant> m_divergedSince;
-    Duty m_worker;
+    Worker m_worker;
 };
 
 }
--- a/Libraries/LibControl/PlannerDuty.cpp
+++ b/Libraries/LibControl/PlannerDuty.cpp
@@ -21,7 +21,7 @@
 
 }
 
-PlannerDuty::PlannerDuty(Platform::Log &log, StateStore &store, Protocol::Member self, Telemetry::Metrics &metrics, PlannerSettings settings)
+PlannerWorker::PlannerWorker(Platform::Log &log, StateStore &store, Protocol::Member self, Telemetry::Metrics &metrics, PlannerSettings settings)
     : m_log(log)
     , m_store(store)
     , m_self(std::move(self))
@@ -32,22 +32,22 @@
     store.onChange([this] { m_worker.wake(); });
 }
 
-PlannerDuty::~PlannerDuty()
+PlannerWorker::~PlannerWorker()
 {
     stop();
 }
 
-void PlannerDuty::start()
+void PlannerWorker::start()
 {
     m_worker.start([this] { return turn(); });
 }
 
-void PlannerDuty::stop()
+void PlannerWorker::stop()
 {
     m_worker.stop();
 }
 
-Core::Duration PlannerDuty::turn()
+Core::Duration PlannerWorker::turn()
 {
     const std::uint64_t membersVersion = m_store.membersVersion();
     const std::shared_ptr<const ControlState> state = m_store.current();
@@ -66,7 +66,7 @@
     return wait;
 }
 
-Core::Duration PlannerDuty::lookAfter(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now)
+Core::Duration PlannerWorker::lookAfter(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now)
 {
     const Plan wanted = planService(service, state, members);
     if (!isPlanOutOfDate(state, wanted)) {
@@ -92,7 +92,7 @@
     return m_settings.m_retry;
 }
 
-void PlannerDuty::append(const std::string &service, const ControlState &state, Pending &pending, Core::Instant now)
+void PlannerWorker::append(const std::string &service, const ControlState &state, Pending &pending, Core::Instant now)
 {
     const std::map<std::string, Plan>::const_iterator current = state.m_plans.find(service);
     const Offset basedOn = current == state.m_plans.end() ? 0 : current->second.m_offset;
--- a/Libraries/LibControl/PlannerDuty.h
+++ b/Libraries/LibControl/PlannerDuty.h
@@ -25,11 +25,11 @@
  * act at once, the first in the log's order wins and the other's plan is refused as stale. An append whose answer was
  * lost may have taken effect: its record is awaited by its id before anything else is appended for the service.
  */
-class PlannerDuty
+class PlannerWorker
 {
 public:
-    PlannerDuty(Platform::Log &log, StateStore &store, Protocol::Member self, Telemetry::Metrics &metrics, PlannerSettings settings = {});
-    ~PlannerDuty();
+    PlannerWorker(Platform::Log &log, StateStore &store, Protocol::Member self, Telemetry::Metrics &metrics, PlannerSettings settings = {});
+    ~PlannerWorker();
 
     void start();
     void stop();
@@ -57,7 +57,7 @@
     std::map<std::string, Pending> m_pending; ///< By service; used by the duty's thread only.
     std::uint64_t m_lastMembersVersion = 0;
     std::string m_seenChain;
-    Duty m_worker;
+    Worker m_worker;
 };
 
 }
--- a/Libraries/LibControl/Publisher.cpp
+++ b/Libraries/LibControl/Publisher.cpp
@@ -67,7 +67,7 @@
             BOOST_OUTCOME_TRYV(load());
         }
         for (const Protocol::LogRecord &entry : page.value().m_records) {
-            fold(m_state, entry.m_offset, entry.m_body);
+            applyRecord(m_state, entry.m_offset, entry.m_body);
         }
         const RecordOutcome *outcome = findOutcome(m_state, record);
         if (outcome) {
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -174,7 +174,7 @@
         }
         ControlState state;
         state.m_position = restore->m_position;
-        const RecordOutcome outcome = fold(state, entry.m_offset, entry.m_body);
+        const RecordOutcome outcome = applyRecord(state, entry.m_offset, entry.m_body);
         return outcome.m_accepted ? std::optional<ControlState>(std::move(state)) : std::nullopt;
     }
     return std::nullopt;
@@ -230,7 +230,7 @@
             return trimmed(from);
         }
         for (const Protocol::LogRecord &record : page.m_records) {
-            fold(state, record.m_offset, record.m_body);
+            applyRecord(state, record.m_offset, record.m_body);
         }
         from += page.m_records.size();
         if (page.m_records.empty() || from >= page.m_next) {
--- a/Libraries/LibControl/StateFeed.cpp
+++ b/Libraries/LibControl/StateFeed.cpp
@@ -49,7 +49,7 @@
     m_worker.stop();
 }
 
-std::map<std::string, AppliedAt> StateFeed::applied() const
+std::map<std::string, SubscriberStatus> StateFeed::subscriberStatuses() const
 {
     const std::lock_guard<std::mutex> lock(m_appliedMutex);
     return m_applied;
@@ -79,7 +79,7 @@
     }
     {
         const std::lock_guard<std::mutex> lock(m_appliedMutex);
-        const std::map<std::string, AppliedAt>::iterator found = m_applied.find(notice.value().m_instance);
+        const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(notice.value().m_instance);
         const bool isCurrent = found != m_applied.end() && found->second.m_member.m_incarnation == notice.value().m_incarnation;
         if (isCurrent) {
             found->second.m_applied = std::max(found->second.m_applied, notice.value().m_appliedOffset);
@@ -117,7 +117,7 @@
 bool StateFeed::isAhead(Subscription &subscription, Offset applied, Core::Instant now) const
 {
     const std::lock_guard<std::mutex> lock(m_appliedMutex);
-    const std::map<std::string, AppliedAt>::const_iterator found = m_applied.find(subscription.m_member.m_id);
+    const std::map<std::string, SubscriberStatus>::const_iterator found = m_applied.find(subscription.m_member.m_id);
     if (found == m_applied.end() || found->second.m_applied <= applied) {
         subscription.m_aheadSince = Core::Instant();
         return false;
@@ -152,10 +152,10 @@
 void StateFeed::noteSubscribed(const Protocol::Member &member, bool isSubscribed)
 {
     const std::lock_guard<std::mutex> lock(m_appliedMutex);
-    const std::map<std::string, AppliedAt>::iterator found = m_applied.find(member.m_id);
+    const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(member.m_id);
     if (found == m_applied.end()) {
         if (isSubscribed && m_applied.size() < MaximumSubscribers) {
-            m_applied[member.m_id] = AppliedAt{member, 0, true};
+            m_applied[member.m_id] = SubscriberStatus{member, 0, true};
         }
         return;
     }
@@ -163,7 +163,7 @@
         found->second.m_isSubscribed = isSubscribed;
         found->second.m_member = member;
     } else if (isSubscribed) {
-        found->second = AppliedAt{member, 0, true};
+        found->second = SubscriberStatus{member, 0, true};
     }
 }
 
@@ -180,7 +180,7 @@
         noteSubscribed(member, true);
         if (arrival->m_request.m_appliedOffset > 0) {
             const std::lock_guard<std::mutex> lock(m_appliedMutex);
-            const std::map<std::string, AppliedAt>::iterator found = m_applied.find(member.m_id);
+            const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(member.m_id);
             if (found != m_applied.end()) {
                 found->second.m_applied = std::max(found->second.m_applied, arrival->m_request.m_appliedOffset);
             }
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -11,13 +11,13 @@
 namespace Control {
 
 /// What a subscriber last said it has in force.
-struct AppliedAt
+struct SubscriberStatus
 {
     Protocol::Member m_member;
     Offset m_applied = 0;
     bool m_isSubscribed = false; ///< Its stream to this entry is open.
 
-    bool operator==(const AppliedAt &) const = default;
+    bool operator==(const SubscriberStatus &) const = default;
 };
 
 /**
@@ -36,7 +36,7 @@
     void stop();
 
     /// What each instance that is or was subscribed here has in force, by id.
-    std::map<std::string, AppliedAt> applied() const;
+    std::map<std::string, SubscriberStatus> subscriberStatuses() const;
 
 private:
     struct Subscription
@@ -91,8 +91,8 @@
     Encoded m_membersForAgents;
     std::uint64_t m_membersVersion = 0; ///< Of the store's members when they were last encoded.
     mutable std::mutex m_appliedMutex;
-    std::map<std::string, AppliedAt> m_applied; ///< By instance; at most MaximumSubscribers.
-    Duty m_worker;
+    std::map<std::string, SubscriberStatus> m_applied; ///< By instance; at most MaximumSubscribers.
+    Worker m_worker;
 };
 
 inline constexpr std::size_t MaximumSubscribers = 8192;
--- a/Libraries/LibControl/StateStore.cpp
+++ b/Libraries/LibControl/StateStore.cpp
@@ -69,7 +69,7 @@
                 return ApplyResult::Gap;
             }
             const std::string before = next->m_chain;
-            const RecordOutcome outcome = fold(*next, record.m_offset, record.m_body);
+            const RecordOutcome outcome = applyRecord(*next, record.m_offset, record.m_body);
             (outcome.m_accepted ? m_recordsApplied : m_recordsRefused).add();
             steps.push_back(Step{before, next->m_chain, record});
         }
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -254,7 +254,7 @@
 
     Wire::CallEvents events;
     const std::shared_ptr<Inbox> inbox = m_inbox;
-    Duty &duty = m_worker;
+    Worker &duty = m_worker;
     const auto deliver = [inbox, &duty](Arrival arrival) {
         if (inbox->m_arrivals.tryPush(std::move(arrival))) {
             duty.wake();
--- a/Libraries/LibControl/StateSubscriber.h
+++ b/Libraries/LibControl/StateSubscriber.h
@@ -103,7 +103,7 @@
 
     std::uint64_t m_nextFeed = 1; ///< Used by the duty's thread only, as is the following.
     std::map<Core::Address, Core::Instant> m_avoidedUntil;
-    Duty m_worker;
+    Worker m_worker;
 };
 
 }
--- a/Libraries/LibControl/StatusPage.cpp
+++ b/Libraries/LibControl/StatusPage.cpp
@@ -173,13 +173,13 @@
     return behind;
 }
 
-std::map<std::string, PlaceStatus> placesOf(const StatusPage &page, const DeploymentStatus &deployment)
+std::map<std::string, FailureDomainStatus> statusByFailureDomain(const StatusPage &page, const DeploymentStatus &deployment)
 {
-    std::map<std::string, PlaceStatus> places;
+    std::map<std::string, FailureDomainStatus> places;
     for (const InstanceStatus &status : page.m_instances) {
         const bool isServing = deployment.m_serving.contains(status.m_id);
         if (isServing || deployment.m_waiting.contains(status.m_id)) {
-            PlaceStatus &place = places[status.m_failureDomain];
+            FailureDomainStatus &place = places[status.m_failureDomain];
             ++place.m_wanted;
             place.m_serving += isServing ? 1 : 0;
         }
@@ -187,7 +187,7 @@
     return places;
 }
 
-double progressOf(const StatusPage &page, const DeploymentStatus &deployment)
+double deploymentProgress(const StatusPage &page, const DeploymentStatus &deployment)
 {
     if (deployment.m_wanted == 0) {
         return 1;
--- a/Libraries/LibControl/StatusPage.h
+++ b/Libraries/LibControl/StatusPage.h
@@ -70,18 +70,18 @@
 std::vector<std::string> instancesBehind(const StatusPage &page, Offset revision);
 
 /// Replicas of one deployment in one place.
-struct PlaceStatus
+struct FailureDomainStatus
 {
     std::uint32_t m_wanted = 0; ///< Those whose instance is known.
     std::uint32_t m_serving = 0;
 
-    bool operator==(const PlaceStatus &) const = default;
+    bool operator==(const FailureDomainStatus &) const = default;
 };
 
 /// By failure domain.
-std::map<std::string, PlaceStatus> placesOf(const StatusPage &page, const DeploymentStatus &deployment);
+std::map<std::string, FailureDomainStatus> statusByFailureDomain(const StatusPage &page, const DeploymentStatus &deployment);
 
 /// Share of a deployment that is done, from 0 to 1: replicas that serve, and what the others hold of the weights.
-double progressOf(const StatusPage &page, const DeploymentStatus &deployment);
+double deploymentProgress(const StatusPage &page, const DeploymentStatus &deployment);
 
 }
--- a/Libraries/LibEntry/AgentWatch.h
+++ b/Libraries/LibEntry/AgentWatch.h
@@ -91,7 +91,7 @@
     Core::Instant m_nextUpdate;
     mutable std::mutex m_reportsMutex;
     std::map<std::string, Protocol::AgentReport> m_reports; ///< Of the watched agents.
-    Control::Duty m_worker;
+    Control::Worker m_worker;
 };
 
 }
--- a/Libraries/LibEntry/ClaimService.h
+++ b/Libraries/LibEntry/ClaimService.h
@@ -49,7 +49,7 @@
     Claims::ClaimWriter m_writer;
     mutable std::mutex m_mutex;
     std::optional<Claims::Epoch> m_epoch; ///< For new keys, as a writer told it; empty while none can be asked.
-    Control::Duty m_worker; ///< Looks whether this entry is a reader, and asks for the epoch if it is not.
+    Control::Worker m_worker; ///< Looks whether this entry is a reader, and asks for the epoch if it is not.
 };
 
 }
--- a/Libraries/LibEntry/Entry.cpp
+++ b/Libraries/LibEntry/Entry.cpp
@@ -155,7 +155,7 @@
     situation.m_self = m_settings.m_instance.m_member;
     situation.m_state = state.get();
     situation.m_members = m_store.members();
-    situation.m_applied = m_feed.applied();
+    situation.m_applied = m_feed.subscriberStatuses();
     situation.m_reports = m_agentWatcher.reports();
     return Telemetry::AdminAnswer{200, "application/json", Telemetry::toJsonText(makeStatusPage(situation))};
 }
--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -49,8 +49,8 @@
     Control::LogTail m_tail;
     Control::StateFeed m_feed;
     Control::StateSubscriber m_subscriber;
-    Control::InstanceListDuty m_instanceListWorker;
-    Control::PlannerDuty m_planner;
+    Control::InstanceListWorker m_instanceListWorker;
+    Control::PlannerWorker m_planner;
     Control::Checkpointer m_checkpointer;
     Router m_router;
     VersionTracker m_versions;
--- a/Libraries/LibEntry/StatusPage.cpp
+++ b/Libraries/LibEntry/StatusPage.cpp
@@ -17,7 +17,7 @@
         return situation.m_state->m_applied;
     }
     Control::Offset applied = 0;
-    const std::map<std::string, Control::AppliedAt>::const_iterator told = situation.m_applied.find(member.m_id);
+    const std::map<std::string, Control::SubscriberStatus>::const_iterator told = situation.m_applied.find(member.m_id);
     if (told != situation.m_applied.end() && told->second.m_member.m_incarnation == member.m_incarnation) {
         applied = told->second.m_applied;
     }
--- a/Libraries/LibEntry/StatusPage.h
+++ b/Libraries/LibEntry/StatusPage.h
@@ -17,7 +17,7 @@
     Protocol::Member m_self;
     const Control::ControlState *m_state = nullptr;
     std::vector<Protocol::Member> m_members;
-    std::map<std::string, Control::AppliedAt> m_applied; ///< As told by subscribers of this entry.
+    std::map<std::string, Control::SubscriberStatus> m_applied; ///< As told by subscribers of this entry.
     std::map<std::string, Protocol::AgentReport> m_reports; ///< Of the agents that this entry watches.
 };
 
--- a/Tests/LibControl/Examples.h
+++ b/Tests/LibControl/Examples.h
@@ -32,7 +32,7 @@
 
 inline Control::RecordOutcome foldNext(Control::ControlState &state, const Control::Record &record)
 {
-    return Control::fold(state, state.m_position + 1, Control::encodeRecord(record));
+    return Control::applyRecord(state, state.m_position + 1, Control::encodeRecord(record));
 }
 
 inline Protocol::Member agent(int number, const std::string &domain, const std::string &service = "drafts")
--- a/Tests/LibControl/Processes.h
+++ b/Tests/LibControl/Processes.h
@@ -59,7 +59,7 @@
     Control::StateFeed m_feed;
     Control::LogTail m_tail;
     Control::StateSubscriber m_subscriber;
-    Control::PlannerDuty m_planner;
+    Control::PlannerWorker m_planner;
     Control::Checkpointer m_checkpointer;
 
     EntryProcess(int number, const Core::Address &wire, const std::vector<Core::Address> &seeds, Platform::Log &log)
--- a/Tests/LibControl/TestEarlierVersions.cpp
+++ b/Tests/LibControl/TestEarlierVersions.cpp
@@ -34,7 +34,7 @@
         change.m_template = templateWith(std::string(64, letter));
         change.m_basedOn = revision;
         const Control::Record record{std::string(1, letter), "technician", change};
-        const Control::RecordOutcome outcome = Control::fold(state, revision + 1, Control::encodeRecord(record));
+        const Control::RecordOutcome outcome = Control::applyRecord(state, revision + 1, Control::encodeRecord(record));
         REQUIRE(outcome.m_accepted);
         revision = outcome.m_offset;
     }
--- a/Tests/LibControl/TestFold.cpp
+++ b/Tests/LibControl/TestFold.cpp
@@ -51,9 +51,9 @@
 {
     // A broken writer appends bytes that are no record. If a reader stopped there, no later change would come into force anywhere.
     Control::ControlState state;
-    REQUIRE_FALSE(Control::fold(state, 1, "nonsense").m_accepted);
-    REQUIRE_FALSE(Control::fold(state, 2, std::string(100, '\x91')).m_accepted);
-    REQUIRE_FALSE(Control::fold(state, 3, "").m_accepted);
+    REQUIRE_FALSE(Control::applyRecord(state, 1, "nonsense").m_accepted);
+    REQUIRE_FALSE(Control::applyRecord(state, 2, std::string(100, '\x91')).m_accepted);
+    REQUIRE_FALSE(Control::applyRecord(state, 3, "").m_accepted);
     Control::Template invalid = document("t", {account("a", '1', 0)});
     REQUIRE_FALSE(foldNext(state, publish("r4", 0, invalid)).m_accepted);
     invalid = document("t", {account("a", 'x', 1)});
--- a/Tests/LibControl/TestInterleavings.cpp
+++ b/Tests/LibControl/TestInterleavings.cpp
@@ -97,7 +97,7 @@
     }
     Control::ControlState state = reader.m_state;
     for (const Protocol::LogRecord &record : following.m_records) {
-        Control::fold(state, record.m_offset, record.m_body);
+        Control::applyRecord(state, record.m_offset, record.m_body);
     }
     return Control::covers(state, reader.m_state) ? std::optional<Control::ControlState>(std::move(state)) : std::nullopt;
 }
--- a/Tests/LibControl/TestPropagation.cpp
+++ b/Tests/LibControl/TestPropagation.cpp
@@ -106,8 +106,8 @@
     }));
     REQUIRE(eventually([&site, &outcome] {
         for (const std::unique_ptr<AgentProcess> &one : site.m_agents) {
-            const std::map<std::string, Control::AppliedAt> applied = site.m_entries.front()->m_feed.applied();
-            const std::map<std::string, Control::AppliedAt>::const_iterator found = applied.find(one->m_member.m_id);
+            const std::map<std::string, Control::SubscriberStatus> applied = site.m_entries.front()->m_feed.subscriberStatuses();
+            const std::map<std::string, Control::SubscriberStatus>::const_iterator found = applied.find(one->m_member.m_id);
             if (found == applied.end() || found->second.m_applied < outcome.value().m_offset) {
                 return false;
             }
--- a/Tests/LibControl/TestRecovery.cpp
+++ b/Tests/LibControl/TestRecovery.cpp
@@ -30,7 +30,7 @@
     REQUIRE(following);
     REQUIRE(following.value().m_holdsHistory);
     for (const Protocol::LogRecord &record : following.value().m_records) {
-        Control::fold(state, record.m_offset, record.m_body);
+        Control::applyRecord(state, record.m_offset, record.m_body);
     }
     return state;
 }
--- a/Tests/LibControl/TestStatusPage.cpp
+++ b/Tests/LibControl/TestStatusPage.cpp
@@ -41,7 +41,7 @@
     REQUIRE(page.m_deployments.front().m_serving == std::set<std::string>{"a1"});
     REQUIRE(Control::instancesBehind(page, 9) == std::vector<std::string>{"a2"});
     REQUIRE(Control::instancesBehind(page, 8).empty());
-    REQUIRE(Control::placesOf(page, page.m_deployments.front()).at("hcm-a") == Control::PlaceStatus{1, 1});
+    REQUIRE(Control::statusByFailureDomain(page, page.m_deployments.front()).at("hcm-a") == Control::FailureDomainStatus{1, 1});
 }
 
 TEST_CASE("progress counts what those that wait hold already")
@@ -49,7 +49,7 @@
     Control::StatusPage page = parse(First);
     page.m_deployments.front().m_waiting.insert("a2");
     page.m_transfers = parse(Second).m_transfers;
-    REQUIRE(Control::progressOf(page, page.m_deployments.front()) == Approx(0.875));
+    REQUIRE(Control::deploymentProgress(page, page.m_deployments.front()) == Approx(0.875));
     REQUIRE_FALSE(Control::parseStatusPage(R"({"entry":"e1","applied":"x"})", "entry"));
     REQUIRE_FALSE(Control::parseStatusPage("", "entry"));
 }
--- a/Utilities/control-benchmark/PureCosts.cpp
+++ b/Utilities/control-benchmark/PureCosts.cpp
@@ -39,7 +39,7 @@
 
 void foldNext(Control::ControlState &state, const std::string &body)
 {
-    Control::fold(state, state.m_position + 1, body);
+    Control::applyRecord(state, state.m_position + 1, body);
 }
 
 }
--- a/Utilities/oriolerail/Show.cpp
+++ b/Utilities/oriolerail/Show.cpp
@@ -36,7 +36,7 @@
     double done = 0;
     double wanted = 0;
     for (const Control::DeploymentStatus &status : page.m_deployments) {
-        done += Control::progressOf(page, status) * status.m_wanted;
+        done += Control::deploymentProgress(page, status) * status.m_wanted;
         wanted += status.m_wanted;
     }
     return wanted == 0 ? 1 : done / wanted;
@@ -55,9 +55,9 @@
     text << "revision " << page.m_applied << "\n";
     for (const Control::DeploymentStatus &deployment : page.m_deployments) {
         text << deployment.m_service << " " << deployment.m_model << " " << deployment.m_version << " (" << shortDigest(deployment.m_digest)
-             << "): " << deployment.m_serving.size() << " of " << deployment.m_wanted << " replicas serve " << bar(Control::progressOf(page, deployment))
-             << "\n";
-        for (const std::pair<const std::string, Control::PlaceStatus> &place : Control::placesOf(page, deployment)) {
+             << "): " << deployment.m_serving.size() << " of " << deployment.m_wanted << " replicas serve "
+             << bar(Control::deploymentProgress(page, deployment)) << "\n";
+        for (const std::pair<const std::string, Control::FailureDomainStatus> &place : Control::statusByFailureDomain(page, deployment)) {
             text << "  " << place.first << ": " << place.second.m_serving << " of " << place.second.m_wanted << "\n";
         }
     }
@@ -79,7 +79,7 @@
     Poco::JSON::Array::Ptr deployments = new Poco::JSON::Array;
     for (const Control::DeploymentStatus &deployment : page.m_deployments) {
         Poco::JSON::Object::Ptr places = new Poco::JSON::Object;
-        for (const std::pair<const std::string, Control::PlaceStatus> &entry : Control::placesOf(page, deployment)) {
+        for (const std::pair<const std::string, Control::FailureDomainStatus> &entry : Control::statusByFailureDomain(page, deployment)) {
             Poco::JSON::Object::Ptr place = new Poco::JSON::Object;
             place->set("wanted", entry.second.m_wanted);
             place->set("serving", entry.second.m_serving);
@@ -93,7 +93,7 @@
         row->set("plan", static_cast<Poco::UInt64>(deployment.m_plan));
         row->set("wanted", deployment.m_wanted);
         row->set("serving", static_cast<Poco::UInt64>(deployment.m_serving.size()));
-        row->set("progress", Control::progressOf(page, deployment));
+        row->set("progress", Control::deploymentProgress(page, deployment));
         row->set("places", places);
         deployments->add(row);
     }
