--- a/Libraries/LibControl/Checkpointer.cpp
+++ b/Libraries/LibControl/Checkpointer.cpp
@@ -6,13 +6,13 @@
 
 namespace Control {
 
-bool isCheckpointDue(const CheckpointSituation &situation, const CheckpointerSettings &settings)
+bool isCheckpointDue(const CheckpointStatus &situation, const CheckpointerSettings &settings)
 {
     if (situation.m_position == 0) {
         return false;
     }
     // By rank in records too: with many records the first entry gets its turn before the others see a need.
-    const Offset patience = settings.m_records + situation.m_rank * (settings.m_records / 4);
+    const Offset patience = settings.m_recordInterval + situation.m_rank * (settings.m_recordInterval / 4);
     const Core::Duration wait = settings.m_interval + settings.m_rankDelay * static_cast<std::int64_t>(situation.m_rank);
     return situation.m_position - situation.m_lastCheckpoint >= patience || situation.m_sinceLast >= wait;
 }
@@ -48,7 +48,7 @@
 
 void Checkpointer::start()
 {
-    m_worker.start([this] { return turn(); });
+    m_worker.start([this] { return runOnce(); });
 }
 
 void Checkpointer::stop()
@@ -56,7 +56,7 @@
     m_worker.stop();
 }
 
-Core::Duration Checkpointer::turn()
+Core::Duration Checkpointer::runOnce()
 {
     const std::shared_ptr<const ControlState> state = m_store.current();
     if (state->m_checkpoint > m_lastCheckpoint) {
@@ -64,24 +64,24 @@
         m_lastChange = Core::Clock::now();
     }
     const std::vector<Protocol::Member> members = m_store.members();
-    CheckpointSituation situation;
+    CheckpointStatus situation;
     situation.m_position = state->m_position;
     situation.m_lastCheckpoint = m_lastCheckpoint;
     situation.m_sinceLast = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_lastChange);
     situation.m_rank = rankAmongEntries(m_self, members, "checkpoint");
     if (!isCheckpointDue(situation, m_settings)) {
-        return m_settings.m_look;
+        return m_settings.m_checkInterval;
     }
     const Record record = makeCheckpoint(*state, m_self.m_id, Core::randomIdentifier());
     const Core::Result<Offset> appended = m_log.append(ControlStream, encodeRecord(record));
     if (!appended) {
         m_failures.add();
-        return m_settings.m_look;
+        return m_settings.m_checkInterval;
     }
     m_appended.add();
     m_lastCheckpoint = state->m_position;
     m_lastChange = Core::Clock::now();
-    return m_settings.m_look;
+    return m_settings.m_checkInterval;
 }
 
 }
--- a/Libraries/LibControl/Checkpointer.h
+++ b/Libraries/LibControl/Checkpointer.h
@@ -10,14 +10,14 @@
 struct CheckpointerSettings
 {
     std::string m_author; ///< Name of the entry.
-    Offset m_records = 64; ///< A checkpoint is due after so many records.
+    Offset m_recordInterval = 64; ///< A checkpoint is due after so many records.
     Core::Duration m_interval{60000}; ///< And after this time, so that it does not expire on a quiet log.
-    Core::Duration m_look{500}; ///< How often this duty looks.
+    Core::Duration m_checkInterval{500}; ///< How often this duty looks.
     Core::Duration m_rankDelay{300}; ///< Each entry waits its rank times this, so that one usually writes for all.
 };
 
 /// What a checkpointer knows when it decides.
-struct CheckpointSituation
+struct CheckpointStatus
 {
     Offset m_position = 0; ///< Of the state in force.
     Offset m_lastCheckpoint = 0; ///< Newest position that a checkpoint stands for; 0 if there is none.
@@ -26,7 +26,7 @@
 };
 
 /// Whether this entry should append a checkpoint now.
-bool isCheckpointDue(const CheckpointSituation &situation, const CheckpointerSettings &settings);
+bool isCheckpointDue(const CheckpointStatus &situation, const CheckpointerSettings &settings);
 
 /**
  * Appends a checkpoint in time, on a thread of its own.
@@ -44,7 +44,7 @@
     void stop();
 
 private:
-    Core::Duration turn();
+    Core::Duration runOnce();
 
     Platform::Log &m_log;
     StateStore &m_store;
--- a/Libraries/LibControl/Duty.cpp
+++ b/Libraries/LibControl/Duty.cpp
@@ -24,7 +24,7 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_stopping = true;
     }
-    m_changed.notify_all();
+    m_wakeCondition.notify_all();
     if (m_thread.joinable()) {
         m_thread.join();
     }
@@ -36,7 +36,7 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_woken = true;
     }
-    m_changed.notify_all();
+    m_wakeCondition.notify_all();
 }
 
 bool Worker::isStopping() const
@@ -48,7 +48,7 @@
 bool Worker::pause(Core::Duration duration)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    m_changed.wait_for(lock, duration, [this] { return m_stopping; });
+    m_wakeCondition.wait_for(lock, duration, [this] { return m_stopping; });
     return m_stopping;
 }
 
@@ -57,7 +57,7 @@
     while (!isStopping()) {
         const Core::Duration wait = turn();
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_changed.wait_for(lock, wait, [this] { return m_stopping || m_woken; });
+        m_wakeCondition.wait_for(lock, wait, [this] { return m_stopping || m_woken; });
         m_woken = false;
     }
 }
--- a/Libraries/LibControl/Duty.h
+++ b/Libraries/LibControl/Duty.h
@@ -34,7 +34,7 @@
     void run(const std::function<Core::Duration()> &turn);
 
     mutable std::mutex m_mutex;
-    std::condition_variable m_changed;
+    std::condition_variable m_wakeCondition;
     bool m_stopping = false;
     bool m_woken = false;
     std::thread m_thread;
--- a/Libraries/LibControl/FeedChoice.cpp
+++ b/Libraries/LibControl/FeedChoice.cpp
@@ -36,7 +36,7 @@
 
 }
 
-std::vector<Core::Address> chooseFeeds(const Protocol::Member &self,
+std::vector<Core::Address> selectFeeds(const Protocol::Member &self,
                                        std::span<const Protocol::Member> members,
                                        std::span<const Core::Address> seeds,
                                        const std::set<Core::Address> &avoided,
--- a/Libraries/LibControl/FeedChoice.h
+++ b/Libraries/LibControl/FeedChoice.h
@@ -16,7 +16,7 @@
  * Entries feed each other while the log is down, so what any one of them knows must reach all: each subscribes to the
  * next one in the order of their names, which makes a ring through all of them, and to others by rendezvous weight.
  */
-std::vector<Core::Address> chooseFeeds(const Protocol::Member &self,
+std::vector<Core::Address> selectFeeds(const Protocol::Member &self,
                                        std::span<const Protocol::Member> members,
                                        std::span<const Core::Address> seeds,
                                        const std::set<Core::Address> &avoided,
--- a/Libraries/LibControl/InstanceListDuty.cpp
+++ b/Libraries/LibControl/InstanceListDuty.cpp
@@ -19,7 +19,7 @@
 
 void InstanceListWorker::start()
 {
-    m_worker.start([this] { return turn(); });
+    m_worker.start([this] { return runOnce(); });
 }
 
 void InstanceListWorker::stop()
@@ -27,7 +27,7 @@
     m_worker.stop();
 }
 
-Core::Duration InstanceListWorker::turn()
+Core::Duration InstanceListWorker::runOnce()
 {
     const Core::Result<std::vector<Protocol::Member>> listed = m_list.instances();
     if (!listed) {
--- a/Libraries/LibControl/InstanceListDuty.h
+++ b/Libraries/LibControl/InstanceListDuty.h
@@ -18,7 +18,7 @@
     void stop();
 
 private:
-    Core::Duration turn();
+    Core::Duration runOnce();
 
     Platform::InstanceList &m_list;
     StateStore &m_store;
--- a/Libraries/LibControl/LogFollowing.cpp
+++ b/Libraries/LibControl/LogFollowing.cpp
@@ -20,30 +20,31 @@
 
 }
 
-Core::Result<Following> followLog(Platform::Log &log, const ControlState &state)
+Core::Result<LogContinuation> readContinuation(Platform::Log &log, const ControlState &state)
 {
     Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(ControlStream, state.m_position, AtOnce));
     if (!holdsHistory(page, state)) {
-        return Following{false, {}};
+        return LogContinuation{false, {}};
     }
     page.m_records.erase(page.m_records.begin());
-    return Following{true, std::move(page.m_records)};
+    return LogContinuation{true, std::move(page.m_records)};
 }
 
 Core::Result<Reconciliation> reconcile(Platform::Log &log, const ControlState &inForce)
 {
     Reconciliation result;
-    FreshState fresh = BOOST_OUTCOME_TRYX(readFresh(log, ControlStream));
+    RecoveredState fresh = BOOST_OUTCOME_TRYX(recoverFromLog(log, ControlStream));
     const bool hasState = fresh.m_state && fresh.m_state->m_applied > 0;
     if (hasState && covers(*fresh.m_state, inForce)) {
-        result.m_adopted = std::move(fresh.m_state);
+        result.m_stateToAdopt = std::move(fresh.m_state);
         return result;
     }
     if (inForce.m_applied == 0) {
         return result;
     }
-    const ControlState base = fresh.m_state ? std::move(*fresh.m_state) : BOOST_OUTCOME_TRYX(foldRetained(log, ControlStream, inForce, fresh.m_firstOffset));
-    result.m_restored = joinStates(base, inForce);
+    const ControlState base =
+        fresh.m_state ? std::move(*fresh.m_state) : BOOST_OUTCOME_TRYX(replayRetainedRecords(log, ControlStream, inForce, fresh.m_firstOffset));
+    result.m_stateToRestore = mergeStates(base, inForce);
     return result;
 }
 
--- a/Libraries/LibControl/LogFollowing.h
+++ b/Libraries/LibControl/LogFollowing.h
@@ -10,9 +10,9 @@
 namespace Control {
 
 /// What follows a state on the stream.
-struct Following
+struct LogContinuation
 {
-    bool m_holdsHistory = true; ///< False if the stream does not continue the state; there are no records then.
+    bool m_continuesHistory = true; ///< False if the stream does not continue the state; there are no records then.
     std::vector<Protocol::LogRecord> m_records; ///< From the state's position on, the next one first.
 };
 
@@ -23,13 +23,13 @@
  * belong to another history, and differ from the others for good without noticing. So the last record that was folded is
  * read once more, and its digest must be the one remembered.
  */
-Core::Result<Following> followLog(Platform::Log &log, const ControlState &state);
+Core::Result<LogContinuation> readContinuation(Platform::Log &log, const ControlState &state);
 
 /// How a state and a stream that does not continue it come together again. At most one of the two is set.
 struct Reconciliation
 {
-    std::optional<ControlState> m_adopted; ///< The stream covers the state: this is to be in force.
-    std::optional<ControlState> m_restored; ///< It does not: this is to be put back by a Restore record, and adopted once that is read.
+    std::optional<ControlState> m_stateToAdopt; ///< The stream covers the state: this is to be in force.
+    std::optional<ControlState> m_stateToRestore; ///< It does not: this is to be put back by a Restore record, and adopted once that is read.
 };
 
 /**
--- a/Libraries/LibControl/LogTail.h
+++ b/Libraries/LibControl/LogTail.h
@@ -13,10 +13,10 @@
 {
     std::string m_author; ///< Name of the process, for records that put state back.
     Core::Duration m_longPoll{1000}; ///< How long a read waits for the next record.
-    Core::Duration m_firstBackOff{100};
-    Core::Duration m_longestBackOff{2000};
+    Core::Duration m_initialBackoff{100};
+    Core::Duration m_maximumBackoff{2000};
     /// How long peers are heard before state is put back into a log that lost records, so that the newest of all is put back.
-    Core::Duration m_restorePatience{2000};
+    Core::Duration m_restoreDelay{2000};
 };
 
 /**
@@ -38,13 +38,13 @@
     bool isLogUp() const;
 
 private:
-    Core::Duration turn();
-    Core::Result<void> readOn();
-    Core::Result<void> readAfresh();
-    Core::Result<void> settleOffer(const ControlState &offered);
-    Core::Result<void> putBack(const ControlState &joined);
-    Core::Result<void> awaitRecord(Platform::Offset next);
-    void noteDivergence(const ControlState &state);
+    Core::Duration runOnce();
+    Core::Result<void> readNext();
+    Core::Result<void> reconcileWithLog();
+    Core::Result<void> resolveOffer(const ControlState &offered);
+    Core::Result<void> appendRestore(const ControlState &joined);
+    Core::Result<void> waitForRecord(Platform::Offset next);
+    void recordDivergence(const ControlState &state);
 
     Platform::Log &m_log;
     StateStore &m_store;
@@ -53,7 +53,7 @@
     Telemetry::Counter &m_divergences;
     Telemetry::Counter &m_restores;
     std::atomic<bool> m_isLogUp = false;
-    Core::Duration m_backOff; ///< Used by the duty's thread only, as are the following.
+    Core::Duration m_backoff; ///< Used by the duty's thread only, as are the following.
     std::optional<Core::Instant> m_divergedSince;
     Worker m_worker;
 };
--- a/Libraries/LibControl/MemberTable.cpp
+++ b/Libraries/LibControl/MemberTable.cpp
@@ -7,23 +7,23 @@
 
 namespace Control {
 
-bool MemberTable::isGone(const std::string &incarnation) const
+bool MemberTable::isEnded(const std::string &incarnation) const
 {
-    return !incarnation.empty() && std::find(m_gone.begin(), m_gone.end(), incarnation) != m_gone.end();
+    return !incarnation.empty() && std::find(m_endedIncarnations.begin(), m_endedIncarnations.end(), incarnation) != m_endedIncarnations.end();
 }
 
-void MemberTable::markGone(const std::string &incarnation)
+void MemberTable::markEnded(const std::string &incarnation)
 {
-    if (incarnation.empty() || isGone(incarnation)) {
+    if (incarnation.empty() || isEnded(incarnation)) {
         return;
     }
-    if (m_gone.size() >= MaximumGone) {
-        m_gone.pop_front();
+    if (m_endedIncarnations.size() >= MaximumEndedIncarnations) {
+        m_endedIncarnations.pop_front();
     }
-    m_gone.push_back(incarnation);
+    m_endedIncarnations.push_back(incarnation);
 }
 
-bool MemberTable::put(const Protocol::Member &member, Core::Instant now)
+bool MemberTable::upsert(const Protocol::Member &member, Core::Instant now)
 {
     Row &row = m_rows[member.m_id];
     row.m_lastHeard = now;
@@ -41,44 +41,44 @@
 
 bool MemberTable::announce(const Protocol::Member &member, Core::Instant now)
 {
-    if (member.m_id.empty() || isGone(member.m_incarnation)) {
+    if (member.m_id.empty() || isEnded(member.m_incarnation)) {
         return false;
     }
     const std::map<std::string, Row>::const_iterator known = m_rows.find(member.m_id);
     if (known != m_rows.end() && known->second.m_member.m_incarnation != member.m_incarnation) {
-        markGone(known->second.m_member.m_incarnation);
+        markEnded(known->second.m_member.m_incarnation);
     }
-    const bool hasChanged = put(member, now);
-    m_rows[member.m_id].m_isDirect = true;
+    const bool hasChanged = upsert(member, now);
+    m_rows[member.m_id].m_isAnnouncedHere = true;
     return hasChanged;
 }
 
 /// Whether an instance that the list does not show is gone.
 bool MemberTable::hasExpired(const Row &row, Core::Instant now)
 {
-    return row.m_wasListed || now - row.m_lastHeard >= (row.m_isDirect ? UnlistedPatience : HearsayPatience);
+    return row.m_wasListed || now - row.m_lastHeard >= (row.m_isAnnouncedHere ? UnlistedTimeout : IndirectTimeout);
 }
 
-bool MemberTable::merge(const MemberKnowledge &knowledge, Core::Instant now)
+bool MemberTable::merge(const MembershipSnapshot &knowledge, Core::Instant now)
 {
     bool hasChanged = false;
-    for (const std::string &incarnation : knowledge.m_gone) {
-        markGone(incarnation);
+    for (const std::string &incarnation : knowledge.m_endedIncarnations) {
+        markEnded(incarnation);
     }
     for (std::map<std::string, Row>::iterator it = m_rows.begin(); it != m_rows.end();) {
-        const bool hasEnded = isGone(it->second.m_member.m_incarnation);
+        const bool hasEnded = isEnded(it->second.m_member.m_incarnation);
         it = hasEnded ? m_rows.erase(it) : std::next(it);
         hasChanged = hasChanged || hasEnded;
     }
     for (const Protocol::Member &member : knowledge.m_members) {
-        if (member.m_id.empty() || member.m_incarnation.empty() || isGone(member.m_incarnation)) {
+        if (member.m_id.empty() || member.m_incarnation.empty() || isEnded(member.m_incarnation)) {
             continue;
         }
         const std::map<std::string, Row>::const_iterator known = m_rows.find(member.m_id);
         const bool knowsAnother =
             known != m_rows.end() && !known->second.m_member.m_incarnation.empty() && known->second.m_member.m_incarnation != member.m_incarnation;
         if (!knowsAnother) {
-            hasChanged = put(member, now) || hasChanged;
+            hasChanged = upsert(member, now) || hasChanged;
         }
     }
     return hasChanged;
@@ -90,7 +90,7 @@
     bool hasChanged = false;
     for (const Protocol::Member &member : members) {
         ids.insert(member.m_id);
-        hasChanged = put(member, now) || hasChanged;
+        hasChanged = upsert(member, now) || hasChanged;
     }
     const std::size_t erased = std::erase_if(m_rows, [&ids](const std::pair<const std::string, Row> &entry) { return !ids.contains(entry.first); });
     return hasChanged || erased > 0;
@@ -104,7 +104,7 @@
         ids.insert(member.m_id);
         std::map<std::string, Row>::iterator known = m_rows.find(member.m_id);
         if (known == m_rows.end()) {
-            hasChanged = put(member, now) || hasChanged;
+            hasChanged = upsert(member, now) || hasChanged;
             m_rows[member.m_id].m_wasListed = true;
             continue;
         }
@@ -123,16 +123,16 @@
             ++it;
             continue;
         }
-        markGone(it->second.m_member.m_incarnation);
+        markEnded(it->second.m_member.m_incarnation);
         it = m_rows.erase(it);
         hasChanged = true;
     }
     return hasChanged;
 }
 
-MemberKnowledge MemberTable::knowledge() const
+MembershipSnapshot MemberTable::snapshot() const
 {
-    return MemberKnowledge{members(), std::vector<std::string>(m_gone.begin(), m_gone.end())};
+    return MembershipSnapshot{members(), std::vector<std::string>(m_endedIncarnations.begin(), m_endedIncarnations.end())};
 }
 
 std::vector<Protocol::Member> MemberTable::members() const
--- a/Libraries/LibControl/PlannerDuty.cpp
+++ b/Libraries/LibControl/PlannerDuty.cpp
@@ -39,7 +39,7 @@
 
 void PlannerWorker::start()
 {
-    m_worker.start([this] { return turn(); });
+    m_worker.start([this] { return runOnce(); });
 }
 
 void PlannerWorker::stop()
@@ -47,57 +47,57 @@
     m_worker.stop();
 }
 
-Core::Duration PlannerWorker::turn()
+Core::Duration PlannerWorker::runOnce()
 {
     const std::uint64_t membersVersion = m_store.membersVersion();
     const std::shared_ptr<const ControlState> state = m_store.current();
-    const bool isUnchanged = m_pending.empty() && membersVersion == m_lastMembersVersion && state->m_chain == m_seenChain;
+    const bool isUnchanged = m_pending.empty() && membersVersion == m_lastMembersVersion && state->m_chain == m_lastChain;
     if (state->m_applied == 0 || isUnchanged) {
         return IdleTurn;
     }
     m_lastMembersVersion = membersVersion;
-    m_seenChain = state->m_chain;
+    m_lastChain = state->m_chain;
     const std::vector<Protocol::Member> members = m_store.members();
     const Core::Instant now = Core::Clock::now();
     Core::Duration wait = IdleTurn;
     for (const std::string &service : plannedServices(*state)) {
-        wait = std::min(wait, lookAfter(service, *state, members, now));
+        wait = std::min(wait, updatePlan(service, *state, members, now));
     }
     return wait;
 }
 
-Core::Duration PlannerWorker::lookAfter(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now)
+Core::Duration PlannerWorker::updatePlan(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now)
 {
     const Plan wanted = planService(service, state, members);
     if (!isPlanOutOfDate(state, wanted)) {
         m_pending.erase(service);
         return IdleTurn;
     }
-    Pending &pending = m_pending.emplace(service, Pending{wanted, now, std::nullopt, now}).first->second;
-    if (pending.m_record) {
-        const bool isSettled = findOutcome(state, *pending.m_record) != nullptr;
-        if (!isSettled && now - pending.m_appended < m_settings.m_retry) {
-            return remaining(pending.m_appended + m_settings.m_retry, now);
+    PendingPlan &pending = m_pending.emplace(service, PendingPlan{wanted, now, std::nullopt, now}).first->second;
+    if (pending.m_recordId) {
+        const bool isSettled = findOutcome(state, *pending.m_recordId) != nullptr;
+        if (!isSettled && now - pending.m_appendedAt < m_settings.m_retryDelay) {
+            return remaining(pending.m_appendedAt + m_settings.m_retryDelay, now);
         }
         // Settled and still out of date, or it never reached the log: a repeat is harmless, since it is based on the plan in force.
-        pending = Pending{wanted, now, std::nullopt, now};
+        pending = PendingPlan{wanted, now, std::nullopt, now};
     }
     const std::size_t rank = rankAmongEntries(m_self, members, service);
-    const Core::Instant due = pending.m_since + m_settings.m_settle + m_settings.m_rankDelay * static_cast<std::int64_t>(rank);
+    const Core::Instant due = pending.m_since + m_settings.m_settleDelay + m_settings.m_rankDelay * static_cast<std::int64_t>(rank);
     if (now < due) {
         return remaining(due, now);
     }
-    pending.m_wanted = wanted;
+    pending.m_plan = wanted;
     append(service, state, pending, now);
-    return m_settings.m_retry;
+    return m_settings.m_retryDelay;
 }
 
-void PlannerWorker::append(const std::string &service, const ControlState &state, Pending &pending, Core::Instant now)
+void PlannerWorker::append(const std::string &service, const ControlState &state, PendingPlan &pending, Core::Instant now)
 {
     const std::map<std::string, Plan>::const_iterator current = state.m_plans.find(service);
     const Offset basedOn = current == state.m_plans.end() ? 0 : current->second.m_offset;
-    const Record record{Core::randomIdentifier(), m_self.m_id, PublishPlan{basedOn, pending.m_wanted}};
-    pending.m_appended = now;
+    const Record record{Core::randomIdentifier(), m_self.m_id, PublishPlan{basedOn, pending.m_plan}};
+    pending.m_appendedAt = now;
     const Core::Result<Offset> appended = m_log.append(ControlStream, encodeRecord(record));
     if (appended) {
         m_plansAppended.add();
@@ -106,9 +106,9 @@
     }
     const bool mayHaveTakenEffect = appended || appended.error().m_code == Core::ErrorCode::Ambiguous;
     if (mayHaveTakenEffect) {
-        pending.m_record = record.m_id;
+        pending.m_recordId = record.m_id;
     } else {
-        pending.m_since = now + m_settings.m_retry;
+        pending.m_since = now + m_settings.m_retryDelay;
     }
 }
 
--- a/Libraries/LibControl/PlannerDuty.h
+++ b/Libraries/LibControl/PlannerDuty.h
@@ -14,8 +14,8 @@
 struct PlannerSettings
 {
     Core::Duration m_rankDelay{300}; ///< The entry of rank r waits r times this before it appends.
-    Core::Duration m_settle{100}; ///< Members that change together are planned together.
-    Core::Duration m_retry{1000}; ///< After an append that failed, and while a record is awaited.
+    Core::Duration m_settleDelay{100}; ///< Members that change together are planned together.
+    Core::Duration m_retryDelay{1000}; ///< After an append that failed, and while a record is awaited.
 };
 
 /**
@@ -36,17 +36,17 @@
 
 private:
     /// What this entry is about to do, or has done, for one service.
-    struct Pending
+    struct PendingPlan
     {
-        Plan m_wanted;
+        Plan m_plan;
         Core::Instant m_since; ///< When the plan in force was first seen to be out of date.
-        std::optional<std::string> m_record; ///< Id of the record that was appended.
-        Core::Instant m_appended;
+        std::optional<std::string> m_recordId; ///< Id of the record that was appended.
+        Core::Instant m_appendedAt;
     };
 
-    Core::Duration turn();
-    Core::Duration lookAfter(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now);
-    void append(const std::string &service, const ControlState &state, Pending &pending, Core::Instant now);
+    Core::Duration runOnce();
+    Core::Duration updatePlan(const std::string &service, const ControlState &state, const std::vector<Protocol::Member> &members, Core::Instant now);
+    void append(const std::string &service, const ControlState &state, PendingPlan &pending, Core::Instant now);
 
     Platform::Log &m_log;
     StateStore &m_store;
@@ -54,9 +54,9 @@
     const PlannerSettings m_settings;
     Telemetry::Counter &m_plansAppended;
     Telemetry::Counter &m_appendFailures;
-    std::map<std::string, Pending> m_pending; ///< By service; used by the duty's thread only.
+    std::map<std::string, PendingPlan> m_pending; ///< By service; used by the duty's thread only.
     std::uint64_t m_lastMembersVersion = 0;
-    std::string m_seenChain;
+    std::string m_lastChain;
     Worker m_worker;
 };
 
--- a/Libraries/LibControl/Publisher.cpp
+++ b/Libraries/LibControl/Publisher.cpp
@@ -31,10 +31,10 @@
 {
     // Between the loss of the oldest records and the next checkpoint a reader finds no state. Entries append one within a few looks.
     const Core::Instant deadline = Core::Clock::now() + CheckpointPatience;
-    FreshState fresh = BOOST_OUTCOME_TRYX(readFresh(m_log, ControlStream));
+    RecoveredState fresh = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
     while (!fresh.m_state && Core::Clock::now() < deadline) {
         std::this_thread::sleep_for(RetryInterval);
-        fresh = BOOST_OUTCOME_TRYX(readFresh(m_log, ControlStream));
+        fresh = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
     }
     if (!fresh.m_state) {
         return Core::makeError(Core::ErrorCode::Unavailable, "read control state", "", "the log holds no usable checkpoint; an entry will append one");
@@ -50,10 +50,10 @@
     if (!appended && appended.error().m_code != Core::ErrorCode::Ambiguous) {
         return appended.error();
     }
-    return readBack(record.m_id, deadline);
+    return awaitOutcome(record.m_id, deadline);
 }
 
-Core::Result<RecordOutcome> Publisher::readBack(const std::string &record, Core::Instant deadline)
+Core::Result<RecordOutcome> Publisher::awaitOutcome(const std::string &record, Core::Instant deadline)
 {
     Core::Error lastError = Core::makeError(Core::ErrorCode::Ambiguous, "read back", "", "record " + record + " did not show up in time");
     while (Core::Clock::now() < deadline) {
--- a/Libraries/LibControl/Publisher.h
+++ b/Libraries/LibControl/Publisher.h
@@ -30,7 +30,7 @@
     Core::Result<RecordOutcome> publish(const Record &record, Core::Duration patience);
 
 private:
-    Core::Result<RecordOutcome> readBack(const std::string &record, Core::Instant deadline);
+    Core::Result<RecordOutcome> awaitOutcome(const std::string &record, Core::Instant deadline);
 
     Platform::Log &m_log;
     ControlState m_state;
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -203,7 +203,7 @@
     return newer.m_applied >= older.m_applied && coversTemplates(newer, older) && coversRemovals(newer, older) && coversPlans(newer, older);
 }
 
-ControlState joinStates(const ControlState &base, const ControlState &kept)
+ControlState mergeStates(const ControlState &base, const ControlState &kept)
 {
     ControlState joined = base;
     joined.m_applied = std::max(base.m_applied, kept.m_applied) + 1;
@@ -221,7 +221,7 @@
     return Record{id, author, Restore{state.m_position, std::move(digest), std::move(encoded)}};
 }
 
-Core::Result<ControlState> foldRetained(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first)
+Core::Result<ControlState> replayRetainedRecords(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first)
 {
     Platform::Offset from = first;
     while (true) {
@@ -243,9 +243,9 @@
 namespace {
 
 /// Fails with NotFound if a record expires before it is read.
-Core::Result<FreshState> readWholeOnce(Platform::Log &log, const std::string &stream)
+Core::Result<RecoveredState> readWholeOnce(Platform::Log &log, const std::string &stream)
 {
-    FreshState fresh;
+    RecoveredState fresh;
     std::optional<ControlState> start;
     Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, 1, Platform::ReadOptions{PageRecords, Core::Duration(0)}));
     fresh.m_firstOffset = page.m_first;
@@ -274,16 +274,16 @@
     }
     ControlState state = start ? std::move(*start) : ControlState();
     const Platform::Offset following = state.m_position + 1;
-    fresh.m_state = BOOST_OUTCOME_TRYX(foldRetained(log, stream, std::move(state), following));
+    fresh.m_state = BOOST_OUTCOME_TRYX(replayRetainedRecords(log, stream, std::move(state), following));
     fresh.m_nextOffset = fresh.m_state->m_position + 1;
     return fresh;
 }
 
 }
 
-Core::Result<FreshState> readFresh(Platform::Log &log, const std::string &stream)
+Core::Result<RecoveredState> recoverFromLog(Platform::Log &log, const std::string &stream)
 {
-    Core::Result<FreshState> fresh = readWholeOnce(log, stream);
+    Core::Result<RecoveredState> fresh = readWholeOnce(log, stream);
     // The oldest record can expire between the look at where the log begins and the reading from there. The log is well, and the next reading begins later.
     for (int reading = 1; !fresh && fresh.error().m_code == Core::ErrorCode::NotFound && reading < WholeReadings; ++reading) {
         fresh = readWholeOnce(log, stream);
--- a/Libraries/LibControl/Recovery.h
+++ b/Libraries/LibControl/Recovery.h
@@ -21,13 +21,13 @@
  *
  * Where both gave one revision to different things, @p kept wins and gets a new revision. The joined state covers both.
  */
-ControlState joinStates(const ControlState &base, const ControlState &kept);
+ControlState mergeStates(const ControlState &base, const ControlState &kept);
 
 /// A Restore record that puts @p state behind everything that it was joined with.
 Record makeRestore(const ControlState &state, const std::string &author, const std::string &id);
 
 /// What a reader found who had nothing.
-struct FreshState
+struct RecoveredState
 {
     std::optional<ControlState> m_state; ///< Empty if the log holds neither its first record nor a usable checkpoint.
     Platform::Offset m_firstOffset = 1;
@@ -41,9 +41,9 @@
  * state remembers. One that a paused writer appended late fails that: either its records have expired, or the log lost the
  * history that it was made in and holds another record there.
  */
-Core::Result<FreshState> readFresh(Platform::Log &log, const std::string &stream);
+Core::Result<RecoveredState> recoverFromLog(Platform::Log &log, const std::string &stream);
 
 /// Folds the records of the log that are left over a state that the log has a gap to.
-Core::Result<ControlState> foldRetained(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first);
+Core::Result<ControlState> replayRetainedRecords(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first);
 
 }
--- a/Libraries/LibControl/StateFeed.cpp
+++ b/Libraries/LibControl/StateFeed.cpp
@@ -24,7 +24,7 @@
     , m_updatesSent(metrics.counter("control_updates_sent_total"))
     , m_subscribersCut(metrics.counter("control_subscribers_cut_total"))
     , m_subscribersRefused(metrics.counter("control_subscribers_refused_total"))
-    , m_arrivals(ArrivalCapacity)
+    , m_pendingSubscriptions(ArrivalCapacity)
     , m_offers(OfferCapacity)
 {
     node.handle("control.state", [this](const Wire::IncomingCall &call) { onSubscribe(call); });
@@ -41,7 +41,7 @@
 
 void StateFeed::start()
 {
-    m_worker.start([this] { return turn(); });
+    m_worker.start([this] { return runOnce(); });
 }
 
 void StateFeed::stop()
@@ -51,8 +51,8 @@
 
 std::map<std::string, SubscriberStatus> StateFeed::subscriberStatuses() const
 {
-    const std::lock_guard<std::mutex> lock(m_appliedMutex);
-    return m_applied;
+    const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
+    return m_subscriberStatuses;
 }
 
 void StateFeed::onSubscribe(const Wire::IncomingCall &call)
@@ -62,7 +62,7 @@
         call.m_responder.fail(request.error());
         return;
     }
-    if (!m_arrivals.tryPush(Arrival{std::move(request.value()), call.m_responder})) {
+    if (!m_pendingSubscriptions.tryPush(PendingSubscription{std::move(request.value()), call.m_responder})) {
         m_subscribersRefused.add();
         call.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "subscribe to state", "", "too many subscribers are waiting"));
         return;
@@ -78,9 +78,9 @@
         return;
     }
     {
-        const std::lock_guard<std::mutex> lock(m_appliedMutex);
-        const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(notice.value().m_instance);
-        const bool isCurrent = found != m_applied.end() && found->second.m_member.m_incarnation == notice.value().m_incarnation;
+        const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
+        const std::map<std::string, SubscriberStatus>::iterator found = m_subscriberStatuses.find(notice.value().m_instance);
+        const bool isCurrent = found != m_subscriberStatuses.end() && found->second.m_member.m_incarnation == notice.value().m_incarnation;
         if (isCurrent) {
             found->second.m_applied = std::max(found->second.m_applied, notice.value().m_appliedOffset);
         }
@@ -103,7 +103,7 @@
     call.m_responder.reply("");
 }
 
-void StateFeed::takeOffers()
+void StateFeed::processOffers()
 {
     while (std::optional<std::string> encoded = m_offers.pop(Core::Duration(0))) {
         Core::Result<ControlState> state = decodeState(*encoded, "");
@@ -116,9 +116,9 @@
 /// Whether the subscriber has had more in force than this entry for so long that the entry should ask for it.
 bool StateFeed::isAhead(Subscription &subscription, Offset applied, Core::Instant now) const
 {
-    const std::lock_guard<std::mutex> lock(m_appliedMutex);
-    const std::map<std::string, SubscriberStatus>::const_iterator found = m_applied.find(subscription.m_member.m_id);
-    if (found == m_applied.end() || found->second.m_applied <= applied) {
+    const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
+    const std::map<std::string, SubscriberStatus>::const_iterator found = m_subscriberStatuses.find(subscription.m_member.m_id);
+    if (found == m_subscriberStatuses.end() || found->second.m_applied <= applied) {
         subscription.m_aheadSince = Core::Instant();
         return false;
     }
@@ -149,13 +149,13 @@
     call.m_responder.reply(Wire::pack(Protocol::FenceAnswer{planOffset, state->m_applied}));
 }
 
-void StateFeed::noteSubscribed(const Protocol::Member &member, bool isSubscribed)
+void StateFeed::recordSubscribed(const Protocol::Member &member, bool isSubscribed)
 {
-    const std::lock_guard<std::mutex> lock(m_appliedMutex);
-    const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(member.m_id);
-    if (found == m_applied.end()) {
-        if (isSubscribed && m_applied.size() < MaximumSubscribers) {
-            m_applied[member.m_id] = SubscriberStatus{member, 0, true};
+    const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
+    const std::map<std::string, SubscriberStatus>::iterator found = m_subscriberStatuses.find(member.m_id);
+    if (found == m_subscriberStatuses.end()) {
+        if (isSubscribed && m_subscriberStatuses.size() < MaximumSubscribers) {
+            m_subscriberStatuses[member.m_id] = SubscriberStatus{member, 0, true};
         }
         return;
     }
@@ -167,9 +167,9 @@
     }
 }
 
-void StateFeed::admitArrivals()
+void StateFeed::admitSubscriptions()
 {
-    while (std::optional<Arrival> arrival = m_arrivals.pop(Core::Duration(0))) {
+    while (std::optional<PendingSubscription> arrival = m_pendingSubscriptions.pop(Core::Duration(0))) {
         const Protocol::Member &member = arrival->m_request.m_subscriber;
         if (m_subscriptions.size() >= MaximumSubscribers) {
             m_subscribersRefused.add();
@@ -177,11 +177,11 @@
             continue;
         }
         m_store.announce(member);
-        noteSubscribed(member, true);
+        recordSubscribed(member, true);
         if (arrival->m_request.m_appliedOffset > 0) {
-            const std::lock_guard<std::mutex> lock(m_appliedMutex);
-            const std::map<std::string, SubscriberStatus>::iterator found = m_applied.find(member.m_id);
-            if (found != m_applied.end()) {
+            const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
+            const std::map<std::string, SubscriberStatus>::iterator found = m_subscriberStatuses.find(member.m_id);
+            if (found != m_subscriberStatuses.end()) {
                 found->second.m_applied = std::max(found->second.m_applied, arrival->m_request.m_appliedOffset);
             }
         }
@@ -190,7 +190,7 @@
     }
 }
 
-const std::string &StateFeed::stateUpdate(const std::string &chain, const ControlState &state)
+const std::string &StateFeed::encodedStateUpdate(const std::string &chain, const ControlState &state)
 {
     const std::string key = chain + ">" + state.m_chain;
     if (m_stateUpdate.m_key == key) {
@@ -205,7 +205,7 @@
         update.m_snapshotOffset = state.m_applied;
         update.m_snapshot = encodeState(state);
     }
-    m_stateUpdate = Encoded{key, Wire::pack(update)};
+    m_stateUpdate = EncodedUpdate{key, Wire::pack(update)};
     return m_stateUpdate.m_update;
 }
 
@@ -216,22 +216,22 @@
         return;
     }
     m_membersVersion = version;
-    MemberKnowledge knowledge = m_store.memberKnowledge();
+    MembershipSnapshot knowledge = m_store.membershipSnapshot();
     Protocol::StateUpdate update;
     update.m_membersVersion = version;
     update.m_members = std::move(knowledge.m_members);
-    update.m_gone = std::move(knowledge.m_gone);
-    m_membersForEntries = Encoded{std::to_string(version), Wire::pack(update)};
+    update.m_endedIncarnations = std::move(knowledge.m_endedIncarnations);
+    m_membersForEntries = EncodedUpdate{std::to_string(version), Wire::pack(update)};
 
     std::erase_if(update.m_members, [](const Protocol::Member &member) { return member.m_role != Protocol::Role::Entry; });
-    update.m_gone.clear();
+    update.m_endedIncarnations.clear();
     const std::string entries = Wire::pack(update.m_members);
     if (m_membersForAgents.m_key != entries) {
-        m_membersForAgents = Encoded{entries, Wire::pack(update)};
+        m_membersForAgents = EncodedUpdate{entries, Wire::pack(update)};
     }
 }
 
-const StateFeed::Encoded &StateFeed::membersFor(const Subscription &subscription) const
+const StateFeed::EncodedUpdate &StateFeed::membersFor(const Subscription &subscription) const
 {
     return subscription.m_member.m_role == Protocol::Role::Agent ? m_membersForAgents : m_membersForEntries;
 }
@@ -247,18 +247,18 @@
     return false;
 }
 
-bool StateFeed::serve(Subscription &subscription, Core::Instant now)
+bool StateFeed::sendDueUpdates(Subscription &subscription, Core::Instant now)
 {
     if (subscription.m_responder.isCancelled()) {
         return false;
     }
-    if (now - subscription.m_announced >= AnnounceInterval) {
-        subscription.m_announced = now;
+    if (now - subscription.m_announcedAt >= AnnounceInterval) {
+        subscription.m_announcedAt = now;
         m_store.announce(subscription.m_member);
     }
     const std::shared_ptr<const ControlState> state = m_store.current();
     if (state->m_applied > 0 && subscription.m_chain != state->m_chain) {
-        const std::string &update = stateUpdate(subscription.m_chain, *state);
+        const std::string &update = encodedStateUpdate(subscription.m_chain, *state);
         subscription.m_chain = state->m_chain;
         if (!deliver(subscription, update)) {
             return false;
@@ -271,29 +271,29 @@
             return false;
         }
     }
-    const Encoded &members = membersFor(subscription);
-    if (members.m_key != subscription.m_membersKey && now - subscription.m_membersSent >= MembersInterval) {
+    const EncodedUpdate &members = membersFor(subscription);
+    if (members.m_key != subscription.m_membersKey && now - subscription.m_membersSentAt >= MembersInterval) {
         subscription.m_membersKey = members.m_key;
-        subscription.m_membersSent = now;
+        subscription.m_membersSentAt = now;
         return deliver(subscription, members.m_update);
     }
     return true;
 }
 
-Core::Duration StateFeed::turn()
+Core::Duration StateFeed::runOnce()
 {
-    admitArrivals();
-    takeOffers();
+    admitSubscriptions();
+    processOffers();
     refreshMembers();
     const Core::Instant now = Core::Clock::now();
     bool owesMembers = false;
     for (std::vector<Subscription>::iterator it = m_subscriptions.begin(); it != m_subscriptions.end();) {
-        if (serve(*it, now)) {
+        if (sendDueUpdates(*it, now)) {
             owesMembers = owesMembers || it->m_membersKey != membersFor(*it).m_key;
             ++it;
             continue;
         }
-        noteSubscribed(it->m_member, false);
+        recordSubscribed(it->m_member, false);
         it = m_subscriptions.erase(it);
     }
     return owesMembers ? MembersInterval : IdleTurn;
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -45,19 +45,19 @@
         Wire::Responder m_responder;
         std::string m_chain; ///< History that the subscriber has, or is being sent.
         std::string m_membersKey; ///< Of the update on members that was sent last.
-        Core::Instant m_membersSent; ///< When.
-        Core::Instant m_announced; ///< When the store was last told that the subscriber is there.
+        Core::Instant m_membersSentAt; ///< When.
+        Core::Instant m_announcedAt; ///< When the store was last told that the subscriber is there.
         Core::Instant m_aheadSince; ///< Since when the subscriber has been seen to be ahead of this entry; none if it is not.
     };
 
     /// An update that is the same for many subscribers, encoded once.
-    struct Encoded
+    struct EncodedUpdate
     {
         std::string m_key; ///< Of what is in it; empty if there is none yet.
         std::string m_update;
     };
 
-    struct Arrival
+    struct PendingSubscription
     {
         Protocol::StateRequest m_request;
         Wire::Responder m_responder;
@@ -67,31 +67,31 @@
     void onApplied(const Wire::IncomingCall &call);
     void onOffer(const Wire::IncomingCall &call);
     void onFence(const Wire::IncomingCall &call) const;
-    Core::Duration turn();
-    void admitArrivals();
-    void takeOffers();
+    Core::Duration runOnce();
+    void admitSubscriptions();
+    void processOffers();
     bool isAhead(Subscription &subscription, Offset applied, Core::Instant now) const;
-    bool serve(Subscription &subscription, Core::Instant now);
-    const std::string &stateUpdate(const std::string &chain, const ControlState &state);
+    bool sendDueUpdates(Subscription &subscription, Core::Instant now);
+    const std::string &encodedStateUpdate(const std::string &chain, const ControlState &state);
     void refreshMembers();
-    const Encoded &membersFor(const Subscription &subscription) const;
+    const EncodedUpdate &membersFor(const Subscription &subscription) const;
     bool deliver(const Subscription &subscription, const std::string &update);
-    void noteSubscribed(const Protocol::Member &member, bool isSubscribed);
+    void recordSubscribed(const Protocol::Member &member, bool isSubscribed);
 
     StateStore &m_store;
     Telemetry::Counter &m_updatesSent;
     Telemetry::Counter &m_subscribersCut;
     Telemetry::Counter &m_subscribersRefused;
-    Core::Ring<Arrival> m_arrivals;
+    Core::Ring<PendingSubscription> m_pendingSubscriptions;
     Core::Ring<std::string> m_offers; ///< Encoded states.
     std::vector<Subscription> m_subscriptions; ///< Used by the duty's thread only.
-    Encoded m_stateUpdate; ///< Used by the duty's thread only, as are the following.
-    Encoded m_membersForEntries;
+    EncodedUpdate m_stateUpdate; ///< Used by the duty's thread only, as are the following.
+    EncodedUpdate m_membersForEntries;
     /// Agents need to know entries only. Sent all members, each would get hundreds of kilobytes whenever any instance came or went.
-    Encoded m_membersForAgents;
+    EncodedUpdate m_membersForAgents;
     std::uint64_t m_membersVersion = 0; ///< Of the store's members when they were last encoded.
-    mutable std::mutex m_appliedMutex;
-    std::map<std::string, SubscriberStatus> m_applied; ///< By instance; at most MaximumSubscribers.
+    mutable std::mutex m_subscriberStatusesMutex;
+    std::map<std::string, SubscriberStatus> m_subscriberStatuses; ///< By instance; at most MaximumSubscribers.
     Worker m_worker;
 };
 
--- a/Libraries/LibControl/StateStore.cpp
+++ b/Libraries/LibControl/StateStore.cpp
@@ -36,13 +36,13 @@
     return current()->m_applied > 0;
 }
 
-void StateStore::remember(Step step)
+void StateStore::storeRecentRecord(AppliedRecord step)
 {
-    m_stepBytes += step.m_record.m_body.size();
-    m_steps.push_back(std::move(step));
-    while (m_steps.size() > MaximumSteps || (m_stepBytes > MaximumStepBytes && m_steps.size() > 1)) {
-        m_stepBytes -= m_steps.front().m_record.m_body.size();
-        m_steps.pop_front();
+    m_recentRecordBytes += step.m_record.m_body.size();
+    m_recentRecords.push_back(std::move(step));
+    while (m_recentRecords.size() > MaximumSteps || (m_recentRecordBytes > MaximumStepBytes && m_recentRecords.size() > 1)) {
+        m_recentRecordBytes -= m_recentRecords.front().m_record.m_body.size();
+        m_recentRecords.pop_front();
     }
 }
 
@@ -52,18 +52,18 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         std::size_t known = 0;
         if (baseChain != m_state->m_chain) {
-            const auto follows = [&baseChain](const Step &step) { return step.m_before == baseChain; };
-            const std::deque<Step>::const_iterator base = std::find_if(m_steps.begin(), m_steps.end(), follows);
-            if (base == m_steps.end()) {
+            const auto follows = [&baseChain](const AppliedRecord &step) { return step.m_chainBefore == baseChain; };
+            const std::deque<AppliedRecord>::const_iterator base = std::find_if(m_recentRecords.begin(), m_recentRecords.end(), follows);
+            if (base == m_recentRecords.end()) {
                 return ApplyResult::Gap;
             }
-            known = static_cast<std::size_t>(m_steps.end() - base);
+            known = static_cast<std::size_t>(m_recentRecords.end() - base);
         }
         if (known >= records.size()) {
             return ApplyResult::AlreadyKnown;
         }
         std::shared_ptr<ControlState> next = std::make_shared<ControlState>(*m_state);
-        std::vector<Step> steps;
+        std::vector<AppliedRecord> steps;
         for (const Protocol::LogRecord &record : records.subspan(known)) {
             if (next->m_position + 1 != record.m_offset) {
                 return ApplyResult::Gap;
@@ -71,7 +71,7 @@
             const std::string before = next->m_chain;
             const RecordOutcome outcome = applyRecord(*next, record.m_offset, record.m_body);
             (outcome.m_accepted ? m_recordsApplied : m_recordsRefused).add();
-            steps.push_back(Step{before, next->m_chain, record});
+            steps.push_back(AppliedRecord{before, next->m_chain, record});
         }
         if (!covers(*next, *m_state)) {
             // A restore record by a writer that did not know what this process has accepted. Refusing it keeps that in force;
@@ -79,12 +79,12 @@
             m_snapshotsRefused.add();
             return ApplyResult::Refused;
         }
-        for (Step &step : steps) {
-            remember(std::move(step));
+        for (AppliedRecord &step : steps) {
+            storeRecentRecord(std::move(step));
         }
         m_state = std::move(next);
     }
-    announceChange();
+    notifyChange();
     return ApplyResult::Applied;
 }
 
@@ -101,11 +101,11 @@
             return ApplyResult::Refused;
         }
         m_snapshotsApplied.add();
-        m_steps.clear();
-        m_stepBytes = 0;
+        m_recentRecords.clear();
+        m_recentRecordBytes = 0;
         m_state = std::make_shared<const ControlState>(std::move(snapshot));
     }
-    announceChange();
+    notifyChange();
     return ApplyResult::Applied;
 }
 
@@ -118,19 +118,19 @@
         return;
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_offered = std::move(state);
+    m_offeredState = std::move(state);
 }
 
-std::optional<ControlState> StateStore::offered() const
+std::optional<ControlState> StateStore::offeredState() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_offered;
+    return m_offeredState;
 }
 
-void StateStore::dropOffered()
+void StateStore::clearOfferedState()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_offered.reset();
+    m_offeredState.reset();
 }
 
 std::vector<Protocol::Member> StateStore::members() const
@@ -139,10 +139,10 @@
     return m_members.members();
 }
 
-MemberKnowledge StateStore::memberKnowledge() const
+MembershipSnapshot StateStore::membershipSnapshot() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_members.knowledge();
+    return m_members.snapshot();
 }
 
 std::uint64_t StateStore::membersVersion() const
@@ -161,7 +161,7 @@
         }
         ++m_membersVersion;
     }
-    announceChange();
+    notifyChange();
 }
 
 void StateStore::announce(const Protocol::Member &member)
@@ -169,7 +169,7 @@
     changeMembers([&member](MemberTable &table) { return table.announce(member, Core::Clock::now()); });
 }
 
-void StateStore::mergeMembers(const MemberKnowledge &knowledge)
+void StateStore::mergeMembers(const MembershipSnapshot &knowledge)
 {
     changeMembers([&knowledge](MemberTable &table) { return table.merge(knowledge, Core::Clock::now()); });
 }
@@ -190,13 +190,13 @@
     if (baseChain == m_state->m_chain) {
         return std::vector<Protocol::LogRecord>();
     }
-    const auto follows = [&baseChain](const Step &step) { return step.m_before == baseChain; };
-    const std::deque<Step>::const_iterator base = std::find_if(m_steps.begin(), m_steps.end(), follows);
-    if (base == m_steps.end()) {
+    const auto follows = [&baseChain](const AppliedRecord &step) { return step.m_chainBefore == baseChain; };
+    const std::deque<AppliedRecord>::const_iterator base = std::find_if(m_recentRecords.begin(), m_recentRecords.end(), follows);
+    if (base == m_recentRecords.end()) {
         return std::nullopt;
     }
     std::vector<Protocol::LogRecord> records;
-    for (std::deque<Step>::const_iterator it = base; it != m_steps.end(); ++it) {
+    for (std::deque<AppliedRecord>::const_iterator it = base; it != m_recentRecords.end(); ++it) {
         records.push_back(it->m_record);
     }
     return records;
@@ -207,7 +207,7 @@
     m_callbacks.push_back(std::move(callback));
 }
 
-void StateStore::announceChange() const
+void StateStore::notifyChange() const
 {
     for (const std::function<void()> &callback : m_callbacks) {
         callback();
--- a/Libraries/LibControl/StateStore.h
+++ b/Libraries/LibControl/StateStore.h
@@ -59,16 +59,16 @@
     /// not in force here, until it has been put back into the log.
     void offer(ControlState state);
     /// What is to be put back into the log, if anything.
-    std::optional<ControlState> offered() const;
+    std::optional<ControlState> offeredState() const;
     /// The log covers what was offered.
-    void dropOffered();
+    void clearOfferedState();
 
     std::vector<Protocol::Member> members() const;
-    MemberKnowledge memberKnowledge() const;
+    MembershipSnapshot membershipSnapshot() const;
     /// Grows with every change of members(); starts at 1.
     std::uint64_t membersVersion() const;
     void announce(const Protocol::Member &member);
-    void mergeMembers(const MemberKnowledge &knowledge);
+    void mergeMembers(const MembershipSnapshot &knowledge);
     void replaceMembers(std::span<const Protocol::Member> members);
     void applyInstanceList(std::span<const Protocol::Member> listed);
 
@@ -83,17 +83,17 @@
 
 private:
     /// A record that was folded, between the history before it and the history with it.
-    struct Step
+    struct AppliedRecord
     {
-        std::string m_before;
-        std::string m_after;
+        std::string m_chainBefore;
+        std::string m_chainAfter;
         Protocol::LogRecord m_record;
     };
 
-    void announceChange() const;
+    void notifyChange() const;
     template <typename Change>
     void changeMembers(Change change);
-    void remember(Step step);
+    void storeRecentRecord(AppliedRecord step);
 
     Telemetry::Counter &m_recordsApplied;
     Telemetry::Counter &m_recordsRefused;
@@ -102,9 +102,9 @@
 
     mutable std::mutex m_mutex;
     std::shared_ptr<const ControlState> m_state; ///< m_applied only grows; each state covers the one before.
-    std::deque<Step> m_steps; ///< Newest last, each following the one before; the last ends at m_state. Bounded in number and bytes.
-    std::size_t m_stepBytes = 0;
-    std::optional<ControlState> m_offered; ///< Holds something that m_state does not cover.
+    std::deque<AppliedRecord> m_recentRecords; ///< Newest last, each following the one before; the last ends at m_state. Bounded in number and bytes.
+    std::size_t m_recentRecordBytes = 0;
+    std::optional<ControlState> m_offeredState; ///< Holds something that m_state does not cover.
     MemberTable m_members;
     std::uint64_t m_membersVersion = 1;
     std::vector<std::function<void()>> m_callbacks; ///< Fixed once threads run.
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -39,13 +39,13 @@
 
 void StateSubscriber::start()
 {
-    m_worker.start([this] { return turn(); });
+    m_worker.start([this] { return runOnce(); });
 }
 
 void StateSubscriber::stop()
 {
     m_worker.stop();
-    m_inbox->m_arrivals.close();
+    m_inbox->m_events.close();
     const std::lock_guard<std::mutex> lock(m_mutex);
     for (const std::pair<const std::uint64_t, Feed> &entry : m_feeds) {
         m_node.cancel(entry.second.m_call);
@@ -73,13 +73,13 @@
     return addresses;
 }
 
-Core::Duration StateSubscriber::turn()
+Core::Duration StateSubscriber::runOnce()
 {
-    takeArrivals();
+    processEvents();
     announceSelf();
-    chooseAndOpen();
-    acknowledge();
-    return m_inbox->m_arrivals.size() > 0 ? AtOnce : m_settings.m_turn;
+    updateFeeds();
+    sendAcknowledgements();
+    return m_inbox->m_events.size() > 0 ? AtOnce : m_settings.m_checkInterval;
 }
 
 /// An entry is a member of its own table; nobody else would keep it there while the list does not show it.
@@ -95,22 +95,22 @@
     }
 }
 
-void StateSubscriber::takeArrivals()
+void StateSubscriber::processEvents()
 {
     if (m_inbox->m_hasOverflowed.exchange(false)) {
-        retireAll();
+        closeAllFeeds();
     }
-    while (std::optional<Arrival> arrival = m_inbox->m_arrivals.pop(AtOnce)) {
+    while (std::optional<FeedEvent> arrival = m_inbox->m_events.pop(AtOnce)) {
         if (arrival->m_hasEnded) {
-            retire(arrival->m_feed, true);
+            closeFeed(arrival->m_feedId, true);
         } else {
-            receive(arrival->m_feed, arrival->m_frame);
+            handleUpdate(arrival->m_feedId, arrival->m_frame);
         }
     }
 }
 
 /// An update or the end of a stream was lost on the way to this duty. Subscribed anew, every feed starts from what is in force here.
-void StateSubscriber::retireAll()
+void StateSubscriber::closeAllFeeds()
 {
     m_overruns.add();
     const std::lock_guard<std::mutex> lock(m_mutex);
@@ -120,36 +120,36 @@
     m_feeds.clear();
 }
 
-void StateSubscriber::receive(std::uint64_t feedId, const std::string &frame)
+void StateSubscriber::handleUpdate(std::uint64_t feedId, const std::string &frame)
 {
     const Core::Result<Protocol::StateUpdate> decoded = Wire::unpack<Protocol::StateUpdate>(frame, "");
     if (!decoded) {
-        retire(feedId, true);
+        closeFeed(feedId, true);
         return;
     }
     const Protocol::StateUpdate &update = decoded.value();
     if (update.m_membersVersion > 0 && isAgent()) {
         m_store.replaceMembers(update.m_members);
     } else if (update.m_membersVersion > 0) {
-        m_store.mergeMembers(MemberKnowledge{update.m_members, update.m_gone});
+        m_store.mergeMembers(MembershipSnapshot{update.m_members, update.m_endedIncarnations});
     }
     if (update.m_snapshotOffset > 0) {
         Core::Result<ControlState> snapshot = decodeState(update.m_snapshot, "");
         if (!snapshot) {
-            retire(feedId, true);
+            closeFeed(feedId, true);
             return;
         }
         if (m_store.applySnapshot(std::move(snapshot.value())) == ApplyResult::Refused) {
-            offer(feedId);
+            offerState(feedId);
         }
     }
     if (update.m_wantsState) {
-        offer(feedId);
+        offerState(feedId);
     }
     if (!update.m_records.empty() && m_store.applyRecords(update.m_baseChain, update.m_records) == ApplyResult::Gap) {
         // The entry folded another history than this process: its snapshot decides which of the two covers the other.
         m_gaps.add();
-        retire(feedId, false);
+        closeFeed(feedId, false);
     }
 }
 
@@ -159,7 +159,7 @@
  * All entries can be replaced while the log loses records. Agents, which never read the log, are then the only ones that
  * still know what was accepted.
  */
-void StateSubscriber::offer(std::uint64_t feedId)
+void StateSubscriber::offerState(std::uint64_t feedId)
 {
     const std::shared_ptr<const ControlState> state = m_store.current();
     Protocol::StateOffer message;
@@ -167,10 +167,10 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const std::map<std::uint64_t, Feed>::iterator found = m_feeds.find(feedId);
-        if (found == m_feeds.end() || found->second.m_offered == state->m_chain) {
+        if (found == m_feeds.end() || found->second.m_offeredChain == state->m_chain) {
             return;
         }
-        found->second.m_offered = state->m_chain;
+        found->second.m_offeredChain = state->m_chain;
         address = found->second.m_address;
         message.m_instance = m_self.m_id;
     }
@@ -188,7 +188,7 @@
     return m_self.m_role == Protocol::Role::Agent;
 }
 
-void StateSubscriber::retire(std::uint64_t feedId, bool failed)
+void StateSubscriber::closeFeed(std::uint64_t feedId, bool failed)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const std::map<std::uint64_t, Feed>::iterator found = m_feeds.find(feedId);
@@ -198,12 +198,12 @@
     m_node.cancel(found->second.m_call);
     if (failed) {
         m_feedsLost.add();
-        m_avoidedUntil[found->second.m_address] = Core::Clock::now() + m_settings.m_retry;
+        m_avoidedUntil[found->second.m_address] = Core::Clock::now() + m_settings.m_retryDelay;
     }
     m_feeds.erase(found);
 }
 
-void StateSubscriber::chooseAndOpen()
+void StateSubscriber::updateFeeds()
 {
     const Core::Instant now = Core::Clock::now();
     std::erase_if(m_avoidedUntil, [now](const std::pair<const Core::Address, Core::Instant> &entry) { return entry.second <= now; });
@@ -215,7 +215,7 @@
     std::vector<Core::Address> missing;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        const std::vector<Core::Address> wanted = chooseFeeds(m_self, members, m_seeds, avoided, m_settings.m_feeds);
+        const std::vector<Core::Address> wanted = selectFeeds(m_self, members, m_seeds, avoided, m_settings.m_feedCount);
         const bool announceAnew = std::exchange(m_selfChanged, false);
         std::set<Core::Address> open;
         for (std::map<std::uint64_t, Feed>::iterator it = m_feeds.begin(); it != m_feeds.end();) {
@@ -235,13 +235,13 @@
         }
     }
     for (const Core::Address &address : missing) {
-        open(address);
+        openFeed(address);
     }
 }
 
-void StateSubscriber::open(const Core::Address &address)
+void StateSubscriber::openFeed(const Core::Address &address)
 {
-    const std::uint64_t feedId = m_nextFeed++;
+    const std::uint64_t feedId = m_nextFeedId++;
     const std::shared_ptr<const ControlState> state = m_store.current();
     Protocol::StateRequest request;
     {
@@ -255,16 +255,16 @@
     Wire::CallEvents events;
     const std::shared_ptr<Inbox> inbox = m_inbox;
     Worker &duty = m_worker;
-    const auto deliver = [inbox, &duty](Arrival arrival) {
-        if (inbox->m_arrivals.tryPush(std::move(arrival))) {
+    const auto deliver = [inbox, &duty](FeedEvent arrival) {
+        if (inbox->m_events.tryPush(std::move(arrival))) {
             duty.wake();
-        } else if (!inbox->m_arrivals.isClosed()) {
+        } else if (!inbox->m_events.isClosed()) {
             inbox->m_hasOverflowed = true;
             duty.wake();
         }
     };
-    events.m_onFrame = [deliver, feedId](std::string frame) { deliver(Arrival{feedId, std::move(frame), false}); };
-    events.m_onEnd = [deliver, feedId](const Wire::CallEnd &) { deliver(Arrival{feedId, "", true}); };
+    events.m_onFrame = [deliver, feedId](std::string frame) { deliver(FeedEvent{feedId, std::move(frame), false}); };
+    events.m_onEnd = [deliver, feedId](const Wire::CallEnd &) { deliver(FeedEvent{feedId, "", true}); };
     const Wire::CallId call = m_node.call(address, "control.state", Wire::pack(request), Wire::CallOptions{Core::Duration(0)}, std::move(events));
     const std::lock_guard<std::mutex> lock(m_mutex);
     const std::map<std::uint64_t, Feed>::iterator found = m_feeds.find(feedId);
@@ -273,7 +273,7 @@
     }
 }
 
-void StateSubscriber::acknowledge()
+void StateSubscriber::sendAcknowledgements()
 {
     const Offset applied = m_store.current()->m_applied;
     const Core::Instant now = Core::Clock::now();
@@ -285,9 +285,9 @@
         for (std::pair<const std::uint64_t, Feed> &entry : m_feeds) {
             Feed &feed = entry.second;
             // Repeated now and then, since a notice can be lost with its connection.
-            const bool isDue = feed.m_acknowledged < applied || (applied > 0 && now - feed.m_acknowledgedAt >= NoticeRepeat);
+            const bool isDue = feed.m_acknowledgedOffset < applied || (applied > 0 && now - feed.m_acknowledgedAt >= NoticeRepeat);
             if (isDue) {
-                feed.m_acknowledged = applied;
+                feed.m_acknowledgedOffset = applied;
                 feed.m_acknowledgedAt = now;
                 due.push_back(feed.m_address);
             }
--- a/Libraries/LibControl/StateSubscriber.h
+++ b/Libraries/LibControl/StateSubscriber.h
@@ -14,9 +14,9 @@
 
 struct StateSubscriberSettings
 {
-    std::size_t m_feeds = 2; ///< Entries that it is subscribed to at once.
-    Core::Duration m_retry{500}; ///< How long an entry that failed is passed over.
-    Core::Duration m_turn{200}; ///< Longest time between two looks at the choice of entries.
+    std::size_t m_feedCount = 2; ///< Entries that it is subscribed to at once.
+    Core::Duration m_retryDelay{500}; ///< How long an entry that failed is passed over.
+    Core::Duration m_checkInterval{200}; ///< Longest time between two looks at the choice of entries.
 };
 
 /**
@@ -47,9 +47,9 @@
 
 private:
     /// What a stream brought, on its way from the node's thread.
-    struct Arrival
+    struct FeedEvent
     {
-        std::uint64_t m_feed = 0;
+        std::uint64_t m_feedId = 0;
         std::string m_frame;
         bool m_hasEnded = false;
     };
@@ -58,11 +58,11 @@
     struct Inbox
     {
         explicit Inbox(std::size_t capacity)
-            : m_arrivals(capacity)
+            : m_events(capacity)
         {
         }
 
-        Core::Ring<Arrival> m_arrivals;
+        Core::Ring<FeedEvent> m_events;
         std::atomic<bool> m_hasOverflowed = false; ///< Something was refused, so no feed can be relied on any more.
     };
 
@@ -70,22 +70,22 @@
     {
         Core::Address m_address;
         Wire::CallId m_call = 0;
-        Offset m_acknowledged = 0; ///< Last offset that this entry was told is in force here.
+        Offset m_acknowledgedOffset = 0; ///< Last offset that this entry was told is in force here.
         Core::Instant m_acknowledgedAt; ///< When.
-        std::string m_offered; ///< Chain of the state that this entry was offered last.
+        std::string m_offeredChain; ///< Chain of the state that this entry was offered last.
     };
 
-    Core::Duration turn();
+    Core::Duration runOnce();
     void announceSelf();
-    void takeArrivals();
-    void retireAll();
-    void receive(std::uint64_t feedId, const std::string &frame);
+    void processEvents();
+    void closeAllFeeds();
+    void handleUpdate(std::uint64_t feedId, const std::string &frame);
     bool isAgent() const;
-    void offer(std::uint64_t feedId);
-    void retire(std::uint64_t feedId, bool failed);
-    void chooseAndOpen();
-    void open(const Core::Address &address);
-    void acknowledge();
+    void offerState(std::uint64_t feedId);
+    void closeFeed(std::uint64_t feedId, bool failed);
+    void updateFeeds();
+    void openFeed(const Core::Address &address);
+    void sendAcknowledgements();
 
     Wire::Node &m_node;
     StateStore &m_store;
@@ -101,7 +101,7 @@
     bool m_selfChanged = false;
     std::map<std::uint64_t, Feed> m_feeds; ///< By a number that is never used again.
 
-    std::uint64_t m_nextFeed = 1; ///< Used by the duty's thread only, as is the following.
+    std::uint64_t m_nextFeedId = 1; ///< Used by the duty's thread only, as is the following.
     std::map<Core::Address, Core::Instant> m_avoidedUntil;
     Worker m_worker;
 };
--- a/Libraries/LibProtocol/StateFeed.h
+++ b/Libraries/LibProtocol/StateFeed.h
@@ -39,7 +39,7 @@
     std::vector<LogRecord> m_records;
     std::uint64_t m_membersVersion = 0; ///< 0 if there are no members in this update.
     std::vector<Member> m_members; ///< Every known member, not a difference.
-    std::vector<std::string> m_gone; ///< Incarnations that have ended; the newest ones.
+    std::vector<std::string> m_endedIncarnations; ///< Incarnations that have ended; the newest ones.
     bool m_wantsState = false; ///< The entry is behind the subscriber and asks for its state (control.offer).
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("snapshot_offset", m_snapshotOffset),
@@ -48,7 +48,7 @@
                        MSGPACK_NVP("records", m_records),
                        MSGPACK_NVP("members_version", m_membersVersion),
                        MSGPACK_NVP("members", m_members),
-                       MSGPACK_NVP("gone", m_gone),
+                       MSGPACK_NVP("gone", m_endedIncarnations),
                        MSGPACK_NVP("wants_state", m_wantsState));
 };
 
--- a/Tests/LibControl/Examples.h
+++ b/Tests/LibControl/Examples.h
@@ -16,7 +16,7 @@
     return Control::AccountParameters{name, "model", std::string("v") + digest, std::string(64, digest), replicas, std::move(places), 1};
 }
 
-inline Control::Template document(const std::string &name, std::vector<Control::AccountParameters> accounts)
+inline Control::Template makeTemplate(const std::string &name, std::vector<Control::AccountParameters> accounts)
 {
     Control::Template example;
     example.m_name = name;
@@ -25,12 +25,12 @@
     return example;
 }
 
-inline Control::Record publish(const std::string &id, Control::Offset basedOn, const Control::Template &wanted, const std::string &author = "ann")
+inline Control::Record makePublishRecord(const std::string &id, Control::Offset basedOn, const Control::Template &wanted, const std::string &author = "ann")
 {
     return Control::Record{id, author, Control::PublishTemplate{basedOn, wanted}};
 }
 
-inline Control::RecordOutcome foldNext(Control::ControlState &state, const Control::Record &record)
+inline Control::RecordOutcome applyNext(Control::ControlState &state, const Control::Record &record)
 {
     return Control::applyRecord(state, state.m_position + 1, Control::encodeRecord(record));
 }
--- a/Tests/LibControl/Processes.h
+++ b/Tests/LibControl/Processes.h
@@ -43,9 +43,9 @@
     Control::LogTailSettings settings;
     settings.m_author = author;
     settings.m_longPoll = Core::Duration(200);
-    settings.m_firstBackOff = Core::Duration(20);
-    settings.m_longestBackOff = Core::Duration(100);
-    settings.m_restorePatience = Core::Duration(500);
+    settings.m_initialBackoff = Core::Duration(20);
+    settings.m_maximumBackoff = Core::Duration(100);
+    settings.m_restoreDelay = Core::Duration(500);
     return settings;
 }
 
@@ -101,10 +101,10 @@
     Control::StateStore m_store;
     Control::StateSubscriber m_subscriber;
 
-    using Watch = std::function<void(const Control::StateStore &)>;
+    using ChangeCallback = std::function<void(const Control::StateStore &)>;
 
     /// @p watch, if given, is called after each change of what is in force.
-    AgentProcess(int number, const std::vector<Core::Address> &seeds, const Watch &watch)
+    AgentProcess(int number, const std::vector<Core::Address> &seeds, const ChangeCallback &watch)
         : m_member(agent(number, "hcm-a"))
         , m_node(nodeSettings(Network::freeLoopbackAddress()), m_metrics)
         , m_store(m_metrics)
--- a/Tests/LibControl/TestDuties.cpp
+++ b/Tests/LibControl/TestDuties.cpp
@@ -35,7 +35,7 @@
         std::set<Core::Address> reached = {live.front().m_wire};
         for (std::size_t turn = 0; turn < live.size(); ++turn) {
             for (const Protocol::Member &member : live) {
-                const std::vector<Core::Address> feeds = Control::chooseFeeds(member, live, {}, {}, 2);
+                const std::vector<Core::Address> feeds = Control::selectFeeds(member, live, {}, {}, 2);
                 REQUIRE(feeds.size() == 2);
                 if (reached.contains(feeds[0]) || reached.contains(feeds[1])) {
                     reached.insert(member.m_wire);
@@ -51,7 +51,7 @@
     std::vector<Protocol::Member> known = entries(12);
     std::map<Core::Address, int> subscribers;
     for (const Protocol::Member &member : fleet(1200, {"hcm-a"})) {
-        for (const Core::Address &feed : Control::chooseFeeds(member, known, {}, {}, 2)) {
+        for (const Core::Address &feed : Control::selectFeeds(member, known, {}, {}, 2)) {
             ++subscribers[feed];
         }
     }
@@ -61,13 +61,13 @@
         REQUIRE(entry.second < 300);
     }
     const Protocol::Member member = agent(1, "hcm-a");
-    const Core::Address first = Control::chooseFeeds(member, known, {}, {}, 2).front();
-    REQUIRE(Control::chooseFeeds(member, known, {}, {first}, 2).front() != first);
+    const Core::Address first = Control::selectFeeds(member, known, {}, {}, 2).front();
+    REQUIRE(Control::selectFeeds(member, known, {}, {first}, 2).front() != first);
     for (Protocol::Member &one : known) {
         one.m_leaving = one.m_wire == first;
     }
     const std::vector<Core::Address> seeds = {first};
-    const std::vector<Core::Address> feeds = Control::chooseFeeds(member, known, seeds, {}, 12);
+    const std::vector<Core::Address> feeds = Control::selectFeeds(member, known, seeds, {}, 12);
     REQUIRE(std::find(feeds.begin(), feeds.end(), first) == feeds.end());
 }
 
@@ -75,9 +75,9 @@
 {
     // Without a new checkpoint in time the last one expires, and a fresh instance can learn nothing from the log.
     const Control::CheckpointerSettings settings;
-    Control::CheckpointSituation situation;
+    Control::CheckpointStatus situation;
     REQUIRE_FALSE(Control::isCheckpointDue(situation, settings));
-    situation.m_position = settings.m_records;
+    situation.m_position = settings.m_recordInterval;
     REQUIRE(Control::isCheckpointDue(situation, settings));
     situation.m_rank = 1;
     REQUIRE_FALSE(Control::isCheckpointDue(situation, settings));
--- a/Tests/LibControl/TestFold.cpp
+++ b/Tests/LibControl/TestFold.cpp
@@ -11,9 +11,9 @@
     // Two operators start from the same revision and publish within the same second.
     // Without the check, the later record would silently undo a change that its operator was told is accepted.
     Control::ControlState state;
-    REQUIRE(foldNext(state, publish("r1", 0, document("t", {account("a", '1', 1)}), "ann")).m_accepted);
-    REQUIRE(foldNext(state, publish("r2", 1, document("t", {account("a", '2', 1)}), "bea")).m_accepted);
-    const Control::RecordOutcome lost = foldNext(state, publish("r3", 1, document("t", {account("a", '3', 1)}), "cid"));
+    REQUIRE(applyNext(state, makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)}), "ann")).m_accepted);
+    REQUIRE(applyNext(state, makePublishRecord("r2", 1, makeTemplate("t", {account("a", '2', 1)}), "bea")).m_accepted);
+    const Control::RecordOutcome lost = applyNext(state, makePublishRecord("r3", 1, makeTemplate("t", {account("a", '3', 1)}), "cid"));
     REQUIRE_FALSE(lost.m_accepted);
     REQUIRE(lost.m_winner == 2);
     REQUIRE(lost.m_winnerAuthor == "bea");
@@ -25,22 +25,22 @@
 {
     // One operator removes a template while another, who still sees it, changes a parameter. The change must not bring it back.
     Control::ControlState state;
-    foldNext(state, publish("r1", 0, document("t", {account("a", '1', 1)})));
-    REQUIRE(foldNext(state, Control::Record{"r2", "bea", Control::RemoveTemplate{"t", 1}}).m_accepted);
-    const Control::RecordOutcome late = foldNext(state, publish("r3", 1, document("t", {account("a", '2', 1)})));
+    applyNext(state, makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)})));
+    REQUIRE(applyNext(state, Control::Record{"r2", "bea", Control::RemoveTemplate{"t", 1}}).m_accepted);
+    const Control::RecordOutcome late = applyNext(state, makePublishRecord("r3", 1, makeTemplate("t", {account("a", '2', 1)})));
     REQUIRE_FALSE(late.m_accepted);
     REQUIRE(late.m_winnerAuthor == "bea");
     REQUIRE(state.m_templates.empty());
-    REQUIRE(foldNext(state, publish("r4", 2, document("t", {account("a", '2', 1)}))).m_accepted);
+    REQUIRE(applyNext(state, makePublishRecord("r4", 2, makeTemplate("t", {account("a", '2', 1)}))).m_accepted);
 }
 
 TEST_CASE("a record that was appended twice takes effect once")
 {
     // A writer that lost the answer appends again after all. The copy must not count as a second change over somebody else's.
     Control::ControlState state;
-    const Control::Record once = publish("r1", 0, document("t", {account("a", '1', 1)}));
-    foldNext(state, once);
-    const Control::RecordOutcome again = foldNext(state, once);
+    const Control::Record once = makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)}));
+    applyNext(state, once);
+    const Control::RecordOutcome again = applyNext(state, once);
     REQUIRE(again.m_accepted);
     REQUIRE(again.m_offset == 1);
     REQUIRE(state.m_templates.at("t").m_revision == 1);
@@ -54,14 +54,14 @@
     REQUIRE_FALSE(Control::applyRecord(state, 1, "nonsense").m_accepted);
     REQUIRE_FALSE(Control::applyRecord(state, 2, std::string(100, '\x91')).m_accepted);
     REQUIRE_FALSE(Control::applyRecord(state, 3, "").m_accepted);
-    Control::Template invalid = document("t", {account("a", '1', 0)});
-    REQUIRE_FALSE(foldNext(state, publish("r4", 0, invalid)).m_accepted);
-    invalid = document("t", {account("a", 'x', 1)});
-    REQUIRE_FALSE(foldNext(state, publish("r5", 0, invalid)).m_accepted);
-    invalid = document("t", {account("a", '1', 1), account("a", '2', 1)});
-    REQUIRE_FALSE(foldNext(state, publish("r6", 0, invalid)).m_accepted);
+    Control::Template invalid = makeTemplate("t", {account("a", '1', 0)});
+    REQUIRE_FALSE(applyNext(state, makePublishRecord("r4", 0, invalid)).m_accepted);
+    invalid = makeTemplate("t", {account("a", 'x', 1)});
+    REQUIRE_FALSE(applyNext(state, makePublishRecord("r5", 0, invalid)).m_accepted);
+    invalid = makeTemplate("t", {account("a", '1', 1), account("a", '2', 1)});
+    REQUIRE_FALSE(applyNext(state, makePublishRecord("r6", 0, invalid)).m_accepted);
     REQUIRE(state.m_applied == 6);
-    REQUIRE(foldNext(state, publish("r7", 0, document("t", {account("a", '1', 1)}))).m_accepted);
+    REQUIRE(applyNext(state, makePublishRecord("r7", 0, makeTemplate("t", {account("a", '1', 1)}))).m_accepted);
     REQUIRE(state.m_templates.at("t").m_revision == 7);
 }
 
@@ -70,10 +70,10 @@
     Control::ControlState state;
     Control::Plan plan;
     plan.m_service = "drafts";
-    REQUIRE(foldNext(state, Control::Record{"p1", "e1", Control::PublishPlan{0, plan}}).m_accepted);
-    REQUIRE_FALSE(foldNext(state, Control::Record{"p2", "e2", Control::PublishPlan{0, plan}}).m_accepted);
+    REQUIRE(applyNext(state, Control::Record{"p1", "e1", Control::PublishPlan{0, plan}}).m_accepted);
+    REQUIRE_FALSE(applyNext(state, Control::Record{"p2", "e2", Control::PublishPlan{0, plan}}).m_accepted);
     REQUIRE(state.m_plans.at("drafts").m_offset == 1);
-    REQUIRE(foldNext(state, Control::Record{"p3", "e2", Control::PublishPlan{1, plan}}).m_accepted);
+    REQUIRE(applyNext(state, Control::Record{"p3", "e2", Control::PublishPlan{1, plan}}).m_accepted);
     REQUIRE(state.m_plans.at("drafts").m_offset == 3);
 }
 
@@ -81,7 +81,7 @@
 {
     Control::ControlState state;
     for (int number = 0; number < 400; ++number) {
-        foldNext(state, publish("r" + std::to_string(number), static_cast<Control::Offset>(number), document("t", {account("a", '1', 1)})));
+        applyNext(state, makePublishRecord("r" + std::to_string(number), static_cast<Control::Offset>(number), makeTemplate("t", {account("a", '1', 1)})));
     }
     REQUIRE(state.m_outcomes.size() == Control::MaximumOutcomes);
     const Core::Result<Control::ControlState> decoded = Control::decodeState(Control::encodeState(state), "");
--- a/Tests/LibControl/TestInterleavings.cpp
+++ b/Tests/LibControl/TestInterleavings.cpp
@@ -91,8 +91,8 @@
     if (reader.m_state.m_position == 0) {
         return std::nullopt;
     }
-    const Control::Following following = Control::followLog(log, reader.m_state).value();
-    if (!following.m_holdsHistory) {
+    const Control::LogContinuation following = Control::readContinuation(log, reader.m_state).value();
+    if (!following.m_continuesHistory) {
         return std::nullopt;
     }
     Control::ControlState state = reader.m_state;
@@ -113,8 +113,8 @@
         return reader.m_state.m_chain != chain;
     }
     Control::Reconciliation found = Control::reconcile(log, reader.m_state).value();
-    if (found.m_adopted) {
-        adopt(reader, std::move(*found.m_adopted));
+    if (found.m_stateToAdopt) {
+        adopt(reader, std::move(*found.m_stateToAdopt));
     }
     return reader.m_state.m_chain != chain;
 }
@@ -124,17 +124,17 @@
 {
     ModelLogAccess log(world.m_log);
     const Control::Reconciliation found = Control::reconcile(log, reader.m_state).value();
-    if (continuation(world, reader) || !found.m_restored) {
+    if (continuation(world, reader) || !found.m_stateToRestore) {
         return std::nullopt;
     }
-    return Control::makeRestore(*found.m_restored, "e", "restore-" + std::to_string(world.m_restores));
+    return Control::makeRestore(*found.m_stateToRestore, "e", "restore-" + std::to_string(world.m_restores));
 }
 
 bool operatorReads(World &world, std::size_t number)
 {
     ModelLogAccess log(world.m_log);
     Operator &reading = world.m_operators.at(number);
-    const Control::FreshState fresh = Control::readFresh(log, Control::ControlStream).value();
+    const Control::RecoveredState fresh = Control::recoverFromLog(log, Control::ControlStream).value();
     if (reading.m_hasRead || !fresh.m_state) {
         return false;
     }
@@ -153,7 +153,7 @@
     ++writing.m_appends;
     const std::string name = "op" + std::to_string(number);
     const char digest = static_cast<char>('1' + number);
-    world.m_log.m_records.push_back(Control::encodeRecord(publish(name, writing.m_basedOn, document("t", {account("a", digest, 1)}), name)));
+    world.m_log.m_records.push_back(Control::encodeRecord(makePublishRecord(name, writing.m_basedOn, makeTemplate("t", {account("a", digest, 1)}), name)));
     return true;
 }
 
--- a/Tests/LibControl/TestMemberTable.cpp
+++ b/Tests/LibControl/TestMemberTable.cpp
@@ -32,7 +32,7 @@
     REQUIRE(table.members().front().m_leaving);
     Protocol::Member early = member;
     early.m_leaving = false;
-    table.merge(Control::MemberKnowledge{{early}, {}}, Start);
+    table.merge(Control::MembershipSnapshot{{early}, {}}, Start);
     REQUIRE(table.members().front().m_leaving);
 }
 
@@ -45,13 +45,13 @@
     replacement.m_incarnation = "second life";
     table.announce(old, Start);
     table.announce(replacement, Start);
-    table.merge(Control::MemberKnowledge{{old}, {}}, Start);
+    table.merge(Control::MembershipSnapshot{{old}, {}}, Start);
     REQUIRE(table.members() == std::vector<Protocol::Member>{replacement});
     REQUIRE_FALSE(table.announce(old, Start));
 
     Control::MemberTable other;
     other.announce(old, Start);
-    REQUIRE(other.merge(table.knowledge(), Start));
+    REQUIRE(other.merge(table.snapshot(), Start));
     REQUIRE(other.members() == std::vector<Protocol::Member>{replacement});
 }
 
@@ -63,9 +63,9 @@
     table.announce(agent(2, "hcm-a"), Start);
     table.applyList({}, Start);
     REQUIRE(table.members() == std::vector<Protocol::Member>{agent(2, "hcm-a")});
-    table.merge(Control::MemberKnowledge{{agent(1, "hcm-a")}, {}}, Start);
+    table.merge(Control::MembershipSnapshot{{agent(1, "hcm-a")}, {}}, Start);
     REQUIRE(table.members().size() == 1);
-    table.applyList({}, Start + Control::UnlistedPatience);
+    table.applyList({}, Start + Control::UnlistedTimeout);
     REQUIRE(table.members().empty());
 }
 
@@ -75,13 +75,13 @@
     Control::MemberTable table;
     Control::MemberTable other;
     table.announce(agent(1, "hcm-a"), Start);
-    other.merge(table.knowledge(), Start);
-    const Core::Instant later = Start + Control::UnlistedPatience;
+    other.merge(table.snapshot(), Start);
+    const Core::Instant later = Start + Control::UnlistedTimeout;
     REQUIRE_FALSE(table.announce(agent(1, "hcm-a"), later));
     REQUIRE_FALSE(table.applyList({}, later));
     REQUIRE_FALSE(other.applyList({}, later));
     // Once it is silent, the entry that knew it directly tells the others.
-    REQUIRE(table.applyList({}, later + Control::UnlistedPatience));
-    REQUIRE(other.merge(table.knowledge(), later + Control::UnlistedPatience));
+    REQUIRE(table.applyList({}, later + Control::UnlistedTimeout));
+    REQUIRE(other.merge(table.snapshot(), later + Control::UnlistedTimeout));
     REQUIRE(other.members().empty());
 }
--- a/Tests/LibControl/TestPlanner.cpp
+++ b/Tests/LibControl/TestPlanner.cpp
@@ -15,7 +15,7 @@
 Control::ControlState stateWith(const std::vector<Control::AccountParameters> &accounts)
 {
     Control::ControlState state;
-    foldNext(state, publish("r1", 0, document("t", accounts)));
+    applyNext(state, makePublishRecord("r1", 0, makeTemplate("t", accounts)));
     return state;
 }
 
@@ -46,7 +46,7 @@
 /// Adopts the plan as the one in force.
 void putInForce(Control::ControlState &state, const Control::Plan &plan)
 {
-    REQUIRE(foldNext(state, Control::Record{"plan-" + std::to_string(state.m_applied), "e", Control::PublishPlan{plan.m_offset, plan}}).m_accepted);
+    REQUIRE(applyNext(state, Control::Record{"plan-" + std::to_string(state.m_applied), "e", Control::PublishPlan{plan.m_offset, plan}}).m_accepted);
 }
 
 std::size_t countMoves(const Control::Plan &before, const Control::Plan &after, char digest)
@@ -125,7 +125,7 @@
     const std::vector<Protocol::Member> members = fleet(24, Domains);
     const Control::Plan before = Control::planService("drafts", state, members);
     putInForce(state, before);
-    foldNext(state, publish("r2", 1, document("t", {account("a", '2', 8)})));
+    applyNext(state, makePublishRecord("r2", 1, makeTemplate("t", {account("a", '2', 8)})));
     const Control::Plan after = Control::planService("drafts", state, members);
     REQUIRE(instancesOf(after, '2') == instancesOf(before, '1'));
 }
--- a/Tests/LibControl/TestPropagation.cpp
+++ b/Tests/LibControl/TestPropagation.cpp
@@ -38,7 +38,7 @@
         m_entries.push_back(std::make_unique<EntryProcess>(number, m_addresses.at(static_cast<std::size_t>(number)), m_addresses, log));
     }
 
-    void startAgent(int number, const AgentProcess::Watch &watch = {})
+    void startAgent(int number, const AgentProcess::ChangeCallback &watch = {})
     {
         m_agents.push_back(std::make_unique<AgentProcess>(number, m_addresses, watch));
     }
@@ -47,7 +47,7 @@
     {
         Control::Publisher publisher(m_log);
         BOOST_OUTCOME_TRYV(publisher.load());
-        const Control::Record record = publish(Core::randomIdentifier(), basedOn, document("t", {account("a", digest, 2)}), author);
+        const Control::Record record = makePublishRecord(Core::randomIdentifier(), basedOn, makeTemplate("t", {account("a", digest, 2)}), author);
         return publisher.publish(record, Patience);
     }
 
@@ -69,7 +69,7 @@
     /// Whether a fresh reader of the log finds the template with this digest, put back after a loss.
     bool isPutBack(char digest)
     {
-        const Core::Result<Control::FreshState> fresh = Control::readFresh(m_log, Control::ControlStream);
+        const Core::Result<Control::RecoveredState> fresh = Control::recoverFromLog(m_log, Control::ControlStream);
         if (!fresh || !fresh.value().m_state || fresh.value().m_state->m_generation == 0) {
             return false;
         }
--- a/Tests/LibControl/TestRecovery.cpp
+++ b/Tests/LibControl/TestRecovery.cpp
@@ -20,15 +20,15 @@
 
 void appendChange(StandIn::LogStore &log, int number)
 {
-    append(log, publish("r" + std::to_string(number), static_cast<Control::Offset>(number - 1), document("t", {account("a", '1', 1)})));
+    append(log, makePublishRecord("r" + std::to_string(number), static_cast<Control::Offset>(number - 1), makeTemplate("t", {account("a", '1', 1)})));
 }
 
 /// A reader that has followed the log to its end.
 Control::ControlState followAll(StandIn::LogStore &log, Control::ControlState state)
 {
-    const Core::Result<Control::Following> following = Control::followLog(log, state);
+    const Core::Result<Control::LogContinuation> following = Control::readContinuation(log, state);
     REQUIRE(following);
-    REQUIRE(following.value().m_holdsHistory);
+    REQUIRE(following.value().m_continuesHistory);
     for (const Protocol::LogRecord &record : following.value().m_records) {
         Control::applyRecord(state, record.m_offset, record.m_body);
     }
@@ -37,7 +37,7 @@
 
 Control::ControlState readWhole(StandIn::LogStore &log)
 {
-    const Core::Result<Control::FreshState> fresh = Control::readFresh(log, Stream);
+    const Core::Result<Control::RecoveredState> fresh = Control::recoverFromLog(log, Stream);
     REQUIRE(fresh);
     REQUIRE(fresh.value().m_state.has_value());
     return *fresh.value().m_state;
@@ -53,14 +53,14 @@
     }
     const Control::ControlState atFive = readWhole(log);
     append(log, Control::makeCheckpoint(atFive, "e1", "c1"));
-    append(log, publish("r6", 5, document("t", {account("a", '2', 1)})));
+    append(log, makePublishRecord("r6", 5, makeTemplate("t", {account("a", '2', 1)})));
     const Control::ControlState old = followAll(log, atFive);
     log.expireRecordsBefore(5);
     REQUIRE(readWhole(log) == old);
     REQUIRE(old.m_checkpoint == 5);
     // Without the record at its position, nothing shows that the checkpoint belongs to this log's history.
     log.expireRecordsBefore(6);
-    REQUIRE_FALSE(Control::readFresh(log, Stream).value().m_state.has_value());
+    REQUIRE_FALSE(Control::recoverFromLog(log, Stream).value().m_state.has_value());
 }
 
 namespace {
@@ -105,10 +105,10 @@
         appendChange(log, number);
     }
     append(log, Control::makeCheckpoint(readWhole(log), "e1", "c1"));
-    append(log, publish("r6", 5, document("t", {account("a", '2', 1)})));
+    append(log, makePublishRecord("r6", 5, makeTemplate("t", {account("a", '2', 1)})));
     const Control::ControlState whole = readWhole(log);
     ExpiringLog expiring(log, 4);
-    const Core::Result<Control::FreshState> fresh = Control::readFresh(expiring, Stream);
+    const Core::Result<Control::RecoveredState> fresh = Control::recoverFromLog(expiring, Stream);
     REQUIRE(fresh);
     REQUIRE(fresh.value().m_state.has_value());
     CHECK(*fresh.value().m_state == whole);
@@ -127,11 +127,11 @@
         appendChange(log, number);
     }
     log.expireRecordsBefore(8);
-    REQUIRE_FALSE(Control::readFresh(log, Stream).value().m_state.has_value());
+    REQUIRE_FALSE(Control::recoverFromLog(log, Stream).value().m_state.has_value());
     // A checkpoint that a paused writer appends late stands for a position whose next records are gone.
     append(log, Control::makeCheckpoint(paused, "e1", "c1"));
-    REQUIRE_FALSE(Control::readFresh(log, Stream).value().m_state.has_value());
-    REQUIRE_FALSE(Control::reconcile(log, Control::ControlState()).value().m_adopted.has_value());
+    REQUIRE_FALSE(Control::recoverFromLog(log, Stream).value().m_state.has_value());
+    REQUIRE_FALSE(Control::reconcile(log, Control::ControlState()).value().m_stateToAdopt.has_value());
 }
 
 TEST_CASE("a late checkpoint by a paused writer takes nothing back")
@@ -154,10 +154,10 @@
     // A fresh instance that began with it would serve something that no other instance has.
     StandIn::LogStore log;
     appendChange(log, 1);
-    append(log, publish("lost", 0, document("lost", {account("a", '7', 1)})));
+    append(log, makePublishRecord("lost", 0, makeTemplate("lost", {account("a", '7', 1)})));
     const Control::Record late = Control::makeCheckpoint(readWhole(log), "e1", "c1");
     log.dropRecordsFrom(2);
-    append(log, publish("other", 0, document("other", {account("a", '8', 1)})));
+    append(log, makePublishRecord("other", 0, makeTemplate("other", {account("a", '8', 1)})));
     append(log, late);
     REQUIRE(readWhole(log).m_templates.contains("other"));
     REQUIRE_FALSE(readWhole(log).m_templates.contains("lost"));
@@ -171,7 +171,7 @@
     std::get<Control::Checkpoint>(record.m_change).m_state.back() ^= 1;
     append(log, record);
     log.expireRecordsBefore(2);
-    REQUIRE_FALSE(Control::readFresh(log, Stream).value().m_state.has_value());
+    REQUIRE_FALSE(Control::recoverFromLog(log, Stream).value().m_state.has_value());
 }
 
 TEST_CASE("a log that comes back without accepted records does not take them back")
@@ -180,7 +180,7 @@
     // is in force; a reader that went on with the log would drop it, and one that compared offsets only would not notice.
     StandIn::LogStore log;
     appendChange(log, 1);
-    append(log, publish("lost", 0, document("kept", {account("a", '7', 1)})));
+    append(log, makePublishRecord("lost", 0, makeTemplate("kept", {account("a", '7', 1)})));
     const Control::ControlState inForce = readWhole(log);
     log.dropRecordsFrom(2);
     SECTION("nothing was appended since")
@@ -188,11 +188,11 @@
     }
     SECTION("other records took the lost one's offset and the next")
     {
-        append(log, publish("other", 0, document("other", {account("a", '8', 1)})));
-        append(log, publish("other2", 0, document("other2", {account("a", '9', 1)})));
+        append(log, makePublishRecord("other", 0, makeTemplate("other", {account("a", '8', 1)})));
+        append(log, makePublishRecord("other2", 0, makeTemplate("other2", {account("a", '9', 1)})));
     }
-    REQUIRE_FALSE(Control::followLog(log, inForce).value().m_holdsHistory);
-    const std::optional<Control::ControlState> joined = Control::reconcile(log, inForce).value().m_restored;
+    REQUIRE_FALSE(Control::readContinuation(log, inForce).value().m_continuesHistory);
+    const std::optional<Control::ControlState> joined = Control::reconcile(log, inForce).value().m_stateToRestore;
     REQUIRE(joined.has_value());
     append(log, Control::makeRestore(*joined, "e1", "restore"));
 
@@ -200,9 +200,9 @@
     REQUIRE(Control::covers(restored, inForce));
     REQUIRE(restored.m_applied > inForce.m_applied);
     REQUIRE(restored.m_templates.contains("kept"));
-    REQUIRE(Control::reconcile(log, inForce).value().m_adopted.has_value());
+    REQUIRE(Control::reconcile(log, inForce).value().m_stateToAdopt.has_value());
     // The next change goes on above everything that was ever handed out.
-    append(log, publish("next", restored.m_templates.at("t").m_revision, document("t", {account("a", '3', 1)})));
+    append(log, makePublishRecord("next", restored.m_templates.at("t").m_revision, makeTemplate("t", {account("a", '3', 1)})));
     REQUIRE(readWhole(log).m_templates.at("t").m_revision > restored.m_applied);
 }
 
@@ -212,14 +212,14 @@
     StandIn::LogStore log;
     appendChange(log, 1);
     Control::ControlState inForce = readWhole(log);
-    foldNext(inForce, publish("lost", 0, document("kept", {account("a", '7', 1)})));
-    const Control::Record restore = Control::makeRestore(*Control::reconcile(log, inForce).value().m_restored, "e1", "restore");
-    append(log, publish("between", 1, document("t", {account("a", '5', 1)})));
+    applyNext(inForce, makePublishRecord("lost", 0, makeTemplate("kept", {account("a", '7', 1)})));
+    const Control::Record restore = Control::makeRestore(*Control::reconcile(log, inForce).value().m_stateToRestore, "e1", "restore");
+    append(log, makePublishRecord("between", 1, makeTemplate("t", {account("a", '5', 1)})));
     append(log, restore);
     const Control::ControlState state = readWhole(log);
     REQUIRE(state.m_templates.at("t").m_revision == 2);
     REQUIRE_FALSE(state.m_templates.contains("kept"));
-    append(log, Control::makeRestore(*Control::reconcile(log, inForce).value().m_restored, "e1", "again"));
+    append(log, Control::makeRestore(*Control::reconcile(log, inForce).value().m_stateToRestore, "e1", "again"));
     REQUIRE(readWhole(log).m_templates.size() == 2);
 }
 
@@ -236,8 +236,8 @@
     appendChange(log, 7);
     log.expireRecordsBefore(8);
     const Control::Reconciliation found = Control::reconcile(log, inForce).value();
-    REQUIRE(found.m_restored.has_value());
-    append(log, Control::makeRestore(*found.m_restored, "e1", "restore"));
+    REQUIRE(found.m_stateToRestore.has_value());
+    append(log, Control::makeRestore(*found.m_stateToRestore, "e1", "restore"));
     REQUIRE(Control::covers(readWhole(log), inForce));
 }
 
@@ -246,11 +246,11 @@
     Telemetry::Metrics metrics;
     Control::StateStore store(metrics);
     Control::ControlState ours;
-    foldNext(ours, publish("r1", 0, document("kept", {account("a", '1', 1)})));
+    applyNext(ours, makePublishRecord("r1", 0, makeTemplate("kept", {account("a", '1', 1)})));
     REQUIRE(store.applySnapshot(ours) == Control::ApplyResult::Applied);
     Control::ControlState other;
-    foldNext(other, publish("x1", 0, document("other", {account("a", '1', 1)})));
-    foldNext(other, publish("x2", 0, document("other2", {account("a", '1', 1)})));
+    applyNext(other, makePublishRecord("x1", 0, makeTemplate("other", {account("a", '1', 1)})));
+    applyNext(other, makePublishRecord("x2", 0, makeTemplate("other2", {account("a", '1', 1)})));
     REQUIRE(store.applySnapshot(other) == Control::ApplyResult::Refused);
     REQUIRE(store.current()->m_templates.contains("kept"));
     REQUIRE(metrics.counter("control_snapshots_refused_total").value() == 1);
