--- a/Libraries/LibEndpoint/AttemptGate.cpp
+++ b/Libraries/LibEndpoint/AttemptGate.cpp
@@ -6,13 +6,13 @@
 
 namespace Endpoint {
 
-AttemptGate::AttemptGate(std::string incarnation, AttemptGateLimits limits)
+AttemptTracker::AttemptTracker(std::string incarnation, AttemptTrackerLimits limits)
     : m_incarnation(std::move(incarnation))
     , m_limits(limits)
 {
 }
 
-Admission AttemptGate::admit(const AttemptTag &tag)
+Admission AttemptTracker::admit(const AttemptTag &tag)
 {
     if (!tag.m_incarnation.empty() && tag.m_incarnation != m_incarnation) {
         return Admission::OtherLife;
@@ -39,7 +39,7 @@
     return Admission::Admitted;
 }
 
-bool AttemptGate::begin(const std::string &attempt)
+bool AttemptTracker::begin(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (!record || record->m_state != State::Waiting) {
@@ -49,7 +49,7 @@
     return true;
 }
 
-void AttemptGate::withdraw(const std::string &attempt)
+void AttemptTracker::withdraw(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (record && (record->m_state == State::Waiting || record->m_state == State::Begun)) {
@@ -57,7 +57,7 @@
     }
 }
 
-void AttemptGate::finish(const std::string &attempt, std::int32_t status, std::string body)
+void AttemptTracker::finish(const std::string &attempt, std::int32_t status, std::string body)
 {
     Record *record = find(attempt);
     if (!record || record->m_state != State::Begun) {
@@ -75,7 +75,7 @@
     dropAnswers();
 }
 
-void AttemptGate::lose(const std::string &attempt)
+void AttemptTracker::lose(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (record && record->m_state == State::Begun) {
@@ -83,7 +83,7 @@
     }
 }
 
-void AttemptGate::cancel(const AttemptTag &tag)
+void AttemptTracker::cancel(const AttemptTag &tag)
 {
     Record *record = find(tag.m_attempt);
     if (!record) {
@@ -95,7 +95,7 @@
     }
 }
 
-Protocol::OutcomeAnswer AttemptGate::outcome(const AttemptTag &tag)
+Protocol::OutcomeAnswer AttemptTracker::outcome(const AttemptTag &tag)
 {
     if (tag.m_incarnation != m_incarnation) {
         // The attempt may have run in another life, or its entry cannot say in which. Barring it here is all that can be done.
@@ -122,33 +122,33 @@
     return Protocol::OutcomeAnswer{Protocol::Outcome::Unknown, 0, ""};
 }
 
-std::size_t AttemptGate::rememberedAttempts() const
+std::size_t AttemptTracker::rememberedAttempts() const
 {
     return m_records.size();
 }
 
-std::size_t AttemptGate::storedAnswerBytes() const
+std::size_t AttemptTracker::storedAnswerBytes() const
 {
     return m_answerBytes;
 }
 
-std::size_t AttemptGate::openAttempts() const
+std::size_t AttemptTracker::openAttempts() const
 {
     return m_records.size() - m_closed.size();
 }
 
-AttemptGate::Record *AttemptGate::find(const std::string &attempt)
+AttemptTracker::Record *AttemptTracker::find(const std::string &attempt)
 {
     const std::unordered_map<std::string, Record>::iterator it = m_records.find(attempt);
     return it == m_records.end() ? nullptr : &it->second;
 }
 
-bool AttemptGate::mayBeForgotten(const AttemptTag &tag) const
+bool AttemptTracker::mayBeForgotten(const AttemptTag &tag) const
 {
     return m_horizon && tag.m_reportSequence <= *m_horizon;
 }
 
-void AttemptGate::bar(const AttemptTag &tag)
+void AttemptTracker::bar(const AttemptTag &tag)
 {
     if (m_records.size() >= m_limits.m_maximumAttempts) {
         forgetOldest();
@@ -162,7 +162,7 @@
     close(tag.m_attempt, record, State::Tombstoned);
 }
 
-void AttemptGate::close(const std::string &attempt, Record &record, State state)
+void AttemptTracker::close(const std::string &attempt, Record &record, State state)
 {
     record.m_state = state;
     m_closed.push_back(attempt);
@@ -171,7 +171,7 @@
     }
 }
 
-void AttemptGate::forgetOldest()
+void AttemptTracker::forgetOldest()
 {
     if (m_closed.empty()) {
         return;
@@ -188,7 +188,7 @@
     m_closed.pop_front();
 }
 
-void AttemptGate::dropAnswers()
+void AttemptTracker::dropAnswers()
 {
     while (!m_answered.empty() && (m_answerBytes > m_limits.m_maximumAnswerBytes || m_answered.size() > m_limits.m_maximumAttempts)) {
         Record *oldest = find(m_answered.front());
--- a/Libraries/LibEndpoint/AttemptGate.h
+++ b/Libraries/LibEndpoint/AttemptGate.h
@@ -34,7 +34,7 @@
     Full, ///< Too many attempts are open; it never runs.
 };
 
-struct AttemptGateLimits
+struct AttemptTrackerLimits
 {
     std::size_t m_maximumAttempts = 65536; ///< Attempts that are remembered, open ones included.
     std::size_t m_maximumAnswerBytes = 16 << 20; ///< Sum of the stored answers.
@@ -54,10 +54,10 @@
  * That no forgotten attempt had the same key is the claims' matter, which outlast every agent.
  * Nothing is kept over a restart: attempts meant for another life are Unknown.
  */
-class AttemptGate
+class AttemptTracker
 {
 public:
-    AttemptGate(std::string incarnation, AttemptGateLimits limits);
+    AttemptTracker(std::string incarnation, AttemptTrackerLimits limits);
 
     /// A call has arrived.
     Admission admit(const AttemptTag &tag);
@@ -104,7 +104,7 @@
     void dropAnswers();
 
     std::string m_incarnation;
-    AttemptGateLimits m_limits;
+    AttemptTrackerLimits m_limits;
     std::unordered_map<std::string, Record> m_records; ///< By attempt; open ones and those in m_closed.
     std::unordered_map<std::string, std::string> m_attemptOfKey; ///< Attempts that were admitted and not barred or withdrawn.
     std::deque<std::string> m_closed; ///< In the order of closing; each closed attempt once.
--- a/Libraries/LibEndpoint/LiveRelay.h
+++ b/Libraries/LibEndpoint/LiveRelay.h
@@ -40,7 +40,7 @@
 struct RelaySettings
 {
     PoolLimits m_pool;
-    AttemptGateLimits m_gate;
+    AttemptTrackerLimits m_gate;
     std::size_t m_maximumAnswer = 8 << 20; ///< Of a plain service.
 
     bool operator==(const RelaySettings &other) const;
@@ -134,7 +134,7 @@
     std::atomic<bool> m_leaving = false;
 
     mutable std::mutex m_gateMutex;
-    AttemptGate m_gate;
+    AttemptTracker m_gate;
 
     mutable std::mutex m_watchMutex;
     std::condition_variable m_watchChanged;
--- a/Tests/Entry/Site.h
+++ b/Tests/Entry/Site.h
@@ -78,7 +78,7 @@
 
     FakeAgent(const std::string &id, const std::string &service)
         : m_node(settings(m_address), m_metrics)
-        , m_gate(id + "-life", Endpoint::AttemptGateLimits())
+        , m_gate(id + "-life", Endpoint::AttemptTrackerLimits())
     {
         m_report.m_member.m_id = id;
         m_report.m_member.m_incarnation = id + "-life";
@@ -237,7 +237,7 @@
     const Core::Address m_address = Network::freeLoopbackAddress();
     Wire::Node m_node;
     mutable std::mutex m_mutex;
-    Endpoint::AttemptGate m_gate;
+    Endpoint::AttemptTracker m_gate;
     Protocol::AgentReport m_report;
     std::vector<Wire::Responder> m_watchers;
     Behavior m_behavior;
