--- a/Libraries/LibEndpoint/Agent.cpp
+++ b/Libraries/LibEndpoint/Agent.cpp
@@ -23,7 +23,7 @@
     return node;
 }
 
-ReportSettings reportSettings(const DutySettings &duties)
+ReportSettings reportSettings(const WorkerSettings &duties)
 {
     ReportSettings settings;
     settings.m_interval = duties.m_reportInterval;
@@ -56,16 +56,16 @@
     , m_subscriber(m_node, m_store, m_settings.m_instance.m_member, m_settings.m_entries, m_metrics)
     , m_transfer(transferParts(m_settings, m_node, m_metrics))
     , m_relay(RelayParts{m_settings.m_relay, m_settings.m_instance.m_member, &m_client, &m_state, &m_metrics})
-    , m_status(m_client, m_state, m_settings.m_duties.m_statusInterval, m_metrics)
-    , m_orders(OrderParts{m_settings.m_duties, &m_client, &m_state, this, &m_metrics})
-    , m_reports(
-          m_settings.m_instance.m_member, m_state, [this] { return m_transfer.progress(); }, reportSettings(m_settings.m_duties), m_metrics)
+    , m_statusWorker(m_client, m_state, m_settings.m_workers.m_statusInterval, m_metrics)
+    , m_orderWorker(OrderParts{m_settings.m_workers, &m_client, &m_state, this, &m_metrics})
+    , m_reportWorker(
+          m_settings.m_instance.m_member, m_state, [this] { return m_transfer.progress(); }, reportSettings(m_settings.m_workers), m_metrics)
     , m_admin(m_settings.m_instance.m_member.m_admin, m_metrics)
 {
     m_state.onLiveTraffic([this](std::uint64_t bytes) { m_transfer.recordLiveBytes(bytes); });
     m_store.onChange([this] { onStateChange(); });
-    m_transfer.onManifestVerified([this](const std::string &) { onKnownChange(); });
-    m_transfer.onVersionComplete([this](const std::string &) { onKnownChange(); });
+    m_transfer.onManifestVerified([this](const std::string &) { onKnownWeightsChange(); });
+    m_transfer.onVersionComplete([this](const std::string &) { onKnownWeightsChange(); });
     registerMethods();
     registerPages();
 }
@@ -77,9 +77,9 @@
 
 void Agent::registerMethods()
 {
-    m_node.handle("control.watch", [this](const Wire::IncomingCall &call) { m_reports.addWatcher(call); });
-    m_node.handle("live.call", [this](const Wire::IncomingCall &call) { m_relay.accept(call); });
-    m_node.handle("live.outcome", [this](const Wire::IncomingCall &call) { m_relay.answerOutcome(call); });
+    m_node.handle("control.watch", [this](const Wire::IncomingCall &call) { m_reportWorker.addWatcher(call); });
+    m_node.handle("live.call", [this](const Wire::IncomingCall &call) { m_relay.onCall(call); });
+    m_node.handle("live.outcome", [this](const Wire::IncomingCall &call) { m_relay.onOutcomeRequest(call); });
 }
 
 void Agent::registerPages()
@@ -87,7 +87,7 @@
     m_admin.addDumpSection("instance", [this] { return dumpInstance(); });
     m_admin.addDumpSection("control", [this] { return m_store.dump(); });
     m_admin.addDumpSection("transfer", [this] { return m_transfer.dump(); });
-    m_admin.addDumpSection("orders", [this] { return m_orders.dump(); });
+    m_admin.addDumpSection("orders", [this] { return m_orderWorker.dump(); });
     m_admin.addDumpSection("live", [this] { return m_relay.dump(); });
 }
 
@@ -96,11 +96,11 @@
     BOOST_OUTCOME_TRYV(m_node.start());
     m_started = true;
     m_relay.start();
-    m_status.start();
-    m_reports.start();
+    m_statusWorker.start();
+    m_reportWorker.start();
     if (m_isModel) {
         m_transfer.start();
-        m_orders.start();
+        m_orderWorker.start();
     }
     m_subscriber.start();
     BOOST_OUTCOME_TRYV(m_admin.start());
@@ -112,7 +112,7 @@
 {
     LOG(INFO) << "leaving";
     m_relay.startLeaving();
-    m_state.change([](AgentFacts &facts) { facts.m_leaving = true; });
+    m_state.update([](KnownState &facts) { facts.m_leaving = true; });
     Protocol::Member self = m_settings.m_instance.m_member;
     self.m_leaving = true;
     m_subscriber.updateSelf(self);
@@ -121,8 +121,8 @@
 bool Agent::awaitDrained()
 {
     const Core::Instant start = Core::Clock::now();
-    while (Core::Clock::now() - start < m_settings.m_duties.m_leaveNotice || !m_relay.isDrained()) {
-        if (Core::Clock::now() - start > m_settings.m_duties.m_drainLimit) {
+    while (Core::Clock::now() - start < m_settings.m_workers.m_leaveNotice || !m_relay.isDrained()) {
+        if (Core::Clock::now() - start > m_settings.m_workers.m_drainLimit) {
             LOG(WARNING) << "the drain limit came before the last answer was complete";
             return false;
         }
@@ -141,9 +141,9 @@
     m_admin.stop();
     m_subscriber.stop();
     m_state.close();
-    m_orders.stop();
-    m_reports.stop();
-    m_status.stop();
+    m_orderWorker.stop();
+    m_reportWorker.stop();
+    m_statusWorker.stop();
     m_relay.stop();
     m_transfer.stop();
     m_node.stop();
@@ -159,8 +159,8 @@
         wanted = deploymentsOf(plan->second, self.m_id);
     }
     const Control::Offset planOffset = plan == state->m_plans.end() ? 0 : plan->second.m_offset;
-    const bool isNewPlan = planOffset > m_state.facts().m_planOffset;
-    m_state.change([&state, &wanted, planOffset](AgentFacts &facts) {
+    const bool isNewPlan = planOffset > m_state.knownState().m_planOffset;
+    m_state.update([&state, &wanted, planOffset](KnownState &facts) {
         facts.m_appliedOffset = std::max(facts.m_appliedOffset, state->m_applied);
         if (planOffset <= facts.m_planOffset) {
             return;
@@ -176,21 +176,21 @@
     }
 }
 
-void Agent::onKnownChange()
+void Agent::onKnownWeightsChange()
 {
     std::vector<KnownWeights> known;
     for (const Transfer::KnownVersion &version : m_transfer.knownVersions()) {
         known.push_back(KnownWeights{version.m_manifestDigest, version.m_contentDigest, version.m_isComplete});
     }
-    m_state.change([&known](AgentFacts &facts) { facts.m_known = known; });
+    m_state.update([&known](KnownState &facts) { facts.m_knownWeights = known; });
 }
 
 Core::Result<Control::Offset> Agent::newestPlanOffset()
 {
     const Control::Offset applied = m_store.current()->m_applied;
     Core::Error last = Core::makeError(Core::ErrorCode::Unavailable, "ask fence", "", "no entry is known");
-    for (const Core::Address &entry : entriesToAsk()) {
-        const Core::Result<Control::Offset> answer = askFence(entry, applied);
+    for (const Core::Address &entry : entriesToQuery()) {
+        const Core::Result<Control::Offset> answer = requestPlanOffset(entry, applied);
         if (answer) {
             return answer;
         }
@@ -199,7 +199,7 @@
     return last;
 }
 
-Core::Result<Control::Offset> Agent::askFence(const Core::Address &entry, Control::Offset applied)
+Core::Result<Control::Offset> Agent::requestPlanOffset(const Core::Address &entry, Control::Offset applied)
 {
     const std::string question = Wire::pack(Protocol::FenceRequest{m_settings.m_instance.m_member.m_service});
     const std::string bytes = BOOST_OUTCOME_TRYX(m_node.request(entry, "control.fence", question, FenceTimeout));
@@ -210,7 +210,7 @@
     return answer.m_planOffset;
 }
 
-std::vector<Core::Address> Agent::entriesToAsk() const
+std::vector<Core::Address> Agent::entriesToQuery() const
 {
     std::vector<Core::Address> addresses = m_subscriber.feeds();
     for (const Protocol::Member &member : m_store.members()) {
@@ -237,17 +237,17 @@
 void Agent::releaseWeights(const std::string &manifestDigest)
 {
     m_transfer.release(manifestDigest);
-    onKnownChange();
+    onKnownWeightsChange();
 }
 
 void Agent::refreshStatus()
 {
-    m_status.refresh();
+    m_statusWorker.refresh();
 }
 
 Poco::JSON::Object::Ptr Agent::dumpInstance() const
 {
-    const AgentFacts facts = m_state.facts();
+    const KnownState facts = m_state.knownState();
     const Protocol::Member &self = m_settings.m_instance.m_member;
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     object->set("id", self.m_id);
@@ -257,7 +257,7 @@
     object->set("applied", facts.m_appliedOffset);
     object->set("plan", facts.m_planOffset);
     object->set("endpoint_healthy", facts.m_engine.m_reachable);
-    object->set("watchers", m_reports.watchers());
+    object->set("watchers", m_reportWorker.watchers());
     Poco::JSON::Array::Ptr planned = new Poco::JSON::Array;
     for (const std::string &manifest : facts.m_plannedManifests) {
         planned->add(manifest);
--- a/Libraries/LibEndpoint/Agent.h
+++ b/Libraries/LibEndpoint/Agent.h
@@ -44,10 +44,10 @@
     void releaseWeights(const std::string &manifestDigest) override;
     void refreshStatus() override;
 
-    Core::Result<Control::Offset> askFence(const Core::Address &entry, Control::Offset applied);
-    std::vector<Core::Address> entriesToAsk() const;
+    Core::Result<Control::Offset> requestPlanOffset(const Core::Address &entry, Control::Offset applied);
+    std::vector<Core::Address> entriesToQuery() const;
     void onStateChange();
-    void onKnownChange();
+    void onKnownWeightsChange();
     void registerMethods();
     void registerPages();
     Poco::JSON::Object::Ptr dumpInstance() const;
@@ -62,9 +62,9 @@
     Control::StateSubscriber m_subscriber;
     Transfer::TransferManager m_transfer;
     LiveRelay m_relay;
-    StatusDuty m_status;
-    OrderDuty m_orders;
-    ReportDuty m_reports;
+    StatusWorker m_statusWorker;
+    OrderWorker m_orderWorker;
+    ReportWorker m_reportWorker;
     Telemetry::AdminServer m_admin;
     bool m_started = false;
 };
--- a/Libraries/LibEndpoint/AgentSettings.cpp
+++ b/Libraries/LibEndpoint/AgentSettings.cpp
@@ -13,14 +13,14 @@
     return reader.milliseconds(field, 1, MaximumMilliseconds, fallback.count());
 }
 
-DutySettings readDutySettings(Settings::Reader &reader)
+WorkerSettings readDutySettings(Settings::Reader &reader)
 {
-    DutySettings settings;
+    WorkerSettings settings;
     settings.m_statusInterval = readDuration(reader, "status_interval_ms", settings.m_statusInterval);
     settings.m_reportInterval = readDuration(reader, "report_interval_ms", settings.m_reportInterval);
     settings.m_reportBytesPerSecond = static_cast<std::uint64_t>(reader.integer("report_bytes_per_second", 256, 1 << 30, 4096));
-    settings.m_fenceAge = readDuration(reader, "fence_age_ms", settings.m_fenceAge);
-    settings.m_orderRetry = readDuration(reader, "order_retry_ms", settings.m_orderRetry);
+    settings.m_maximumFenceAge = readDuration(reader, "fence_age_ms", settings.m_maximumFenceAge);
+    settings.m_orderRetryDelay = readDuration(reader, "order_retry_ms", settings.m_orderRetryDelay);
     settings.m_retirementGrace = readDuration(reader, "retirement_grace_ms", settings.m_retirementGrace);
     settings.m_withdrawNotice = readDuration(reader, "withdraw_notice_ms", settings.m_withdrawNotice);
     settings.m_leaveNotice = readDuration(reader, "leave_notice_ms", settings.m_leaveNotice);
@@ -41,7 +41,7 @@
     reader.section("engine", [&settings](Settings::Reader &section) { settings.m_engine = readEngineSettings(section); });
     reader.section("transfer", [&settings](Settings::Reader &section) { settings.m_transfer = Transfer::readTransferSettings(section); });
     reader.section("relay", [&settings](Settings::Reader &section) { settings.m_relay = readRelaySettings(section); });
-    reader.section("duties", [&settings](Settings::Reader &section) { settings.m_duties = readDutySettings(section); });
+    reader.section("duties", [&settings](Settings::Reader &section) { settings.m_workers = readDutySettings(section); });
     return settings;
 }
 
--- a/Libraries/LibEndpoint/AgentState.cpp
+++ b/Libraries/LibEndpoint/AgentState.cpp
@@ -6,17 +6,17 @@
 
 namespace Endpoint {
 
-std::vector<Protocol::Attestation> attestationsOf(const AgentFacts &facts)
+std::vector<Protocol::Attestation> attestationsOf(const KnownState &facts)
 {
     std::set<std::string> withheld = facts.m_withdrawn;
-    withheld.insert(facts.m_distrusted.begin(), facts.m_distrusted.end());
-    return attestationsOf(facts.m_engine, facts.m_known, withheld, facts.m_loadedUnder);
+    withheld.insert(facts.m_mismatched.begin(), facts.m_mismatched.end());
+    return attestationsOf(facts.m_engine, facts.m_knownWeights, withheld, facts.m_loadPlanOffsets);
 }
 
-AgentFacts AgentState::facts() const
+KnownState AgentState::knownState() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_facts;
+    return m_knownState;
 }
 
 std::uint64_t AgentState::version() const
@@ -25,16 +25,16 @@
     return m_version;
 }
 
-void AgentState::change(const std::function<void(AgentFacts &)> &apply)
+void AgentState::update(const std::function<void(KnownState &)> &apply)
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        AgentFacts changed = m_facts;
+        KnownState changed = m_knownState;
         apply(changed);
-        if (changed == m_facts) {
+        if (changed == m_knownState) {
             return;
         }
-        m_facts = std::move(changed);
+        m_knownState = std::move(changed);
         ++m_version;
     }
     m_changed.notify_all();
@@ -64,17 +64,17 @@
 
 void AgentState::onLiveTraffic(std::function<void(std::uint64_t)> callback)
 {
-    m_liveTraffic = std::move(callback);
+    m_liveTrafficCallback = std::move(callback);
 }
 
-std::optional<std::string> AgentState::servedContent(const std::string &manifestDigest) const
+std::optional<std::string> AgentState::servedContentDigest(const std::string &manifestDigest) const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    for (const KnownWeights &known : m_facts.m_known) {
-        if (known.m_manifestDigest != manifestDigest || m_facts.m_distrusted.contains(known.m_contentDigest)) {
+    for (const KnownWeights &known : m_knownState.m_knownWeights) {
+        if (known.m_manifestDigest != manifestDigest || m_knownState.m_mismatched.contains(known.m_contentDigest)) {
             continue;
         }
-        for (const EngineModel &model : m_facts.m_engine.m_models) {
+        for (const EngineModel &model : m_knownState.m_engine.m_models) {
             if (model.m_contentDigest == known.m_contentDigest && model.m_state == ModelState::Serving) {
                 return known.m_contentDigest;
             }
@@ -86,19 +86,19 @@
 std::uint32_t AgentState::capacity() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_facts.m_engine.m_load.m_capacity;
+    return m_knownState.m_engine.m_load.m_capacity;
 }
 
 void AgentState::onVersionMismatch(const std::string &contentDigest)
 {
-    change([&contentDigest](AgentFacts &facts) { facts.m_distrusted.insert(contentDigest); });
+    update([&contentDigest](KnownState &facts) { facts.m_mismatched.insert(contentDigest); });
     LOG(ERROR) << "the engine answered for " << contentDigest << " under another version";
 }
 
 void AgentState::onLiveBytes(std::uint64_t bytes)
 {
-    if (m_liveTraffic) {
-        m_liveTraffic(bytes);
+    if (m_liveTrafficCallback) {
+        m_liveTrafficCallback(bytes);
     }
 }
 
--- a/Libraries/LibEndpoint/AttemptGate.cpp
+++ b/Libraries/LibEndpoint/AttemptGate.cpp
@@ -15,31 +15,31 @@
 Admission AttemptTracker::admit(const AttemptTag &tag)
 {
     if (!tag.m_incarnation.empty() && tag.m_incarnation != m_incarnation) {
-        return Admission::OtherLife;
+        return Admission::OtherIncarnation;
     }
     if (const Record *known = find(tag.m_attempt)) {
-        return known->m_state == State::Tombstoned ? Admission::Tombstoned : Admission::SeenBefore;
+        return known->m_state == State::Tombstoned ? Admission::Tombstoned : Admission::Duplicate;
     }
-    if (mayBeForgotten(tag)) {
-        return Admission::TooOld;
+    if (isPossiblyForgotten(tag)) {
+        return Admission::PossiblyForgotten;
     }
-    if (!tag.m_key.empty() && m_attemptOfKey.contains(tag.m_key)) {
-        return Admission::KeyTaken;
+    if (!tag.m_key.empty() && m_attemptByKey.contains(tag.m_key)) {
+        return Admission::KeyInUse;
     }
     if (m_records.size() >= m_limits.m_maximumAttempts) {
-        forgetOldest();
+        evictOldest();
     }
     if (m_records.size() >= m_limits.m_maximumAttempts) {
         return Admission::Full;
     }
     m_records.emplace(tag.m_attempt, Record{State::Waiting, tag.m_key, tag.m_reportSequence, 0, ""});
     if (!tag.m_key.empty()) {
-        m_attemptOfKey.emplace(tag.m_key, tag.m_attempt);
+        m_attemptByKey.emplace(tag.m_key, tag.m_attempt);
     }
     return Admission::Admitted;
 }
 
-bool AttemptTracker::begin(const std::string &attempt)
+bool AttemptTracker::tryBegin(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (!record || record->m_state != State::Waiting) {
@@ -49,7 +49,7 @@
     return true;
 }
 
-void AttemptTracker::withdraw(const std::string &attempt)
+void AttemptTracker::recordNotRun(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (record && (record->m_state == State::Waiting || record->m_state == State::Begun)) {
@@ -57,29 +57,29 @@
     }
 }
 
-void AttemptTracker::finish(const std::string &attempt, std::int32_t status, std::string body)
+void AttemptTracker::recordAnswer(const std::string &attempt, std::int32_t status, std::string body)
 {
     Record *record = find(attempt);
     if (!record || record->m_state != State::Begun) {
         return;
     }
-    if (body.size() > m_limits.m_maximumAnswer) {
-        close(attempt, *record, State::Lost);
+    if (body.size() > m_limits.m_maximumBytesPerAnswer) {
+        close(attempt, *record, State::AnswerLost);
         return;
     }
     record->m_status = status;
     record->m_body = std::move(body);
-    m_answerBytes += record->m_body.size();
-    m_answered.push_back(attempt);
+    m_storedAnswerBytes += record->m_body.size();
+    m_attemptsWithAnswer.push_back(attempt);
     close(attempt, *record, State::Finished);
-    dropAnswers();
+    evictAnswers();
 }
 
-void AttemptTracker::lose(const std::string &attempt)
+void AttemptTracker::recordLostAnswer(const std::string &attempt)
 {
     Record *record = find(attempt);
     if (record && record->m_state == State::Begun) {
-        close(attempt, *record, State::Lost);
+        close(attempt, *record, State::AnswerLost);
     }
 }
 
@@ -87,7 +87,7 @@
 {
     Record *record = find(tag.m_attempt);
     if (!record) {
-        bar(tag);
+        addTombstone(tag);
         return;
     }
     if (record->m_state == State::Waiting) {
@@ -104,8 +104,8 @@
     }
     const Record *record = find(tag.m_attempt);
     if (!record) {
-        const bool forgotten = mayBeForgotten(tag);
-        bar(tag);
+        const bool forgotten = isPossiblyForgotten(tag);
+        addTombstone(tag);
         return Protocol::OutcomeAnswer{forgotten ? Protocol::Outcome::Unknown : Protocol::Outcome::NeverRan, 0, ""};
     }
     switch (record->m_state) {
@@ -116,7 +116,7 @@
         return Protocol::OutcomeAnswer{Protocol::Outcome::Finished, record->m_status, record->m_body};
     case State::Tombstoned:
         return Protocol::OutcomeAnswer{Protocol::Outcome::NeverRan, 0, ""};
-    case State::Lost:
+    case State::AnswerLost:
         break;
     }
     return Protocol::OutcomeAnswer{Protocol::Outcome::Unknown, 0, ""};
@@ -129,12 +129,12 @@
 
 std::size_t AttemptTracker::storedAnswerBytes() const
 {
-    return m_answerBytes;
+    return m_storedAnswerBytes;
 }
 
 std::size_t AttemptTracker::openAttempts() const
 {
-    return m_records.size() - m_closed.size();
+    return m_records.size() - m_closedAttempts.size();
 }
 
 AttemptTracker::Record *AttemptTracker::find(const std::string &attempt)
@@ -143,15 +143,15 @@
     return it == m_records.end() ? nullptr : &it->second;
 }
 
-bool AttemptTracker::mayBeForgotten(const AttemptTag &tag) const
+bool AttemptTracker::isPossiblyForgotten(const AttemptTag &tag) const
 {
     return m_horizon && tag.m_reportSequence <= *m_horizon;
 }
 
-void AttemptTracker::bar(const AttemptTag &tag)
+void AttemptTracker::addTombstone(const AttemptTag &tag)
 {
     if (m_records.size() >= m_limits.m_maximumAttempts) {
-        forgetOldest();
+        evictOldest();
     }
     if (m_records.size() >= m_limits.m_maximumAttempts) {
         // No room for a tombstone: the horizon takes its place, which bars everything that was sent on as old a report.
@@ -165,39 +165,40 @@
 void AttemptTracker::close(const std::string &attempt, Record &record, State state)
 {
     record.m_state = state;
-    m_closed.push_back(attempt);
+    m_closedAttempts.push_back(attempt);
     if (state == State::Tombstoned && !record.m_key.empty()) {
-        m_attemptOfKey.erase(record.m_key);
+        m_attemptByKey.erase(record.m_key);
     }
 }
 
-void AttemptTracker::forgetOldest()
+void AttemptTracker::evictOldest()
 {
-    if (m_closed.empty()) {
+    if (m_closedAttempts.empty()) {
         return;
     }
-    const std::unordered_map<std::string, Record>::iterator it = m_records.find(m_closed.front());
+    const std::unordered_map<std::string, Record>::iterator it = m_records.find(m_closedAttempts.front());
     const Record &record = it->second;
     m_horizon = std::max(m_horizon.value_or(0), record.m_reportSequence);
-    m_answerBytes -= record.m_body.size();
-    const std::unordered_map<std::string, std::string>::iterator key = m_attemptOfKey.find(record.m_key);
-    if (key != m_attemptOfKey.end() && key->second == it->first) {
-        m_attemptOfKey.erase(key);
+    m_storedAnswerBytes -= record.m_body.size();
+    const std::unordered_map<std::string, std::string>::iterator key = m_attemptByKey.find(record.m_key);
+    if (key != m_attemptByKey.end() && key->second == it->first) {
+        m_attemptByKey.erase(key);
     }
     m_records.erase(it);
-    m_closed.pop_front();
+    m_closedAttempts.pop_front();
 }
 
-void AttemptTracker::dropAnswers()
+void AttemptTracker::evictAnswers()
 {
-    while (!m_answered.empty() && (m_answerBytes > m_limits.m_maximumAnswerBytes || m_answered.size() > m_limits.m_maximumAttempts)) {
-        Record *oldest = find(m_answered.front());
-        m_answered.pop_front();
+    while (!m_attemptsWithAnswer.empty()
+           && (m_storedAnswerBytes > m_limits.m_maximumStoredAnswerBytes || m_attemptsWithAnswer.size() > m_limits.m_maximumAttempts)) {
+        Record *oldest = find(m_attemptsWithAnswer.front());
+        m_attemptsWithAnswer.pop_front();
         if (oldest && oldest->m_state == State::Finished) {
-            m_answerBytes -= oldest->m_body.size();
+            m_storedAnswerBytes -= oldest->m_body.size();
             oldest->m_body.clear();
             oldest->m_body.shrink_to_fit();
-            oldest->m_state = State::Lost;
+            oldest->m_state = State::AnswerLost;
         }
     }
 }
--- a/Libraries/LibEndpoint/AttemptGate.h
+++ b/Libraries/LibEndpoint/AttemptGate.h
@@ -26,19 +26,19 @@
 /// What is to be done with a call that has arrived.
 enum class Admission {
     Admitted, ///< It waits for begin().
-    SeenBefore, ///< The attempt arrived earlier; it must not run again, outcome() tells what became of it.
+    Duplicate, ///< The attempt arrived earlier; it must not run again, outcome() tells what became of it.
     Tombstoned, ///< It was cancelled or asked after before it arrived; it never runs.
-    KeyTaken, ///< Another attempt with the same key was admitted here.
-    TooOld, ///< It may have been forgotten here, so it may have run.
-    OtherLife, ///< It was meant for an earlier life of this agent.
+    KeyInUse, ///< Another attempt with the same key was admitted here.
+    PossiblyForgotten, ///< It may have been forgotten here, so it may have run.
+    OtherIncarnation, ///< It was meant for an earlier life of this agent.
     Full, ///< Too many attempts are open; it never runs.
 };
 
 struct AttemptTrackerLimits
 {
     std::size_t m_maximumAttempts = 65536; ///< Attempts that are remembered, open ones included.
-    std::size_t m_maximumAnswerBytes = 16 << 20; ///< Sum of the stored answers.
-    std::size_t m_maximumAnswer = 1 << 20; ///< A longer answer is not stored.
+    std::size_t m_maximumStoredAnswerBytes = 16 << 20; ///< Sum of the stored answers.
+    std::size_t m_maximumBytesPerAnswer = 1 << 20; ///< A longer answer is not stored.
 };
 
 /**
@@ -62,13 +62,13 @@
     /// A call has arrived.
     Admission admit(const AttemptTag &tag);
     /// The call is about to be handed to the endpoint. False if it was cancelled meanwhile; it must not be handed over then.
-    bool begin(const std::string &attempt);
+    bool tryBegin(const std::string &attempt);
     /// The endpoint was never reached; the attempt will not run.
-    void withdraw(const std::string &attempt);
+    void recordNotRun(const std::string &attempt);
     /// The endpoint's whole answer has arrived.
-    void finish(const std::string &attempt, std::int32_t status, std::string body);
+    void recordAnswer(const std::string &attempt, std::int32_t status, std::string body);
     /// The endpoint may have acted, but its answer is lost.
-    void lose(const std::string &attempt);
+    void recordLostAnswer(const std::string &attempt);
     /// The entry no longer wants the call. One that has begun goes on; any other is barred.
     void cancel(const AttemptTag &tag);
     /// What became of an attempt; one that never arrived is barred from now on.
@@ -83,7 +83,7 @@
         Waiting,
         Begun,
         Finished,
-        Lost, ///< Also a finished one whose answer was dropped.
+        AnswerLost, ///< Also a finished one whose answer was dropped.
         Tombstoned,
     };
 
@@ -97,19 +97,19 @@
     };
 
     Record *find(const std::string &attempt);
-    bool mayBeForgotten(const AttemptTag &tag) const;
-    void bar(const AttemptTag &tag);
+    bool isPossiblyForgotten(const AttemptTag &tag) const;
+    void addTombstone(const AttemptTag &tag);
     void close(const std::string &attempt, Record &record, State state);
-    void forgetOldest();
-    void dropAnswers();
+    void evictOldest();
+    void evictAnswers();
 
     std::string m_incarnation;
     AttemptTrackerLimits m_limits;
     std::unordered_map<std::string, Record> m_records; ///< By attempt; open ones and those in m_closed.
-    std::unordered_map<std::string, std::string> m_attemptOfKey; ///< Attempts that were admitted and not barred or withdrawn.
-    std::deque<std::string> m_closed; ///< In the order of closing; each closed attempt once.
-    std::deque<std::string> m_answered; ///< Attempts with a stored answer, oldest first; may name forgotten ones.
-    std::size_t m_answerBytes = 0; ///< Sum of the stored bodies; at most m_maximumAnswerBytes after each change.
+    std::unordered_map<std::string, std::string> m_attemptByKey; ///< Attempts that were admitted and not barred or withdrawn.
+    std::deque<std::string> m_closedAttempts; ///< In the order of closing; each closed attempt once.
+    std::deque<std::string> m_attemptsWithAnswer; ///< Attempts with a stored answer, oldest first; may name forgotten ones.
+    std::size_t m_storedAnswerBytes = 0; ///< Sum of the stored bodies; at most m_maximumAnswerBytes after each change.
     std::optional<std::uint64_t> m_horizon; ///< Highest report number among the forgotten attempts; never goes down.
 };
 
--- a/Libraries/LibEndpoint/EngineClient.cpp
+++ b/Libraries/LibEndpoint/EngineClient.cpp
@@ -104,7 +104,7 @@
     return parseStatus(body, m_settings.m_address.toString());
 }
 
-Core::Result<void> EngineClient::load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<ExchangeBreaker> &breaker) const
+Core::Result<void> EngineClient::load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<AbortHandle> &breaker) const
 {
     ExchangeRequest request;
     request.m_method = "PUT";
@@ -136,7 +136,7 @@
 }
 
 Core::Result<std::unique_ptr<Exchange>>
-EngineClient::generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<ExchangeBreaker> &breaker) const
+EngineClient::generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<AbortHandle> &breaker) const
 {
     std::string body = BOOST_OUTCOME_TRYX(generateBody(request, contentDigest));
     ExchangeRequest exchange = textRequest("POST", "/generate", std::move(body));
@@ -144,7 +144,7 @@
     return Exchange::open(m_network, m_settings.m_address, exchange, m_settings.m_answerTimeout, breaker);
 }
 
-Core::Result<std::unique_ptr<Exchange>> EngineClient::call(const Protocol::LiveRequest &request, const std::shared_ptr<ExchangeBreaker> &breaker) const
+Core::Result<std::unique_ptr<Exchange>> EngineClient::call(const Protocol::LiveRequest &request, const std::shared_ptr<AbortHandle> &breaker) const
 {
     BOOST_OUTCOME_TRYV(checkPath(request.m_path));
     BOOST_OUTCOME_TRYV(checkHeaderText("account", request.m_account));
@@ -171,7 +171,7 @@
 
 Core::Result<std::unique_ptr<Exchange>> EngineClient::send(const ExchangeRequest &request, Core::Duration timeout) const
 {
-    return Exchange::open(m_network, m_settings.m_address, request, timeout, std::make_shared<ExchangeBreaker>());
+    return Exchange::open(m_network, m_settings.m_address, request, timeout, std::make_shared<AbortHandle>());
 }
 
 Core::Result<void> EngineClient::checkOrderAnswer(Exchange &exchange, const std::string &step) const
--- a/Libraries/LibEndpoint/EngineClient.h
+++ b/Libraries/LibEndpoint/EngineClient.h
@@ -54,15 +54,15 @@
      * Fails with Conflict if the engine has seen a newer order, Overloaded if it has no room, Corrupt if it received something else than was sent,
      * and Ambiguous if its answer was lost.
      */
-    Core::Result<void> load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<ExchangeBreaker> &breaker) const;
+    Core::Result<void> load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<AbortHandle> &breaker) const;
     /// Fails as load() does; weights that the engine doesn't have count as unloaded.
     Core::Result<void> unload(const Order &order) const;
 
     /// Starts an attempt at a model engine.
     Core::Result<std::unique_ptr<Exchange>>
-    generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<ExchangeBreaker> &breaker) const;
+    generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<AbortHandle> &breaker) const;
     /// Starts an attempt at a plain service.
-    Core::Result<std::unique_ptr<Exchange>> call(const Protocol::LiveRequest &request, const std::shared_ptr<ExchangeBreaker> &breaker) const;
+    Core::Result<std::unique_ptr<Exchange>> call(const Protocol::LiveRequest &request, const std::shared_ptr<AbortHandle> &breaker) const;
     /// Asks a model engine to stop an attempt.
     Core::Result<void> cancel(const std::string &attempt) const;
 
--- a/Libraries/LibEndpoint/EngineMessages.cpp
+++ b/Libraries/LibEndpoint/EngineMessages.cpp
@@ -60,8 +60,8 @@
     const Poco::JSON::Object::Ptr object = BOOST_OUTCOME_TRYX(parseObject(line, Core::ErrorCode::Corrupt, "read engine's answer", peer));
     try {
         EngineLine result;
-        result.m_end = object->optValue("end", false);
-        if (!result.m_end) {
+        result.m_isEnd = object->optValue("end", false);
+        if (!result.m_isEnd) {
             result.m_token = object->getValue<std::string>("token");
             return result;
         }
--- a/Libraries/LibEndpoint/EngineMessages.h
+++ b/Libraries/LibEndpoint/EngineMessages.h
@@ -13,7 +13,7 @@
 /// One line of an engine's answer.
 struct EngineLine
 {
-    bool m_end = false; ///< The answer is complete.
+    bool m_isEnd = false; ///< The answer is complete.
     std::string m_token; ///< Unless m_end.
     std::uint64_t m_tokens = 0; ///< If m_end: how many tokens the engine says it sent.
     std::string m_contentDigest; ///< If m_end: the version that the engine names.
--- a/Libraries/LibEndpoint/Exchange.cpp
+++ b/Libraries/LibEndpoint/Exchange.cpp
@@ -13,22 +13,22 @@
 
 }
 
-void ExchangeBreaker::arm(const Poco::Net::StreamSocket &socket)
+void AbortHandle::attach(const Poco::Net::StreamSocket &socket)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_socket = socket;
-    if (m_broken) {
+    if (m_isAborted) {
         m_socket->shutdown();
     }
 }
 
-void ExchangeBreaker::breakOff()
+void AbortHandle::abort()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    if (m_broken) {
+    if (m_isAborted) {
         return;
     }
-    m_broken = true;
+    m_isAborted = true;
     if (m_socket) {
         try {
             m_socket->shutdown();
@@ -39,10 +39,10 @@
     }
 }
 
-bool ExchangeBreaker::isBroken() const
+bool AbortHandle::isAborted() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_broken;
+    return m_isAborted;
 }
 
 ExchangeRequest textRequest(std::string method, std::string path, std::string body)
@@ -68,12 +68,12 @@
                                                        const Core::Address &peer,
                                                        const ExchangeRequest &request,
                                                        Core::Duration timeout,
-                                                       const std::shared_ptr<ExchangeBreaker> &breaker)
+                                                       const std::shared_ptr<AbortHandle> &breaker)
 {
     std::unique_ptr<Poco::Net::HTTPClientSession> session = BOOST_OUTCOME_TRYX(Network::dialHttp(network, peer, timeout));
     std::unique_ptr<Exchange> exchange(new Exchange(std::move(session), peer));
     try {
-        breaker->arm(exchange->m_session->socket());
+        breaker->attach(exchange->m_session->socket());
         Poco::Net::HTTPRequest head(request.m_method, request.m_path, Poco::Net::HTTPRequest::HTTP_1_1);
         head.setHost(peer.toString());
         head.setKeepAlive(false);
@@ -83,14 +83,14 @@
         }
         std::ostream &out = exchange->m_session->sendRequest(head);
         if (request.m_writeBody && !request.m_writeBody(out)) {
-            breaker->breakOff();
-            return exchange->cut("the request was broken off");
+            breaker->abort();
+            return exchange->interruptedError("the request was broken off");
         }
         out.flush();
         exchange->m_stream = &exchange->m_session->receiveResponse(exchange->m_response);
     } catch (const std::exception &exception) {
         const Poco::Exception *known = dynamic_cast<const Poco::Exception *>(&exception);
-        return exchange->cut(known ? known->displayText() : exception.what());
+        return exchange->interruptedError(known ? known->displayText() : exception.what());
     }
     return exchange;
 }
@@ -115,18 +115,18 @@
                 if (line.empty() && !m_stream->bad()) {
                     return std::optional<std::string>();
                 }
-                return cut("the answer ended within a line");
+                return interruptedError("the answer ended within a line");
             }
             if (character == '\n') {
                 return std::optional<std::string>(std::move(line));
             }
             line += static_cast<char>(character);
             if (line.size() > maximumBytes) {
-                return cut("a line is longer than " + std::to_string(maximumBytes) + " bytes");
+                return interruptedError("a line is longer than " + std::to_string(maximumBytes) + " bytes");
             }
         }
     } catch (const std::exception &exception) {
-        return cut(exception.what());
+        return interruptedError(exception.what());
     }
 }
 
@@ -144,20 +144,20 @@
             }
         }
     } catch (const std::exception &exception) {
-        return cut(exception.what());
+        return interruptedError(exception.what());
     }
     // POCO reports a connection that closes early as the plain end of the stream, so the announced length decides.
     const bool lengthKnown = m_response.hasContentLength();
     if (m_stream->bad() || (lengthKnown && static_cast<std::uint64_t>(m_response.getContentLength64()) != body.size())) {
-        return cut("the answer is shorter than announced");
+        return interruptedError("the answer is shorter than announced");
     }
     if (!lengthKnown && !m_response.getChunkedTransferEncoding()) {
-        return cut("the answer announces no length, so that its end cannot be told from a cut");
+        return interruptedError("the answer announces no length, so that its end cannot be told from a cut");
     }
     return body;
 }
 
-Core::Error Exchange::cut(const std::string &detail) const
+Core::Error Exchange::interruptedError(const std::string &detail) const
 {
     return Core::makeError(Core::ErrorCode::Ambiguous, "ask endpoint", m_peer.toString(), detail);
 }
--- a/Libraries/LibEndpoint/Exchange.h
+++ b/Libraries/LibEndpoint/Exchange.h
@@ -16,19 +16,19 @@
 namespace Endpoint {
 
 /// Lets another thread end the blocking reads of an exchange.
-class ExchangeBreaker
+class AbortHandle
 {
 public:
     /// From now on breakOff() ends this connection; if it was called before, the connection ends at once.
-    void arm(const Poco::Net::StreamSocket &socket);
+    void attach(const Poco::Net::StreamSocket &socket);
     /// Any thread.
-    void breakOff();
-    bool isBroken() const;
+    void abort();
+    bool isAborted() const;
 
 private:
     mutable std::mutex m_mutex;
     std::optional<Poco::Net::StreamSocket> m_socket;
-    bool m_broken = false;
+    bool m_isAborted = false;
 };
 
 struct Header
@@ -65,7 +65,7 @@
                                                         const Core::Address &peer,
                                                         const ExchangeRequest &request,
                                                         Core::Duration timeout,
-                                                        const std::shared_ptr<ExchangeBreaker> &breaker);
+                                                        const std::shared_ptr<AbortHandle> &breaker);
 
     int status() const;
     std::string header(const std::string &name) const;
@@ -77,7 +77,7 @@
 private:
     Exchange(std::unique_ptr<Poco::Net::HTTPClientSession> session, Core::Address peer);
 
-    Core::Error cut(const std::string &detail) const;
+    Core::Error interruptedError(const std::string &detail) const;
 
     std::unique_ptr<Poco::Net::HTTPClientSession> m_session;
     const Core::Address m_peer;
--- a/Libraries/LibEndpoint/LiveRelay.cpp
+++ b/Libraries/LibEndpoint/LiveRelay.cpp
@@ -29,13 +29,13 @@
 {
     const std::string step = "admit attempt";
     switch (admission) {
-    case Admission::SeenBefore:
+    case Admission::Duplicate:
         return Core::makeError(Core::ErrorCode::Ambiguous, step, peer, "the attempt arrived before; ask for its outcome");
-    case Admission::KeyTaken:
+    case Admission::KeyInUse:
         return Core::makeError(Core::ErrorCode::Conflict, step, peer, "another attempt has the key");
-    case Admission::TooOld:
+    case Admission::PossiblyForgotten:
         return Core::makeError(Core::ErrorCode::Ambiguous, step, peer, "the attempt may have been forgotten here");
-    case Admission::OtherLife:
+    case Admission::OtherIncarnation:
         return Core::makeError(Core::ErrorCode::Unavailable, step, peer, "the attempt was meant for an earlier life of this agent");
     case Admission::Full:
         return Core::makeError(Core::ErrorCode::Overloaded, step, peer, "too many attempts are open");
@@ -57,8 +57,8 @@
 
 bool RelaySettings::operator==(const RelaySettings &other) const
 {
-    return m_maximumAnswer == other.m_maximumAnswer && m_pool.m_maximumThreads == other.m_pool.m_maximumThreads
-        && m_pool.m_maximumQueue == other.m_pool.m_maximumQueue && m_gate.m_maximumAttempts == other.m_gate.m_maximumAttempts;
+    return m_maximumBytesPerAnswer == other.m_maximumBytesPerAnswer && m_pool.m_maximumThreads == other.m_pool.m_maximumThreads
+        && m_pool.m_maximumQueue == other.m_pool.m_maximumQueue && m_attemptLimits.m_maximumAttempts == other.m_attemptLimits.m_maximumAttempts;
 }
 
 RelaySettings readRelaySettings(Settings::Reader &reader)
@@ -66,8 +66,8 @@
     RelaySettings settings;
     settings.m_pool.m_maximumThreads = static_cast<std::size_t>(reader.integer("threads", 1, 1024, 64));
     settings.m_pool.m_maximumQueue = static_cast<std::size_t>(reader.integer("queue", 1, 65536, 256));
-    settings.m_gate.m_maximumAttempts = static_cast<std::size_t>(reader.integer("remembered_attempts", 16, 1 << 20, 65536));
-    settings.m_gate.m_maximumAnswerBytes = static_cast<std::size_t>(reader.integer("stored_answer_bytes", 1024, 1 << 30, 16 << 20));
+    settings.m_attemptLimits.m_maximumAttempts = static_cast<std::size_t>(reader.integer("remembered_attempts", 16, 1 << 20, 65536));
+    settings.m_attemptLimits.m_maximumStoredAnswerBytes = static_cast<std::size_t>(reader.integer("stored_answer_bytes", 1024, 1 << 30, 16 << 20));
     return settings;
 }
 
@@ -80,8 +80,8 @@
     , m_versionMismatches(m_parts.m_metrics->counter("live_version_mismatches_total"))
     , m_outcomesAsked(m_parts.m_metrics->counter("live_outcomes_asked_total"))
     , m_outcomesLost(m_parts.m_metrics->counter("live_outcomes_lost_total"))
-    , m_firstFrame(m_parts.m_metrics->latency("live_first_frame_seconds"))
-    , m_gate(m_parts.m_self.m_incarnation, m_parts.m_settings.m_gate)
+    , m_firstFrameLatency(m_parts.m_metrics->latency("live_first_frame_seconds"))
+    , m_attempts(m_parts.m_self.m_incarnation, m_parts.m_settings.m_attemptLimits)
     , m_pool(m_parts.m_settings.m_pool, [this](Job &job) { run(job); })
 {
 }
@@ -93,26 +93,26 @@
 
 void LiveRelay::start()
 {
-    m_watchThread = std::thread([this] { watch(); });
+    m_monitorThread = std::thread([this] { monitorAttempts(); });
 }
 
 void LiveRelay::stop()
 {
     {
-        const std::lock_guard<std::mutex> lock(m_watchMutex);
+        const std::lock_guard<std::mutex> lock(m_runningMutex);
         m_stopping = true;
-        for (const Watched &watched : m_watched) {
-            watched.m_breaker->breakOff();
+        for (const RunningAttempt &watched : m_runningAttempts) {
+            watched.m_abortHandle->abort();
         }
     }
-    m_watchChanged.notify_all();
+    m_runningChanged.notify_all();
     m_pool.stop();
-    if (m_watchThread.joinable()) {
-        m_watchThread.join();
+    if (m_monitorThread.joinable()) {
+        m_monitorThread.join();
     }
 }
 
-void LiveRelay::accept(const Wire::IncomingCall &call)
+void LiveRelay::onCall(const Wire::IncomingCall &call)
 {
     const Core::Result<Protocol::LiveRequest> request = Wire::unpack<Protocol::LiveRequest>(call.m_body, call.m_peer);
     if (!request) {
@@ -126,14 +126,14 @@
         call.m_responder.fail(admitted.error());
         return;
     }
-    Job job{request.value(), call.m_responder, {}, std::make_shared<ExchangeBreaker>()};
+    Job job{request.value(), call.m_responder, {}, std::make_shared<AbortHandle>()};
     if (call.m_timeout.count() > 0) {
         job.m_deadline = Core::Clock::now() + call.m_timeout;
     }
     if (!m_pool.tryPush(std::move(job), request.value().m_priority)) {
         const Core::Error error = Core::makeError(Core::ErrorCode::Overloaded, "queue attempt", m_parts.m_self.m_id, "the queue is full");
-        const std::lock_guard<std::mutex> lock(m_gateMutex);
-        m_gate.withdraw(request.value().m_attempt);
+        const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+        m_attempts.recordNotRun(request.value().m_attempt);
         m_callsRefused.add();
         call.m_responder.fail(error);
     }
@@ -153,15 +153,15 @@
     if (request.m_repeatable) {
         return Core::success();
     }
-    const std::lock_guard<std::mutex> lock(m_gateMutex);
-    const Admission admission = m_gate.admit(tagOf(request));
+    const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+    const Admission admission = m_attempts.admit(tagOf(request));
     if (admission != Admission::Admitted) {
         return refusal(admission, m_parts.m_self.m_id);
     }
     return Core::success();
 }
 
-void LiveRelay::answerOutcome(const Wire::IncomingCall &call)
+void LiveRelay::onOutcomeRequest(const Wire::IncomingCall &call)
 {
     m_outcomesAsked.add();
     const Core::Result<Protocol::OutcomeRequest> request = Wire::unpack<Protocol::OutcomeRequest>(call.m_body, call.m_peer);
@@ -172,8 +172,8 @@
     const Protocol::OutcomeRequest &question = request.value();
     Protocol::OutcomeAnswer answer;
     {
-        const std::lock_guard<std::mutex> lock(m_gateMutex);
-        answer = m_gate.outcome(AttemptTag{question.m_attempt, question.m_key, question.m_agentIncarnation, question.m_agentReport});
+        const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+        answer = m_attempts.outcome(AttemptTag{question.m_attempt, question.m_key, question.m_agentIncarnation, question.m_agentReport});
     }
     call.m_responder.reply(Wire::pack(answer));
 }
@@ -186,26 +186,26 @@
         job.m_responder.fail(begun.error());
         return;
     }
-    const std::list<Watched>::iterator watched = addWatched(job);
+    const std::list<RunningAttempt>::iterator watched = addRunningAttempt(job);
     const bool isModel = m_parts.m_client->settings().m_kind == EndpointKind::Model;
     const Core::Result<void> result = isModel ? runModel(job) : runPlain(job);
-    settle(job, result);
-    removeWatched(watched);
+    finishJob(job, result);
+    removeRunningAttempt(watched);
 }
 
 Core::Result<void> LiveRelay::beginAttempt(const Job &job)
 {
     const Protocol::LiveRequest &request = job.m_request;
-    const std::lock_guard<std::mutex> lock(m_gateMutex);
+    const std::lock_guard<std::mutex> lock(m_attemptsMutex);
     if (job.m_responder.isCancelled()) {
-        m_gate.cancel(tagOf(request));
+        m_attempts.cancel(tagOf(request));
         return Core::makeError(Core::ErrorCode::Cancelled, "begin attempt", m_parts.m_self.m_id, "the entry no longer waits; it did not run");
     }
     if (job.m_deadline && Core::Clock::now() >= *job.m_deadline) {
-        m_gate.withdraw(request.m_attempt);
+        m_attempts.recordNotRun(request.m_attempt);
         return Core::makeError(Core::ErrorCode::Cancelled, "begin attempt", m_parts.m_self.m_id, "its time ran out in the queue; it did not run");
     }
-    if (!request.m_repeatable && !m_gate.begin(request.m_attempt)) {
+    if (!request.m_repeatable && !m_attempts.tryBegin(request.m_attempt)) {
         return Core::makeError(Core::ErrorCode::Cancelled, "begin attempt", m_parts.m_self.m_id, "cancelled in the queue; it did not run");
     }
     return Core::success();
@@ -213,11 +213,11 @@
 
 Core::Result<void> LiveRelay::runModel(Job &job)
 {
-    const std::optional<std::string> contentDigest = m_parts.m_host->servedContent(job.m_request.m_digest);
+    const std::optional<std::string> contentDigest = m_parts.m_host->servedContentDigest(job.m_request.m_digest);
     if (!contentDigest) {
         return Core::makeError(Core::ErrorCode::NotFound, "find version", m_parts.m_self.m_id, "the engine does not serve it");
     }
-    const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(m_parts.m_client->generate(job.m_request, *contentDigest, job.m_breaker));
+    const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(m_parts.m_client->generate(job.m_request, *contentDigest, job.m_abortHandle));
     if (exchange->status() != HttpOk) {
         const bool isFull = exchange->status() == HttpUnavailable || exchange->status() == HttpTooMany;
         const Core::ErrorCode missingOr = exchange->status() == HttpNotFound ? Core::ErrorCode::NotFound : Core::ErrorCode::Ambiguous;
@@ -227,7 +227,7 @@
     if (exchange->header(VersionHeader) != *contentDigest) {
         m_parts.m_host->onVersionMismatch(*contentDigest);
         m_versionMismatches.add();
-        job.m_breaker->breakOff();
+        job.m_abortHandle->abort();
         return Core::makeError(Core::ErrorCode::Corrupt, "generate", m_parts.m_self.m_id, "the engine names the version " + exchange->header(VersionHeader));
     }
     return streamTokens(job, *exchange, *contentDigest);
@@ -245,7 +245,7 @@
             return Core::makeError(Core::ErrorCode::Ambiguous, "generate", m_parts.m_self.m_id, "the engine cut its answer");
         }
         const EngineLine line = BOOST_OUTCOME_TRYX(parseEngineLine(*text, m_parts.m_self.m_id));
-        if (line.m_end) {
+        if (line.m_isEnd) {
             const bool otherVersion = !line.m_contentDigest.empty() && line.m_contentDigest != contentDigest;
             if (otherVersion) {
                 m_parts.m_host->onVersionMismatch(contentDigest);
@@ -257,7 +257,7 @@
             break;
         }
         if (tokens++ == 0) {
-            m_firstFrame.record(Core::secondsBetween(start, Core::Clock::now()));
+            m_firstFrameLatency.record(Core::secondsBetween(start, Core::Clock::now()));
         }
         if (!job.m_request.m_repeatable) {
             whole += line.m_token;
@@ -265,19 +265,19 @@
         BOOST_OUTCOME_TRYV(sendFrame(job, framer.dataFrame(line.m_token, load())));
     }
     if (!job.m_request.m_repeatable) {
-        const std::lock_guard<std::mutex> lock(m_gateMutex);
-        m_gate.finish(job.m_request.m_attempt, HttpOk, std::move(whole));
+        const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+        m_attempts.recordAnswer(job.m_request.m_attempt, HttpOk, std::move(whole));
     }
     return sendFrame(job, framer.endFrame(load()));
 }
 
 Core::Result<void> LiveRelay::runPlain(Job &job)
 {
-    const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(m_parts.m_client->call(job.m_request, job.m_breaker));
-    const std::string body = BOOST_OUTCOME_TRYX(exchange->readAll(m_parts.m_settings.m_maximumAnswer));
+    const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(m_parts.m_client->call(job.m_request, job.m_abortHandle));
+    const std::string body = BOOST_OUTCOME_TRYX(exchange->readAll(m_parts.m_settings.m_maximumBytesPerAnswer));
     if (!job.m_request.m_repeatable) {
-        const std::lock_guard<std::mutex> lock(m_gateMutex);
-        m_gate.finish(job.m_request.m_attempt, exchange->status(), body);
+        const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+        m_attempts.recordAnswer(job.m_request.m_attempt, exchange->status(), body);
     }
     AnswerFramer framer(job.m_request.m_attempt, "", exchange->status());
     for (std::size_t offset = 0; offset < body.size(); offset += PlainFrameBytes) {
@@ -296,7 +296,7 @@
     return Core::success();
 }
 
-void LiveRelay::settle(const Job &job, const Core::Result<void> &result)
+void LiveRelay::finishJob(const Job &job, const Core::Result<void> &result)
 {
     if (result) {
         m_callsFinished.add();
@@ -304,11 +304,11 @@
         return;
     }
     if (!job.m_request.m_repeatable) {
-        const std::lock_guard<std::mutex> lock(m_gateMutex);
+        const std::lock_guard<std::mutex> lock(m_attemptsMutex);
         if (provesNothingDone(result.error())) {
-            m_gate.withdraw(job.m_request.m_attempt);
+            m_attempts.recordNotRun(job.m_request.m_attempt);
         } else {
-            m_gate.lose(job.m_request.m_attempt);
+            m_attempts.recordLostAnswer(job.m_request.m_attempt);
             m_outcomesLost.add();
         }
     }
@@ -321,7 +321,7 @@
 void LiveRelay::cancelAtEngine(const Job &job)
 {
     const bool mayStillRun = m_parts.m_client->settings().m_kind == EndpointKind::Model && job.m_request.m_repeatable
-        && (job.m_breaker->isBroken() || job.m_responder.isCancelled());
+        && (job.m_abortHandle->isAborted() || job.m_responder.isCancelled());
     if (!mayStillRun) {
         return;
     }
@@ -332,43 +332,43 @@
     }
 }
 
-void LiveRelay::watch()
+void LiveRelay::monitorAttempts()
 {
-    std::unique_lock<std::mutex> lock(m_watchMutex);
+    std::unique_lock<std::mutex> lock(m_runningMutex);
     while (!m_stopping) {
-        if (m_watched.empty()) {
-            m_watchChanged.wait(lock, [this] { return m_stopping || !m_watched.empty(); });
+        if (m_runningAttempts.empty()) {
+            m_runningChanged.wait(lock, [this] { return m_stopping || !m_runningAttempts.empty(); });
             continue;
         }
         const Core::Instant now = Core::Clock::now();
-        for (const Watched &watched : m_watched) {
+        for (const RunningAttempt &watched : m_runningAttempts) {
             const bool late = watched.m_deadline && now >= *watched.m_deadline;
             if (watched.m_repeatable && (late || watched.m_responder.isCancelled())) {
-                watched.m_breaker->breakOff();
+                watched.m_abortHandle->abort();
             }
         }
-        m_watchChanged.wait_for(lock, WatchInterval, [this] { return m_stopping; });
+        m_runningChanged.wait_for(lock, WatchInterval, [this] { return m_stopping; });
     }
 }
 
-std::list<LiveRelay::Watched>::iterator LiveRelay::addWatched(const Job &job)
+std::list<LiveRelay::RunningAttempt>::iterator LiveRelay::addRunningAttempt(const Job &job)
 {
-    const std::lock_guard<std::mutex> lock(m_watchMutex);
-    m_watched.push_back(Watched{job.m_responder, job.m_deadline, job.m_breaker, job.m_request.m_repeatable});
+    const std::lock_guard<std::mutex> lock(m_runningMutex);
+    m_runningAttempts.push_back(RunningAttempt{job.m_responder, job.m_deadline, job.m_abortHandle, job.m_request.m_repeatable});
     if (m_stopping) {
-        job.m_breaker->breakOff();
+        job.m_abortHandle->abort();
     }
-    m_watchChanged.notify_all();
-    return std::prev(m_watched.end());
+    m_runningChanged.notify_all();
+    return std::prev(m_runningAttempts.end());
 }
 
-void LiveRelay::removeWatched(std::list<Watched>::iterator watched)
+void LiveRelay::removeRunningAttempt(std::list<RunningAttempt>::iterator watched)
 {
-    const std::lock_guard<std::mutex> lock(m_watchMutex);
-    m_flushing.push_back(watched->m_responder);
-    m_watched.erase(watched);
-    if (m_flushing.size() > FlushingBeforePrune) {
-        std::erase_if(m_flushing, [](const Wire::Responder &responder) { return responder.isCancelled(); });
+    const std::lock_guard<std::mutex> lock(m_runningMutex);
+    m_flushingResponders.push_back(watched->m_responder);
+    m_runningAttempts.erase(watched);
+    if (m_flushingResponders.size() > FlushingBeforePrune) {
+        std::erase_if(m_flushingResponders, [](const Wire::Responder &responder) { return responder.isCancelled(); });
     }
 }
 
@@ -382,8 +382,8 @@
     if (m_pool.queued() > 0 || m_pool.running() > 0) {
         return false;
     }
-    const std::lock_guard<std::mutex> lock(m_watchMutex);
-    for (const Wire::Responder &responder : m_flushing) {
+    const std::lock_guard<std::mutex> lock(m_runningMutex);
+    for (const Wire::Responder &responder : m_flushingResponders) {
         if (!responder.isCancelled()) {
             return false;
         }
@@ -407,10 +407,10 @@
     object->set("running", m_pool.running());
     object->set("queued", m_pool.queued());
     object->set("threads", m_pool.threads());
-    const std::lock_guard<std::mutex> lock(m_gateMutex);
-    object->set("remembered_attempts", m_gate.rememberedAttempts());
-    object->set("open_attempts", m_gate.openAttempts());
-    object->set("stored_answer_bytes", m_gate.storedAnswerBytes());
+    const std::lock_guard<std::mutex> lock(m_attemptsMutex);
+    object->set("remembered_attempts", m_attempts.rememberedAttempts());
+    object->set("open_attempts", m_attempts.openAttempts());
+    object->set("stored_answer_bytes", m_attempts.storedAnswerBytes());
     return object;
 }
 
--- a/Libraries/LibEndpoint/LiveRelay.h
+++ b/Libraries/LibEndpoint/LiveRelay.h
@@ -28,7 +28,7 @@
     virtual ~RelayHost() = default;
 
     /// Content digest of the weights with this manifest digest, if the engine serves them now.
-    virtual std::optional<std::string> servedContent(const std::string &manifestDigest) const = 0;
+    virtual std::optional<std::string> servedContentDigest(const std::string &manifestDigest) const = 0;
     /// Requests that the endpoint runs at once.
     virtual std::uint32_t capacity() const = 0;
     /// The engine answered for these weights under another version.
@@ -40,8 +40,8 @@
 struct RelaySettings
 {
     PoolLimits m_pool;
-    AttemptTrackerLimits m_gate;
-    std::size_t m_maximumAnswer = 8 << 20; ///< Of a plain service.
+    AttemptTrackerLimits m_attemptLimits;
+    std::size_t m_maximumBytesPerAnswer = 8 << 20; ///< Of a plain service.
 
     bool operator==(const RelaySettings &other) const;
 };
@@ -78,9 +78,9 @@
     void stop();
 
     /// Handler of live.call; does not block.
-    void accept(const Wire::IncomingCall &call);
+    void onCall(const Wire::IncomingCall &call);
     /// Handler of live.outcome; does not block.
-    void answerOutcome(const Wire::IncomingCall &call);
+    void onOutcomeRequest(const Wire::IncomingCall &call);
 
     /// From now on new calls are refused; running ones go on.
     void startLeaving();
@@ -97,15 +97,15 @@
         Protocol::LiveRequest m_request;
         Wire::Responder m_responder;
         std::optional<Core::Instant> m_deadline;
-        std::shared_ptr<ExchangeBreaker> m_breaker;
+        std::shared_ptr<AbortHandle> m_abortHandle;
     };
 
     /// An attempt at the endpoint that the watch may have to break off.
-    struct Watched
+    struct RunningAttempt
     {
         Wire::Responder m_responder;
         std::optional<Core::Instant> m_deadline;
-        std::shared_ptr<ExchangeBreaker> m_breaker;
+        std::shared_ptr<AbortHandle> m_abortHandle;
         bool m_repeatable = true;
     };
 
@@ -116,11 +116,11 @@
     Core::Result<void> streamTokens(Job &job, Exchange &exchange, const std::string &contentDigest);
     Core::Result<void> runPlain(Job &job);
     Core::Result<void> sendFrame(const Job &job, const Protocol::AnswerFrame &frame);
-    void settle(const Job &job, const Core::Result<void> &result);
+    void finishJob(const Job &job, const Core::Result<void> &result);
     void cancelAtEngine(const Job &job);
-    void watch();
-    std::list<Watched>::iterator addWatched(const Job &job);
-    void removeWatched(std::list<Watched>::iterator watched);
+    void monitorAttempts();
+    std::list<RunningAttempt>::iterator addRunningAttempt(const Job &job);
+    void removeRunningAttempt(std::list<RunningAttempt>::iterator watched);
 
     const RelayParts m_parts;
     Telemetry::Counter &m_callsFinished;
@@ -130,18 +130,18 @@
     Telemetry::Counter &m_versionMismatches;
     Telemetry::Counter &m_outcomesAsked;
     Telemetry::Counter &m_outcomesLost;
-    Telemetry::Latency &m_firstFrame;
+    Telemetry::Latency &m_firstFrameLatency;
     std::atomic<bool> m_leaving = false;
 
-    mutable std::mutex m_gateMutex;
-    AttemptTracker m_gate;
+    mutable std::mutex m_attemptsMutex;
+    AttemptTracker m_attempts;
 
-    mutable std::mutex m_watchMutex;
-    std::condition_variable m_watchChanged;
-    std::list<Watched> m_watched;
-    std::vector<Wire::Responder> m_flushing; ///< Finished answers that may not have left yet.
+    mutable std::mutex m_runningMutex;
+    std::condition_variable m_runningChanged;
+    std::list<RunningAttempt> m_runningAttempts;
+    std::vector<Wire::Responder> m_flushingResponders; ///< Finished answers that may not have left yet.
     bool m_stopping = false;
-    std::thread m_watchThread;
+    std::thread m_monitorThread;
 
     PriorityPool<Job> m_pool; ///< Last member: its threads use the others.
 };
--- a/Libraries/LibEndpoint/OrderDecision.cpp
+++ b/Libraries/LibEndpoint/OrderDecision.cpp
@@ -19,11 +19,11 @@
 }
 
 /// The planned weights whose manifests are verified here, in the plan's order.
-std::vector<KnownWeights> plannedAndKnown(const OrderSituation &situation)
+std::vector<KnownWeights> plannedAndKnown(const OrderDecisionInput &situation)
 {
     std::vector<KnownWeights> result;
     for (const std::string &manifest : situation.m_plannedManifests) {
-        for (const KnownWeights &known : situation.m_known) {
+        for (const KnownWeights &known : situation.m_knownWeights) {
             if (known.m_manifestDigest == manifest) {
                 result.push_back(known);
             }
@@ -32,7 +32,7 @@
     return result;
 }
 
-bool isPlanned(const OrderSituation &situation, const std::string &contentDigest)
+bool isPlanned(const OrderDecisionInput &situation, const std::string &contentDigest)
 {
     for (const KnownWeights &known : plannedAndKnown(situation)) {
         if (known.m_contentDigest == contentDigest) {
@@ -43,12 +43,12 @@
 }
 
 /// Planned weights whose manifest is not known here may be those that the engine holds, for example after a restart of the agent.
-bool everyPlannedManifestIsKnown(const OrderSituation &situation)
+bool everyPlannedManifestIsKnown(const OrderDecisionInput &situation)
 {
     return plannedAndKnown(situation).size() >= situation.m_plannedManifests.size();
 }
 
-bool plannedVersionServes(const OrderSituation &situation)
+bool plannedVersionServes(const OrderDecisionInput &situation)
 {
     for (const KnownWeights &known : plannedAndKnown(situation)) {
         const EngineModel *model = findModel(situation.m_engine, known.m_contentDigest);
@@ -64,10 +64,10 @@
     return std::any_of(engine.m_models.begin(), engine.m_models.end(), [state](const EngineModel &model) { return model.m_state == state; });
 }
 
-Order unloadOrder(const OrderSituation &situation, const std::string &contentDigest)
+Order unloadOrder(const OrderDecisionInput &situation, const std::string &contentDigest)
 {
     Order order{OrderKind::Unload, "", contentDigest, situation.m_planOffset};
-    for (const KnownWeights &known : situation.m_known) {
+    for (const KnownWeights &known : situation.m_knownWeights) {
         if (known.m_contentDigest == contentDigest) {
             order.m_manifestDigest = known.m_manifestDigest;
         }
@@ -75,16 +75,16 @@
     return order;
 }
 
-bool waitsAfterFailure(const OrderSituation &situation, const std::string &contentDigest, Core::Instant now)
+bool waitsAfterFailure(const OrderDecisionInput &situation, const std::string &contentDigest, Core::Instant now)
 {
     const std::map<std::string, Core::Instant>::const_iterator it = situation.m_notBefore.find(contentDigest);
     return it != situation.m_notBefore.end() && now < it->second;
 }
 
-std::optional<Order> unloadDistrusted(const OrderSituation &situation, Core::Instant now)
+std::optional<Order> unloadDistrusted(const OrderDecisionInput &situation, Core::Instant now)
 {
     for (const EngineModel &model : situation.m_engine.m_models) {
-        const bool isSuspect = situation.m_distrusted.contains(model.m_contentDigest) && model.m_state == ModelState::Serving;
+        const bool isSuspect = situation.m_mismatched.contains(model.m_contentDigest) && model.m_state == ModelState::Serving;
         if (isSuspect && !waitsAfterFailure(situation, model.m_contentDigest, now)) {
             return unloadOrder(situation, model.m_contentDigest);
         }
@@ -93,7 +93,7 @@
 }
 
 /// The first planned weights that are whole here, absent from the engine and not waiting after a failure.
-std::optional<KnownWeights> nextToLoad(const OrderSituation &situation, Core::Instant now)
+std::optional<KnownWeights> nextToLoad(const OrderDecisionInput &situation, Core::Instant now)
 {
     for (const KnownWeights &known : plannedAndKnown(situation)) {
         const bool mayBeOrdered = known.m_isComplete && !waitsAfterFailure(situation, known.m_contentDigest, now);
@@ -105,7 +105,7 @@
 }
 
 /// The oldest weights that the plan leaves out, to make room.
-std::optional<Order> makeRoom(const OrderSituation &situation, Core::Instant now)
+std::optional<Order> makeRoom(const OrderDecisionInput &situation, Core::Instant now)
 {
     // A model that drains gives its slot back by itself.
     if (!everyPlannedManifestIsKnown(situation) || hasModelIn(situation.m_engine, ModelState::Draining)) {
@@ -121,11 +121,11 @@
     return victim ? std::optional<Order>(unloadOrder(situation, victim->m_contentDigest)) : std::nullopt;
 }
 
-std::optional<Order> unloadRetired(const OrderSituation &situation, Core::Instant now)
+std::optional<Order> unloadRetired(const OrderDecisionInput &situation, Core::Instant now)
 {
     for (const EngineModel &model : situation.m_engine.m_models) {
-        const RetirementTimes::const_iterator it = situation.m_retirement.find(model.m_contentDigest);
-        const bool retired = it != situation.m_retirement.end() && now - it->second >= situation.m_grace;
+        const RetirementTimes::const_iterator it = situation.m_retirementTimes.find(model.m_contentDigest);
+        const bool retired = it != situation.m_retirementTimes.end() && now - it->second >= situation.m_retirementGrace;
         if (retired && !waitsAfterFailure(situation, model.m_contentDigest, now)) {
             return unloadOrder(situation, model.m_contentDigest);
         }
@@ -149,7 +149,7 @@
     return result;
 }
 
-RetirementTimes retirementTimes(const OrderSituation &situation, Core::Instant now)
+RetirementTimes retirementTimes(const OrderDecisionInput &situation, Core::Instant now)
 {
     RetirementTimes result;
     const bool planKnown = situation.m_planOffset != 0 && situation.m_engine.m_reachable;
@@ -160,13 +160,13 @@
         if (isPlanned(situation, model.m_contentDigest) || model.m_state != ModelState::Serving) {
             continue;
         }
-        const RetirementTimes::const_iterator known = situation.m_retirement.find(model.m_contentDigest);
-        result[model.m_contentDigest] = known == situation.m_retirement.end() ? now : known->second;
+        const RetirementTimes::const_iterator known = situation.m_retirementTimes.find(model.m_contentDigest);
+        result[model.m_contentDigest] = known == situation.m_retirementTimes.end() ? now : known->second;
     }
     return result;
 }
 
-std::optional<Order> decideOrder(const OrderSituation &situation, Core::Instant now)
+std::optional<Order> decideOrder(const OrderDecisionInput &situation, Core::Instant now)
 {
     if (situation.m_planOffset == 0 || !situation.m_engine.m_reachable || hasModelIn(situation.m_engine, ModelState::Loading)) {
         return std::nullopt;
--- a/Libraries/LibEndpoint/OrderDecision.h
+++ b/Libraries/LibEndpoint/OrderDecision.h
@@ -33,24 +33,24 @@
 using RetirementTimes = std::map<std::string, Core::Instant>;
 
 /// Everything that an order follows from.
-struct OrderSituation
+struct OrderDecisionInput
 {
     Control::Offset m_planOffset = 0; ///< 0 while no plan is known; nothing is ordered then.
     std::vector<std::string> m_plannedManifests; ///< What this instance is to hold.
-    std::vector<KnownWeights> m_known; ///< Only whole ones can be ordered.
+    std::vector<KnownWeights> m_knownWeights; ///< Only whole ones can be ordered.
     EngineStatus m_engine;
     std::uint32_t m_slots = 1; ///< Sets of weights that the engine holds at once.
-    std::set<std::string> m_distrusted; ///< Content digests under which the engine answered with another version.
+    std::set<std::string> m_mismatched; ///< Content digests under which the engine answered with another version.
     std::map<std::string, Core::Instant> m_notBefore; ///< Earliest next order about a content digest.
-    RetirementTimes m_retirement; ///< From retirementTimes().
-    Core::Duration m_grace{0}; ///< How long weights that can be done without stay loaded.
+    RetirementTimes m_retirementTimes; ///< From retirementTimes().
+    Core::Duration m_retirementGrace{0}; ///< How long weights that can be done without stay loaded.
 };
 
 /// The deployments of a plan that name an instance as a replica.
 std::vector<Control::Deployment> deploymentsOf(const Control::Plan &plan, const std::string &instance);
 
 /// Carries the retirement times forward: weights are done without once the plan leaves them out and what it names serves here.
-RetirementTimes retirementTimes(const OrderSituation &situation, Core::Instant now);
+RetirementTimes retirementTimes(const OrderDecisionInput &situation, Core::Instant now);
 
 /**
  * The next order, if any.
@@ -58,7 +58,7 @@
  * An engine with a free slot loads the new version beside the old one; an engine without one swaps. Weights that the plan
  * leaves out are unloaded after the grace period, and only once a planned version serves here.
  */
-std::optional<Order> decideOrder(const OrderSituation &situation, Core::Instant now);
+std::optional<Order> decideOrder(const OrderDecisionInput &situation, Core::Instant now);
 
 /// What the engine serves now out of weights that were verified here; @p withdrawn content digests are left out.
 std::vector<Protocol::Attestation> attestationsOf(const EngineStatus &engine,
--- a/Libraries/LibEndpoint/OrderDuty.cpp
+++ b/Libraries/LibEndpoint/OrderDuty.cpp
@@ -19,37 +19,37 @@
 
 }
 
-OrderDuty::OrderDuty(OrderParts parts)
+OrderWorker::OrderWorker(OrderParts parts)
     : m_parts(std::move(parts))
-    , m_ordersGiven(m_parts.m_metrics->counter("orders_total{end=\"done\"}"))
+    , m_ordersDone(m_parts.m_metrics->counter("orders_total{end=\"done\"}"))
     , m_ordersFailed(m_parts.m_metrics->counter("orders_total{end=\"failed\"}"))
     , m_ordersFenced(m_parts.m_metrics->counter("orders_total{end=\"fenced\"}"))
-    , m_breaker(std::make_shared<ExchangeBreaker>())
+    , m_abortHandle(std::make_shared<AbortHandle>())
 {
 }
 
-OrderDuty::~OrderDuty()
+OrderWorker::~OrderWorker()
 {
     stop();
 }
 
-void OrderDuty::start()
+void OrderWorker::start()
 {
     m_thread = std::thread([this] { run(); });
 }
 
-void OrderDuty::stop()
+void OrderWorker::stop()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_breaker->breakOff();
+        m_abortHandle->abort();
     }
     if (m_thread.joinable()) {
         m_thread.join();
     }
 }
 
-void OrderDuty::run()
+void OrderWorker::run()
 {
     std::uint64_t seen = 0;
     while (!m_parts.m_state->isClosed()) {
@@ -64,44 +64,44 @@
     }
 }
 
-OrderSituation OrderDuty::situation(const AgentFacts &facts, Core::Instant now)
+OrderDecisionInput OrderWorker::decisionInput(const KnownState &facts, Core::Instant now)
 {
-    OrderSituation situation;
+    OrderDecisionInput situation;
     situation.m_planOffset = facts.m_planOffset;
     situation.m_plannedManifests = facts.m_plannedManifests;
-    situation.m_known = facts.m_known;
+    situation.m_knownWeights = facts.m_knownWeights;
     situation.m_engine = facts.m_engine;
     situation.m_slots = m_parts.m_client->settings().m_slots;
-    situation.m_distrusted = facts.m_distrusted;
-    situation.m_grace = m_parts.m_settings.m_retirementGrace;
+    situation.m_mismatched = facts.m_mismatched;
+    situation.m_retirementGrace = m_parts.m_settings.m_retirementGrace;
     const std::lock_guard<std::mutex> lock(m_mutex);
-    forgetFailuresOfOldPlan(facts.m_planOffset);
+    clearFailuresOfOldPlan(facts.m_planOffset);
     m_fence = withSeenOffset(m_fence, facts.m_planOffset);
     situation.m_notBefore = m_notBefore;
-    situation.m_retirement = m_retirement;
-    m_retirement = retirementTimes(situation, now);
-    situation.m_retirement = m_retirement;
+    situation.m_retirementTimes = m_retirementTimes;
+    m_retirementTimes = retirementTimes(situation, now);
+    situation.m_retirementTimes = m_retirementTimes;
     return situation;
 }
 
-bool OrderDuty::step(Core::Instant now)
+bool OrderWorker::step(Core::Instant now)
 {
-    const AgentFacts facts = m_parts.m_state->facts();
+    const KnownState facts = m_parts.m_state->knownState();
     if (facts.m_leaving) {
         return false;
     }
-    releaseUnneeded(facts);
-    const std::optional<Order> order = decideOrder(situation(facts, now), now);
+    releaseUnneededWeights(facts);
+    const std::optional<Order> order = decideOrder(decisionInput(facts, now), now);
     if (!order) {
         return false;
     }
-    const Core::Result<void> result = carryOut(*order);
-    noteEnd(*order, result, facts.m_distrusted.contains(order->m_contentDigest));
+    const Core::Result<void> result = execute(*order);
+    recordResult(*order, result, facts.m_mismatched.contains(order->m_contentDigest));
     m_parts.m_host->refreshStatus();
     return result.has_value();
 }
 
-Core::Result<void> OrderDuty::carryOut(const Order &order)
+Core::Result<void> OrderWorker::execute(const Order &order)
 {
     if (order.m_kind == OrderKind::Load) {
         return load(order);
@@ -109,31 +109,31 @@
     return unload(order);
 }
 
-Core::Result<void> OrderDuty::confirmFence(const Order &order)
+Core::Result<void> OrderWorker::confirmFence(const Order &order)
 {
     const Core::Instant askedAt = Core::Clock::now();
     const Control::Offset newest = BOOST_OUTCOME_TRYX(m_parts.m_host->newestPlanOffset());
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_fence = withAnswer(m_fence, newest, askedAt);
-    const Core::Result<void> checked = checkOrder(m_fence, order.m_fence, Core::Clock::now(), m_parts.m_settings.m_fenceAge);
-    m_fence = withOrderGiven(m_fence);
+    const Core::Result<void> checked = checkOrder(m_fence, order.m_fence, Core::Clock::now(), m_parts.m_settings.m_maximumFenceAge);
+    m_fence = withConfirmationUsed(m_fence);
     if (!checked) {
         m_ordersFenced.add();
     }
     return checked;
 }
 
-std::shared_ptr<ExchangeBreaker> OrderDuty::newBreaker()
+std::shared_ptr<AbortHandle> OrderWorker::newAbortHandle()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_breaker = std::make_shared<ExchangeBreaker>();
+    m_abortHandle = std::make_shared<AbortHandle>();
     if (m_parts.m_state->isClosed()) {
-        m_breaker->breakOff();
+        m_abortHandle->abort();
     }
-    return m_breaker;
+    return m_abortHandle;
 }
 
-Core::Result<void> OrderDuty::load(const Order &order)
+Core::Result<void> OrderWorker::load(const Order &order)
 {
     const std::shared_ptr<const Weights::HeldVersion> weights = m_parts.m_host->heldWeights(order.m_manifestDigest);
     if (!weights) {
@@ -141,19 +141,19 @@
     }
     BOOST_OUTCOME_TRYV(confirmFence(order));
     LOG(INFO) << "load " << order.m_manifestDigest << " under plan " << order.m_fence;
-    BOOST_OUTCOME_TRYV(m_parts.m_client->load(order, *weights, newBreaker()));
-    m_parts.m_state->change([&order](AgentFacts &facts) {
-        facts.m_loadedUnder[order.m_contentDigest] = order.m_fence;
-        facts.m_distrusted.erase(order.m_contentDigest);
+    BOOST_OUTCOME_TRYV(m_parts.m_client->load(order, *weights, newAbortHandle()));
+    m_parts.m_state->update([&order](KnownState &facts) {
+        facts.m_loadPlanOffsets[order.m_contentDigest] = order.m_fence;
+        facts.m_mismatched.erase(order.m_contentDigest);
         facts.m_withdrawn.erase(order.m_contentDigest);
     });
     return Core::success();
 }
 
-Core::Result<void> OrderDuty::unload(const Order &order)
+Core::Result<void> OrderWorker::unload(const Order &order)
 {
     // Entries would go on sending calls to weights that vanish; they learn first, and calls under way find them still there.
-    m_parts.m_state->change([&order](AgentFacts &facts) { facts.m_withdrawn.insert(order.m_contentDigest); });
+    m_parts.m_state->update([&order](KnownState &facts) { facts.m_withdrawn.insert(order.m_contentDigest); });
     std::this_thread::sleep_for(m_parts.m_settings.m_withdrawNotice);
     Core::Result<void> result = confirmFence(order);
     if (result) {
@@ -161,18 +161,18 @@
         result = m_parts.m_client->unload(order);
     }
     const bool done = result.has_value();
-    m_parts.m_state->change([&order, done](AgentFacts &facts) {
+    m_parts.m_state->update([&order, done](KnownState &facts) {
         facts.m_withdrawn.erase(order.m_contentDigest);
         if (done) {
-            facts.m_loadedUnder.erase(order.m_contentDigest);
-            facts.m_distrusted.erase(order.m_contentDigest);
+            facts.m_loadPlanOffsets.erase(order.m_contentDigest);
+            facts.m_mismatched.erase(order.m_contentDigest);
             std::erase_if(facts.m_engine.m_models, [&order](const EngineModel &model) { return model.m_contentDigest == order.m_contentDigest; });
         }
     });
     return result;
 }
 
-void OrderDuty::forgetFailuresOfOldPlan(Control::Offset planOffset)
+void OrderWorker::clearFailuresOfOldPlan(Control::Offset planOffset)
 {
     if (planOffset != m_planOffset) {
         m_planOffset = planOffset;
@@ -181,22 +181,22 @@
     }
 }
 
-void OrderDuty::noteEnd(const Order &order, const Core::Result<void> &result, bool wasDistrusted)
+void OrderWorker::recordResult(const Order &order, const Core::Result<void> &result, bool wasDistrusted)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
     if (result) {
-        m_ordersGiven.add();
+        m_ordersDone.add();
         m_failures.erase(order.m_contentDigest);
         m_lastError.clear();
         // An engine may list weights a while after it was told to unload them. One that answered under another version is not tried again at once.
-        const Core::Duration pause = order.m_kind == OrderKind::Load ? Core::Duration(0) : m_parts.m_settings.m_orderRetry;
+        const Core::Duration pause = order.m_kind == OrderKind::Load ? Core::Duration(0) : m_parts.m_settings.m_orderRetryDelay;
         m_notBefore[order.m_contentDigest] = now + (wasDistrusted ? DistrustPause : pause);
         return;
     }
     m_ordersFailed.add();
     const int doublings = std::min(m_failures[order.m_contentDigest]++, MaximumDoublings);
-    m_notBefore[order.m_contentDigest] = now + m_parts.m_settings.m_orderRetry * (1 << doublings);
+    m_notBefore[order.m_contentDigest] = now + m_parts.m_settings.m_orderRetryDelay * (1 << doublings);
     const std::string error = kindName(order.m_kind) + ": " + result.error().message();
     if (error != m_lastError) {
         LOG(WARNING) << error;
@@ -204,13 +204,13 @@
     }
 }
 
-void OrderDuty::releaseUnneeded(const AgentFacts &facts)
+void OrderWorker::releaseUnneededWeights(const KnownState &facts)
 {
     if (facts.m_planOffset == 0 || !facts.m_engine.m_reachable) {
         return;
     }
     const std::set<std::string> planned(facts.m_plannedManifests.begin(), facts.m_plannedManifests.end());
-    for (const KnownWeights &held : facts.m_known) {
+    for (const KnownWeights &held : facts.m_knownWeights) {
         if (!held.m_isComplete) {
             continue;
         }
@@ -223,11 +223,11 @@
     }
 }
 
-Poco::JSON::Object::Ptr OrderDuty::dump() const
+Poco::JSON::Object::Ptr OrderWorker::dump() const
 {
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     const std::lock_guard<std::mutex> lock(m_mutex);
-    object->set("highest_fence", m_fence.m_highest);
+    object->set("highest_fence", m_fence.m_highestPlanOffset);
     object->set("last_error", m_lastError);
     object->set("waiting_after_failure", m_notBefore.size());
     return object;
--- a/Libraries/LibEndpoint/OrderDuty.h
+++ b/Libraries/LibEndpoint/OrderDuty.h
@@ -34,7 +34,7 @@
 /// What an order duty is made of. Everything pointed to must outlive it.
 struct OrderParts
 {
-    DutySettings m_settings;
+    WorkerSettings m_settings;
     const EngineClient *m_client = nullptr;
     AgentState *m_state = nullptr;
     OrderHost *m_host = nullptr;
@@ -42,14 +42,14 @@
 };
 
 /// Decides and carries out one order at a time.
-class OrderDuty
+class OrderWorker
 {
 public:
-    explicit OrderDuty(OrderParts parts);
-    ~OrderDuty();
+    explicit OrderWorker(OrderParts parts);
+    ~OrderWorker();
 
-    OrderDuty(const OrderDuty &) = delete;
-    OrderDuty &operator=(const OrderDuty &) = delete;
+    OrderWorker(const OrderWorker &) = delete;
+    OrderWorker &operator=(const OrderWorker &) = delete;
 
     void start();
     /// Breaks off a load that is under way and joins the thread. The state must have been closed before.
@@ -62,28 +62,28 @@
 
 private:
     void run();
-    OrderSituation situation(const AgentFacts &facts, Core::Instant now);
-    Core::Result<void> carryOut(const Order &order);
+    OrderDecisionInput decisionInput(const KnownState &facts, Core::Instant now);
+    Core::Result<void> execute(const Order &order);
     Core::Result<void> confirmFence(const Order &order);
-    std::shared_ptr<ExchangeBreaker> newBreaker();
+    std::shared_ptr<AbortHandle> newAbortHandle();
     Core::Result<void> load(const Order &order);
     Core::Result<void> unload(const Order &order);
-    void noteEnd(const Order &order, const Core::Result<void> &result, bool wasDistrusted);
-    void forgetFailuresOfOldPlan(Control::Offset planOffset);
-    void releaseUnneeded(const AgentFacts &facts);
+    void recordResult(const Order &order, const Core::Result<void> &result, bool wasDistrusted);
+    void clearFailuresOfOldPlan(Control::Offset planOffset);
+    void releaseUnneededWeights(const KnownState &facts);
 
     const OrderParts m_parts;
-    Telemetry::Counter &m_ordersGiven;
+    Telemetry::Counter &m_ordersDone;
     Telemetry::Counter &m_ordersFailed;
     Telemetry::Counter &m_ordersFenced;
     mutable std::mutex m_mutex; ///< Guards the members below against dump().
     OrderFence m_fence;
-    RetirementTimes m_retirement;
+    RetirementTimes m_retirementTimes;
     std::map<std::string, Core::Instant> m_notBefore; ///< By content digest; emptied by a new plan.
     std::map<std::string, int> m_failures; ///< Failed orders in a row, by content digest; emptied by a new plan.
     Control::Offset m_planOffset = 0; ///< Of the plan that the two above belong to.
     std::string m_lastError;
-    std::shared_ptr<ExchangeBreaker> m_breaker; ///< Of the load that is under way, or of the last one.
+    std::shared_ptr<AbortHandle> m_abortHandle; ///< Of the load that is under way, or of the last one.
     std::thread m_thread;
 };
 
--- a/Libraries/LibEndpoint/OrderFence.h
+++ b/Libraries/LibEndpoint/OrderFence.h
@@ -18,8 +18,8 @@
  */
 struct OrderFence
 {
-    Control::Offset m_highest = 0; ///< Highest plan offset seen in this life; never goes down.
-    std::optional<Core::Instant> m_askedAt; ///< When the inquiry left whose answer confirmed m_highest; empty once it was used for an order.
+    Control::Offset m_highestPlanOffset = 0; ///< Highest plan offset seen in this life; never goes down.
+    std::optional<Core::Instant> m_confirmationRequestedAt; ///< When the inquiry left whose answer confirmed m_highest; empty once it was used for an order.
 
     bool operator==(const OrderFence &) const = default;
 };
@@ -38,6 +38,6 @@
 Core::Result<void> checkOrder(const OrderFence &fence, Control::Offset orderFence, Core::Instant now, Core::Duration maximumAge);
 
 /// After an order the next one needs an answer of its own.
-OrderFence withOrderGiven(OrderFence fence);
+OrderFence withConfirmationUsed(OrderFence fence);
 
 }
--- a/Libraries/LibEndpoint/ReportDuty.cpp
+++ b/Libraries/LibEndpoint/ReportDuty.cpp
@@ -20,7 +20,7 @@
 {
     const std::uint64_t bytes = watchers * reportBytes;
     const Core::Duration affordable(static_cast<std::int64_t>(bytes * 1000 / settings.m_bytesPerSecond));
-    return std::max(settings.m_interval, std::min(affordable, settings.m_longestInterval));
+    return std::max(settings.m_interval, std::min(affordable, settings.m_maximumInterval));
 }
 
 bool isUrgent(const Protocol::AgentReport &last, const Protocol::AgentReport &next)
@@ -34,38 +34,38 @@
     return !isUrgent(last, next) && last.m_transfers == next.m_transfers;
 }
 
-ReportDuty::ReportDuty(Protocol::Member self, AgentState &state, Progress progress, ReportSettings settings, Telemetry::Metrics &metrics)
+ReportWorker::ReportWorker(Protocol::Member self, AgentState &state, ProgressSource progress, ReportSettings settings, Telemetry::Metrics &metrics)
     : m_self(std::move(self))
     , m_state(state)
-    , m_progress(std::move(progress))
+    , m_progressSource(std::move(progress))
     , m_settings(settings)
     , m_reportsSent(metrics.counter("reports_sent_total"))
     , m_watchersRefused(metrics.counter("report_watchers_refused_total"))
-    , m_wait(settings.m_interval)
+    , m_currentInterval(settings.m_interval)
 {
-    m_last = makeReport(m_state.facts());
-    m_last.m_sequence = 1;
+    m_lastReport = makeReport(m_state.knownState());
+    m_lastReport.m_sequence = 1;
 }
 
-ReportDuty::~ReportDuty()
+ReportWorker::~ReportWorker()
 {
     stop();
 }
 
-void ReportDuty::start()
+void ReportWorker::start()
 {
-    m_lastSent = Core::Clock::now();
+    m_lastSentAt = Core::Clock::now();
     m_thread = std::thread([this] { run(); });
 }
 
-void ReportDuty::stop()
+void ReportWorker::stop()
 {
     if (m_thread.joinable()) {
         m_thread.join();
     }
 }
 
-void ReportDuty::addWatcher(const Wire::IncomingCall &call)
+void ReportWorker::addWatcher(const Wire::IncomingCall &call)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     std::erase_if(m_watchers, [](const Wire::Responder &watcher) { return watcher.isCancelled(); });
@@ -74,30 +74,30 @@
         call.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "watch reports", m_self.m_id, "too many watchers"));
         return;
     }
-    call.m_responder.send(Wire::pack(m_last));
+    call.m_responder.send(Wire::pack(m_lastReport));
     m_watchers.push_back(call.m_responder);
 }
 
-std::size_t ReportDuty::watchers() const
+std::size_t ReportWorker::watchers() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return m_watchers.size();
 }
 
-Protocol::AgentReport ReportDuty::lastReport() const
+Protocol::AgentReport ReportWorker::lastReport() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_last;
+    return m_lastReport;
 }
 
-void ReportDuty::run()
+void ReportWorker::run()
 {
     std::uint64_t seen = 0;
     while (!m_state.isClosed()) {
-        const Core::Instant due = m_lastSent + m_wait;
+        const Core::Instant due = m_lastSentAt + m_currentInterval;
         const Core::Duration patience = std::chrono::ceil<Core::Duration>(due - Core::Clock::now());
         seen = m_state.waitForChange(seen, std::max(patience, Core::Duration(0)));
-        Protocol::AgentReport next = makeReport(m_state.facts());
+        Protocol::AgentReport next = makeReport(m_state.knownState());
         if (Core::Clock::now() < due && !isUrgent(lastReport(), next)) {
             continue;
         }
@@ -106,7 +106,7 @@
     }
 }
 
-Protocol::AgentReport ReportDuty::makeReport(const AgentFacts &facts) const
+Protocol::AgentReport ReportWorker::makeReport(const KnownState &facts) const
 {
     Protocol::AgentReport report;
     report.m_member = m_self;
@@ -115,23 +115,23 @@
     report.m_endpointHealthy = facts.m_engine.m_reachable;
     report.m_attestations = attestationsOf(facts);
     report.m_load = facts.m_engine.m_load;
-    report.m_transfers = m_progress();
+    report.m_transfers = m_progressSource();
     return report;
 }
 
-std::string ReportDuty::encode(const Protocol::AgentReport &report)
+std::string ReportWorker::encode(const Protocol::AgentReport &report)
 {
-    if (differsInLoadOnly(m_last, report) && report.m_sequence - m_lastWhole < ReportsPerWhole) {
-        return Wire::pack(Protocol::LoadReport{true, report.m_sequence, m_lastWhole, report.m_load});
+    if (differsInLoadOnly(m_lastReport, report) && report.m_sequence - m_lastFullSequence < ReportsPerWhole) {
+        return Wire::pack(Protocol::LoadReport{true, report.m_sequence, m_lastFullSequence, report.m_load});
     }
-    m_lastWhole = report.m_sequence;
+    m_lastFullSequence = report.m_sequence;
     return Wire::pack(report);
 }
 
-void ReportDuty::send(Protocol::AgentReport report)
+void ReportWorker::send(Protocol::AgentReport report)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    report.m_sequence = m_last.m_sequence + 1;
+    report.m_sequence = m_lastReport.m_sequence + 1;
     const std::string bytes = encode(report);
     for (const Wire::Responder &watcher : m_watchers) {
         if (watcher.backlog() < MaximumBacklog && watcher.send(bytes)) {
@@ -139,9 +139,9 @@
         }
     }
     std::erase_if(m_watchers, [](const Wire::Responder &watcher) { return watcher.isCancelled(); });
-    m_wait = reportInterval(m_settings, m_watchers.size(), bytes.size());
-    m_last = std::move(report);
-    m_lastSent = Core::Clock::now();
+    m_currentInterval = reportInterval(m_settings, m_watchers.size(), bytes.size());
+    m_lastReport = std::move(report);
+    m_lastSentAt = Core::Clock::now();
 }
 
 }
--- a/Libraries/LibEndpoint/ReportDuty.h
+++ b/Libraries/LibEndpoint/ReportDuty.h
@@ -16,7 +16,7 @@
 struct ReportSettings
 {
     Core::Duration m_interval{1000}; ///< Between two reports without a change.
-    Core::Duration m_longestInterval{2000}; ///< The same when many watch; well below the silence after which an entry avoids an endpoint.
+    Core::Duration m_maximumInterval{2000}; ///< The same when many watch; well below the silence after which an entry avoids an endpoint.
     std::uint64_t m_bytesPerSecond = 4096; ///< What reports without a change may take, as long as m_longestInterval allows it.
     std::size_t m_maximumWatchers = 64;
 };
@@ -31,16 +31,16 @@
 bool differsInLoadOnly(const Protocol::AgentReport &last, const Protocol::AgentReport &next);
 
 /// Sends reports: whole and at once after a change that matters, else at the interval, and then only the load if nothing else has changed.
-class ReportDuty
+class ReportWorker
 {
 public:
-    using Progress = std::function<std::vector<Protocol::TransferProgress>()>;
+    using ProgressSource = std::function<std::vector<Protocol::TransferProgress>()>;
 
-    ReportDuty(Protocol::Member self, AgentState &state, Progress progress, ReportSettings settings, Telemetry::Metrics &metrics);
-    ~ReportDuty();
+    ReportWorker(Protocol::Member self, AgentState &state, ProgressSource progress, ReportSettings settings, Telemetry::Metrics &metrics);
+    ~ReportWorker();
 
-    ReportDuty(const ReportDuty &) = delete;
-    ReportDuty &operator=(const ReportDuty &) = delete;
+    ReportWorker(const ReportWorker &) = delete;
+    ReportWorker &operator=(const ReportWorker &) = delete;
 
     void start();
     /// The state must have been closed before.
@@ -53,22 +53,22 @@
 
 private:
     void run();
-    Protocol::AgentReport makeReport(const AgentFacts &facts) const;
+    Protocol::AgentReport makeReport(const KnownState &facts) const;
     void send(Protocol::AgentReport report);
     std::string encode(const Protocol::AgentReport &report);
 
     const Protocol::Member m_self;
     AgentState &m_state;
-    const Progress m_progress;
+    const ProgressSource m_progressSource;
     const ReportSettings m_settings;
     Telemetry::Counter &m_reportsSent;
     Telemetry::Counter &m_watchersRefused;
     mutable std::mutex m_mutex;
     std::vector<Wire::Responder> m_watchers; ///< At most m_maximumWatchers.
-    Protocol::AgentReport m_last;
-    std::uint64_t m_lastWhole = 1; ///< Sequence of the last whole report that was sent.
-    Core::Duration m_wait; ///< From m_lastSent to the next report without a change.
-    Core::Instant m_lastSent;
+    Protocol::AgentReport m_lastReport;
+    std::uint64_t m_lastFullSequence = 1; ///< Sequence of the last whole report that was sent.
+    Core::Duration m_currentInterval; ///< From m_lastSent to the next report without a change.
+    Core::Instant m_lastSentAt;
     std::thread m_thread;
 };
 
--- a/Libraries/LibEndpoint/StatusDuty.cpp
+++ b/Libraries/LibEndpoint/StatusDuty.cpp
@@ -13,7 +13,7 @@
 
 }
 
-StatusDuty::StatusDuty(const EngineClient &client, AgentState &state, Core::Duration interval, Telemetry::Metrics &metrics)
+StatusWorker::StatusWorker(const EngineClient &client, AgentState &state, Core::Duration interval, Telemetry::Metrics &metrics)
     : m_client(client)
     , m_state(state)
     , m_interval(interval)
@@ -21,17 +21,17 @@
 {
 }
 
-StatusDuty::~StatusDuty()
+StatusWorker::~StatusWorker()
 {
     stop();
 }
 
-void StatusDuty::start()
+void StatusWorker::start()
 {
     m_thread = std::thread([this] { run(); });
 }
 
-void StatusDuty::stop()
+void StatusWorker::stop()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -43,13 +43,13 @@
     }
 }
 
-void StatusDuty::refresh()
+void StatusWorker::refresh()
 {
     const std::lock_guard<std::mutex> lock(m_refreshMutex);
     const Core::Result<EngineStatus> status = m_client.status();
     if (status) {
-        m_failuresInARow = 0;
-        m_state.change([&status](AgentFacts &facts) {
+        m_consecutiveFailures = 0;
+        m_state.update([&status](KnownState &facts) {
             if (!facts.m_engine.m_reachable) {
                 LOG(INFO) << "the endpoint is reachable";
             }
@@ -58,12 +58,12 @@
         return;
     }
     m_failures.add();
-    ++m_failuresInARow;
+    ++m_consecutiveFailures;
     const bool refused = status.error().m_code == Core::ErrorCode::Unavailable;
-    if (!refused && m_failuresInARow <= ToleratedFailures) {
+    if (!refused && m_consecutiveFailures <= ToleratedFailures) {
         return;
     }
-    m_state.change([&status](AgentFacts &facts) {
+    m_state.update([&status](KnownState &facts) {
         if (facts.m_engine.m_reachable) {
             LOG(WARNING) << "the endpoint is lost: " << status.error();
         }
@@ -71,7 +71,7 @@
     });
 }
 
-void StatusDuty::run()
+void StatusWorker::run()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
--- a/Libraries/LibEndpoint/StatusDuty.h
+++ b/Libraries/LibEndpoint/StatusDuty.h
@@ -12,14 +12,14 @@
 namespace Endpoint {
 
 /// Keeps the endpoint's status in the shared facts.
-class StatusDuty
+class StatusWorker
 {
 public:
-    StatusDuty(const EngineClient &client, AgentState &state, Core::Duration interval, Telemetry::Metrics &metrics);
-    ~StatusDuty();
+    StatusWorker(const EngineClient &client, AgentState &state, Core::Duration interval, Telemetry::Metrics &metrics);
+    ~StatusWorker();
 
-    StatusDuty(const StatusDuty &) = delete;
-    StatusDuty &operator=(const StatusDuty &) = delete;
+    StatusWorker(const StatusWorker &) = delete;
+    StatusWorker &operator=(const StatusWorker &) = delete;
 
     void start();
     void stop();
@@ -36,7 +36,7 @@
     std::mutex m_mutex;
     std::condition_variable m_wake;
     bool m_stopping = false;
-    int m_failuresInARow = 0;
+    int m_consecutiveFailures = 0;
     std::mutex m_refreshMutex; ///< One inquiry at a time, so that an older answer never replaces a newer one.
     std::thread m_thread;
 };
--- a/Tests/Agent/Rig.h
+++ b/Tests/Agent/Rig.h
@@ -18,7 +18,7 @@
 
 namespace Rig {
 
-constexpr Core::Duration Patience{20000};
+constexpr Core::Duration WaitLimit{20000};
 constexpr std::uint32_t ChunkBytes = 4 << 10;
 constexpr const char *Service = "drafting-models";
 constexpr const char *Instance = "hcm-a-m01";
@@ -26,7 +26,7 @@
 /// Waits for a condition, never for a time; fails the test if it does not come about.
 inline void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
-    const Core::Instant deadline = Core::Clock::now() + Patience;
+    const Core::Instant deadline = Core::Clock::now() + WaitLimit;
     while (!condition()) {
         INFO("waiting for: " << what);
         REQUIRE(Core::Clock::now() < deadline);
@@ -82,7 +82,7 @@
     }
 
     const Core::Address m_address = Network::freeLoopbackAddress();
-    std::atomic<std::size_t> m_heldFrom = SIZE_MAX;
+    std::atomic<std::size_t> m_withheldFrom = SIZE_MAX;
 
 private:
     void answer(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
@@ -96,7 +96,7 @@
                 const std::string range = request.get("Range").substr(std::string("bytes=").size());
                 const std::size_t first = std::stoull(range);
                 const std::size_t last = std::stoull(range.substr(range.find('-') + 1));
-                if (last >= m_heldFrom) {
+                if (last >= m_withheldFrom) {
                     return StandIn::sendAnswer(response, 503, "text/plain", "held back");
                 }
                 return StandIn::sendAnswer(response, 206, "application/octet-stream", version.m_content.substr(first, last - first + 1));
@@ -134,7 +134,7 @@
     }
 
     /// Puts a plan in force that wants these versions on the instance.
-    Control::Offset plan(const std::vector<Version> &versions)
+    Control::Offset publishPlan(const std::vector<Version> &versions)
     {
         Control::ControlState state = *m_store.current();
         state.m_position = ++state.m_applied;
@@ -173,11 +173,11 @@
 
 /// An engine or service on its own server.
 template <typename Endpoint>
-class Hosted
+class HostedEndpoint
 {
 public:
     template <typename EndpointSettings>
-    explicit Hosted(EndpointSettings settings)
+    explicit HostedEndpoint(EndpointSettings settings)
         : m_endpoint((settings.m_listen = m_address, settings))
         , m_server(64)
     {
@@ -185,7 +185,7 @@
             m_address, [this](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) { m_endpoint.handle(request, response); }));
     }
 
-    ~Hosted()
+    ~HostedEndpoint()
     {
         m_endpoint.stop();
         m_server.stop();
@@ -222,20 +222,20 @@
     settings.m_engine.m_address = endpoint;
     settings.m_engine.m_kind = kind;
     settings.m_engine.m_answerTimeout = Core::Duration(600'000); // Ends no test: what frees a place must be something else.
-    settings.m_duties.m_statusInterval = Core::Duration(20);
-    settings.m_duties.m_orderRetry = Core::Duration(50);
-    settings.m_duties.m_retirementGrace = Core::Duration(50);
-    settings.m_duties.m_withdrawNotice = Core::Duration(20);
-    settings.m_duties.m_leaveNotice = Core::Duration(50);
-    settings.m_duties.m_reportInterval = Core::Duration(50);
+    settings.m_workers.m_statusInterval = Core::Duration(20);
+    settings.m_workers.m_orderRetryDelay = Core::Duration(50);
+    settings.m_workers.m_retirementGrace = Core::Duration(50);
+    settings.m_workers.m_withdrawNotice = Core::Duration(20);
+    settings.m_workers.m_leaveNotice = Core::Duration(50);
+    settings.m_workers.m_reportInterval = Core::Duration(50);
     return settings;
 }
 
 /// What an entry sees of one agent: its reports and the answers to calls.
-class Caller
+class EntryClient
 {
 public:
-    explicit Caller(const Core::Address &agent)
+    explicit EntryClient(const Core::Address &agent)
         : m_agent(agent)
         , m_node(settings(), m_metrics)
     {
@@ -243,7 +243,7 @@
         watch();
     }
 
-    ~Caller()
+    ~EntryClient()
     {
         m_node.stop();
     }
@@ -269,7 +269,7 @@
         return m_report;
     }
 
-    bool sees(const Version &version) const
+    bool isAttested(const Version &version) const
     {
         for (const Protocol::Attestation &attestation : report().m_attestations) {
             if (attestation.m_digest == version.m_digest) {
@@ -284,19 +284,19 @@
     {
         std::mutex m_mutex;
         std::vector<Protocol::AnswerFrame> m_frames;
-        std::promise<Wire::CallEnd> m_end;
-        std::future<Wire::CallEnd> m_ended = m_end.get_future();
+        std::promise<Wire::CallEnd> m_endPromise;
+        std::future<Wire::CallEnd> m_endFuture = m_endPromise.get_future();
         Wire::CallId m_id = 0;
 
-        std::size_t frames()
+        std::size_t frameCount()
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
             return m_frames.size();
         }
-        Wire::CallEnd end()
+        Wire::CallEnd waitForEnd()
         {
-            REQUIRE(m_ended.wait_for(Patience) == std::future_status::ready);
-            return m_ended.get();
+            REQUIRE(m_endFuture.wait_for(WaitLimit) == std::future_status::ready);
+            return m_endFuture.get();
         }
         bool isComplete()
         {
@@ -305,7 +305,7 @@
         }
     };
 
-    std::shared_ptr<Call> call(const Protocol::LiveRequest &request, Core::Duration timeout = Patience)
+    std::shared_ptr<Call> call(const Protocol::LiveRequest &request, Core::Duration timeout = WaitLimit)
     {
         const std::shared_ptr<Call> call = std::make_shared<Call>();
         Wire::CallEvents events;
@@ -313,7 +313,7 @@
             const std::lock_guard<std::mutex> lock(call->m_mutex);
             call->m_frames.push_back(Wire::unpack<Protocol::AnswerFrame>(frame, "agent").value());
         };
-        events.m_onEnd = [call](const Wire::CallEnd &end) { call->m_end.set_value(end); };
+        events.m_onEnd = [call](const Wire::CallEnd &end) { call->m_endPromise.set_value(end); };
         call->m_id = m_node.call(m_agent, "live.call", Wire::pack(request), Wire::CallOptions{timeout}, events);
         return call;
     }
@@ -321,7 +321,7 @@
     Protocol::OutcomeAnswer outcome(const Protocol::LiveRequest &request)
     {
         const Protocol::OutcomeRequest question{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
-        const Core::Result<std::string> answer = m_node.request(m_agent, "live.outcome", Wire::pack(question), Patience);
+        const Core::Result<std::string> answer = m_node.request(m_agent, "live.outcome", Wire::pack(question), WaitLimit);
         REQUIRE(answer);
         return Wire::unpack<Protocol::OutcomeAnswer>(answer.value(), "agent").value();
     }
@@ -347,7 +347,7 @@
     Wire::Node m_node; ///< Last member: its thread uses the others.
 };
 
-inline Protocol::LiveRequest draft(const std::string &attempt, const Version &version, int tokens)
+inline Protocol::LiveRequest draftRequest(const std::string &attempt, const Version &version, int tokens)
 {
     Protocol::LiveRequest request;
     request.m_attempt = attempt;
@@ -358,7 +358,7 @@
     return request;
 }
 
-inline Protocol::LiveRequest booking(const std::string &attempt, const std::string &key, const std::string &incarnation)
+inline Protocol::LiveRequest bookingRequest(const std::string &attempt, const std::string &key, const std::string &incarnation)
 {
     Protocol::LiveRequest request;
     request.m_attempt = attempt;
--- a/Tests/Agent/SilentRelay.h
+++ b/Tests/Agent/SilentRelay.h
@@ -13,21 +13,21 @@
 
 namespace Rig {
 
-class SilentRelay
+class BlackholeProxy
 {
 public:
-    explicit SilentRelay(const Core::Address &target)
+    explicit BlackholeProxy(const Core::Address &target)
         : m_target(target)
         , m_listener(Poco::Net::SocketAddress("127.0.0.1", 0))
-        , m_accepting([this] { accept(); })
+        , m_acceptThread([this] { accept(); })
     {
     }
 
-    ~SilentRelay()
+    ~BlackholeProxy()
     {
         m_stopping = true;
-        m_accepting.join();
-        for (std::thread &thread : m_pumps) {
+        m_acceptThread.join();
+        for (std::thread &thread : m_forwardThreads) {
             thread.join();
         }
     }
@@ -37,7 +37,7 @@
         return Core::Address{"127.0.0.1", m_listener.address().port()};
     }
 
-    std::atomic<bool> m_isSilent = false; ///< Bytes are read and dropped.
+    std::atomic<bool> m_dropsBytes = false; ///< Bytes are read and dropped.
 
 private:
     void accept()
@@ -48,12 +48,12 @@
             }
             const Poco::Net::StreamSocket near = m_listener.acceptConnection();
             const Poco::Net::StreamSocket far{Poco::Net::SocketAddress(m_target.m_host, m_target.m_port)};
-            m_pumps.emplace_back([this, near, far] { pump(near, far); });
-            m_pumps.emplace_back([this, near, far] { pump(far, near); });
+            m_forwardThreads.emplace_back([this, near, far] { forward(near, far); });
+            m_forwardThreads.emplace_back([this, near, far] { forward(far, near); });
         }
     }
 
-    void pump(Poco::Net::StreamSocket from, Poco::Net::StreamSocket to)
+    void forward(Poco::Net::StreamSocket from, Poco::Net::StreamSocket to)
     {
         std::array<char, 4096> buffer;
         try {
@@ -65,7 +65,7 @@
                 if (bytes <= 0) {
                     break;
                 }
-                if (!m_isSilent) {
+                if (!m_dropsBytes) {
                     to.sendBytes(buffer.data(), bytes);
                 }
             }
@@ -78,8 +78,8 @@
     const Core::Address m_target;
     Poco::Net::ServerSocket m_listener;
     std::atomic<bool> m_stopping = false;
-    std::list<std::thread> m_pumps;
-    std::thread m_accepting; ///< Last member: it uses the others.
+    std::list<std::thread> m_forwardThreads;
+    std::thread m_acceptThread; ///< Last member: it uses the others.
 };
 
 }
--- a/Tests/Agent/TestModelAgent.cpp
+++ b/Tests/Agent/TestModelAgent.cpp
@@ -27,7 +27,7 @@
     Version m_old = Rig::makeVersion("6", 20'000);
     Version m_new = Rig::makeVersion("7", 30'000);
     Rig::Origin m_origin{{m_old, m_new}};
-    Rig::Hosted<StandIn::Engine> m_engine{engineSettings()};
+    Rig::HostedEndpoint<StandIn::Engine> m_engine{engineSettings()};
     Rig::Entry m_entry;
     Endpoint::AgentSettings m_settings;
     std::unique_ptr<Endpoint::Agent> m_agent;
@@ -50,8 +50,8 @@
 
     void serve(const Version &version)
     {
-        m_entry.plan({version});
-        await("the version to be attested", [this, &version] { return m_caller->sees(version); });
+        m_entry.publishPlan({version});
+        await("the version to be attested", [this, &version] { return m_caller->isAttested(version); });
     }
 
     std::size_t loadedModels() const
@@ -82,8 +82,8 @@
 {
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5));
-    REQUIRE(call->end().m_succeeded);
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
+    REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
     REQUIRE(call->m_frames.size() == 6);
     std::string text;
@@ -99,9 +99,9 @@
 
     rig.serve(rig.m_new);
     await("the old version to go", [&rig] { return rig.loadedModels() == 1; });
-    REQUIRE_FALSE(rig.m_caller->sees(rig.m_old));
-    REQUIRE(rig.m_caller->call(Rig::draft("a2", rig.m_old, 5))->end().m_error.m_code == Core::ErrorCode::NotFound);
-    REQUIRE(rig.m_caller->call(Rig::draft("a3", rig.m_new, 5))->end().m_succeeded);
+    REQUIRE_FALSE(rig.m_caller->isAttested(rig.m_old));
+    REQUIRE(rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 5))->waitForEnd().m_error.m_code == Core::ErrorCode::NotFound);
+    REQUIRE(rig.m_caller->call(Rig::draftRequest("a3", rig.m_new, 5))->waitForEnd().m_succeeded);
 }
 
 TEST_CASE("weights that are still on their way are neither ordered nor attested")
@@ -109,8 +109,8 @@
     // The origin stalls in the middle of a version. If the engine got what there is, buyers would read drafts of half a model.
     ModelRig rig;
     rig.serve(rig.m_old);
-    rig.m_origin.m_heldFrom = 10'000;
-    rig.m_entry.plan({rig.m_new});
+    rig.m_origin.m_withheldFrom = 10'000;
+    rig.m_entry.publishPlan({rig.m_new});
     await("some chunks of the new version", [&rig] {
         for (const Protocol::TransferProgress &progress : rig.m_caller->report().m_transfers) {
             if (progress.m_digest == rig.m_new.m_digest && progress.m_chunksHeld > 0) {
@@ -119,11 +119,11 @@
         }
         return false;
     });
-    REQUIRE_FALSE(rig.m_caller->sees(rig.m_new));
-    REQUIRE(rig.m_caller->sees(rig.m_old));
+    REQUIRE_FALSE(rig.m_caller->isAttested(rig.m_new));
+    REQUIRE(rig.m_caller->isAttested(rig.m_old));
     REQUIRE(rig.loadedModels() == 1);
-    rig.m_origin.m_heldFrom = SIZE_MAX;
-    await("the new version", [&rig] { return rig.m_caller->sees(rig.m_new); });
+    rig.m_origin.m_withheldFrom = SIZE_MAX;
+    await("the new version", [&rig] { return rig.m_caller->isAttested(rig.m_new); });
 }
 
 TEST_CASE("an engine that dies while it loads is not attested, and is ordered again")
@@ -131,11 +131,11 @@
     // The engine loses everything in the middle of a load. An agent that trusted its own order would send buyers to an empty engine.
     ModelRig rig;
     rig.m_engine.setFaults(R"({"die_while_loading":true})");
-    rig.m_entry.plan({rig.m_old});
+    rig.m_entry.publishPlan({rig.m_old});
     await("a failed order", [&rig] { return rig.metrics().find("orders_total{end=\"failed\"} 0") == std::string::npos; });
-    REQUIRE_FALSE(rig.m_caller->sees(rig.m_old));
+    REQUIRE_FALSE(rig.m_caller->isAttested(rig.m_old));
     rig.m_engine.setFaults(R"({"die_while_loading":false})");
-    await("the version", [&rig] { return rig.m_caller->sees(rig.m_old); });
+    await("the version", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
 }
 
 TEST_CASE("an engine that names another version than asked delivers nothing, and is no longer attested")
@@ -143,14 +143,14 @@
     // An engine mixes up its weights. Its answers look like any other; only the version that it names tells them apart.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> before = rig.m_caller->call(Rig::draft("a1", rig.m_old, 3));
-    REQUIRE(before->end().m_succeeded);
+    const std::shared_ptr<Caller::Call> before = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 3));
+    REQUIRE(before->waitForEnd().m_succeeded);
     rig.m_engine.setFaults(R"({"misreport_digest":")" + std::string(64, '0') + R"("})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a2", rig.m_old, 3));
-    const Wire::CallEnd end = call->end();
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 3));
+    const Wire::CallEnd end = call->waitForEnd();
     REQUIRE_FALSE(end.m_succeeded);
-    REQUIRE(call->frames() == 0);
-    await("the attestation to go", [&rig] { return !rig.m_caller->sees(rig.m_old); });
+    REQUIRE(call->frameCount() == 0);
+    await("the attestation to go", [&rig] { return !rig.m_caller->isAttested(rig.m_old); });
 }
 
 TEST_CASE("an answer that the engine cuts is not whole")
@@ -159,8 +159,8 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"cut_answers_after_tokens":2})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5));
-    REQUIRE(call->end().m_error.m_code == Core::ErrorCode::Ambiguous);
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
+    REQUIRE(call->waitForEnd().m_error.m_code == Core::ErrorCode::Ambiguous);
     REQUIRE_FALSE(call->isComplete());
 }
 
@@ -169,8 +169,8 @@
     // The buyer closes the page. An engine that goes on drafting for nobody is slow for everybody else.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 100'000));
-    await("the first tokens", [&call] { return call->frames() > 2; });
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 100'000));
+    await("the first tokens", [&call] { return call->frameCount() > 2; });
     rig.m_caller->cancel(*call);
     await("the engine to stop", [&rig] {
         const Poco::JSON::Array::Ptr ran = Rig::request(rig.m_engine.m_address, "GET", "/journal")->getArray("ran");
@@ -184,7 +184,7 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"hang":true})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5));
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
     await("the call to run", [&rig] { return rig.runningCalls() == 1; });
     rig.m_caller->cancel(*call);
     await("the place to be free", [&rig] { return rig.runningCalls() == 0; });
@@ -196,8 +196,8 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"hang":true})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, 5), Core::Duration(300));
-    REQUIRE_FALSE(call->end().m_succeeded);
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5), Core::Duration(300));
+    REQUIRE_FALSE(call->waitForEnd().m_succeeded);
     await("the place to be free", [&rig] { return rig.runningCalls() == 0; });
 }
 
@@ -206,18 +206,18 @@
     // The instance is replaced in the middle of a draft. Cutting it off would cost the analyst the whole draft.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draft("a1", rig.m_old, LongDraft));
-    await("the first tokens", [&call] { return call->frames() > 2; });
+    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, LongDraft));
+    await("the first tokens", [&call] { return call->frameCount() > 2; });
     rig.m_agent->startLeaving();
     await("the notice", [&rig] { return rig.m_caller->report().m_member.m_leaving; });
-    const Wire::CallEnd refused = rig.m_caller->call(Rig::draft("a2", rig.m_old, 5))->end();
+    const Wire::CallEnd refused = rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 5))->waitForEnd();
     REQUIRE(refused.m_error.m_code == Core::ErrorCode::Unavailable);
     REQUIRE(refused.m_error.m_detail == "leaving");
     REQUIRE(rig.m_agent->awaitDrained());
     rig.m_agent->stop();
-    REQUIRE(call->end().m_succeeded);
+    REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
-    REQUIRE(call->frames() == LongDraft + 1);
+    REQUIRE(call->frameCount() == LongDraft + 1);
 }
 
 TEST_CASE("a restarted agent attests what its engine serves as soon as it has the manifest, and does not load it again")
@@ -225,10 +225,10 @@
     // The agent is replaced while the engine goes on serving. Until every byte of the weights is fetched again the instance would be idle.
     ModelRig rig;
     rig.serve(rig.m_old);
-    rig.m_origin.m_heldFrom = 0;
+    rig.m_origin.m_withheldFrom = 0;
     rig.startAgent("life-2");
-    await("the version to be attested anew", [&rig] { return rig.m_caller->sees(rig.m_old); });
-    REQUIRE(rig.m_caller->call(Rig::draft("a1", rig.m_old, 5))->end().m_succeeded);
+    await("the version to be attested anew", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
+    REQUIRE(rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5))->waitForEnd().m_succeeded);
     REQUIRE(rig.metrics().find("orders_total{end=\"done\"} 0") != std::string::npos);
     REQUIRE(rig.loadedModels() == 1);
 }
@@ -239,11 +239,11 @@
     // An agent that trusted its socket would keep the engine drafting for nobody.
     ModelRig rig;
     rig.serve(rig.m_old);
-    Rig::SilentRelay relay(rig.m_settings.m_instance.m_member.m_wire);
+    Rig::BlackholeProxy relay(rig.m_settings.m_instance.m_member.m_wire);
     Caller far(relay.address());
-    const std::shared_ptr<Caller::Call> call = far.call(Rig::draft("a1", rig.m_old, 100'000), Core::Duration(0));
-    await("the first tokens", [&call] { return call->frames() > 2; });
-    relay.m_isSilent = true;
+    const std::shared_ptr<Caller::Call> call = far.call(Rig::draftRequest("a1", rig.m_old, 100'000), Core::Duration(0));
+    await("the first tokens", [&call] { return call->frameCount() > 2; });
+    relay.m_dropsBytes = true;
     await("the engine to stop", [&rig] {
         const Poco::JSON::Array::Ptr ran = Rig::request(rig.m_engine.m_address, "GET", "/journal")->getArray("ran");
         return ran->size() == 1 && !ran->getObject(0)->getValue<bool>("completed");
--- a/Tests/Agent/TestOrderDuty.cpp
+++ b/Tests/Agent/TestOrderDuty.cpp
@@ -28,13 +28,13 @@
 struct OrderRig
 {
     Version m_version = Rig::makeVersion("7", 20'000);
-    Rig::Hosted<StandIn::Engine> m_engine{trustingEngine()};
+    Rig::HostedEndpoint<StandIn::Engine> m_engine{trustingEngine()};
     Telemetry::Metrics m_metrics;
     Endpoint::AgentState m_state;
     FakeHost m_host;
     Endpoint::EngineClient m_client{engineSettings(m_engine.m_address), {}};
-    Endpoint::DutySettings m_settings = dutySettings();
-    Endpoint::OrderDuty m_duty{Endpoint::OrderParts{m_settings, &m_client, &m_state, &m_host, &m_metrics}};
+    Endpoint::WorkerSettings m_settings = dutySettings();
+    Endpoint::OrderWorker m_duty{Endpoint::OrderParts{m_settings, &m_client, &m_state, &m_host, &m_metrics}};
     std::unique_ptr<trompeloeil::expectation> m_held;
     std::unique_ptr<trompeloeil::expectation> m_refreshed;
 
@@ -60,26 +60,26 @@
         return settings;
     }
 
-    static Endpoint::DutySettings dutySettings()
+    static Endpoint::WorkerSettings dutySettings()
     {
-        Endpoint::DutySettings settings;
-        settings.m_fenceAge = Core::Duration(200);
-        settings.m_orderRetry = Core::Duration(1);
+        Endpoint::WorkerSettings settings;
+        settings.m_maximumFenceAge = Core::Duration(200);
+        settings.m_orderRetryDelay = Core::Duration(1);
         return settings;
     }
 
     void refresh()
     {
         const Endpoint::EngineStatus status = m_client.status().value();
-        m_state.change([&status](Endpoint::AgentFacts &facts) { facts.m_engine = status; });
+        m_state.update([&status](Endpoint::KnownState &facts) { facts.m_engine = status; });
     }
 
     void setPlan(Control::Offset offset)
     {
-        m_state.change([this, offset](Endpoint::AgentFacts &facts) {
+        m_state.update([this, offset](Endpoint::KnownState &facts) {
             facts.m_planOffset = offset;
             facts.m_plannedManifests = {m_version.m_digest};
-            facts.m_known = {Endpoint::KnownWeights{m_version.m_digest, m_version.m_manifest.m_contentDigest, true}};
+            facts.m_knownWeights = {Endpoint::KnownWeights{m_version.m_digest, m_version.m_manifest.m_contentDigest, true}};
         });
     }
 
@@ -97,7 +97,7 @@
     ALLOW_CALL(rig.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(5));
     REQUIRE(rig.m_duty.step(Core::Clock::now()));
     REQUIRE(rig.isLoaded());
-    REQUIRE(rig.m_state.facts().m_loadedUnder.at(rig.m_version.m_manifest.m_contentDigest) == 5);
+    REQUIRE(rig.m_state.knownState().m_loadPlanOffsets.at(rig.m_version.m_manifest.m_contentDigest) == 5);
 }
 
 TEST_CASE("the order of a paused agent whose plan was replaced does not reach the engine")
@@ -129,7 +129,7 @@
     OrderRig rig;
     {
         ALLOW_CALL(rig.m_host, newestPlanOffset())
-            .LR_SIDE_EFFECT(std::this_thread::sleep_for(rig.m_settings.m_fenceAge + Core::Duration(50)))
+            .LR_SIDE_EFFECT(std::this_thread::sleep_for(rig.m_settings.m_maximumFenceAge + Core::Duration(50)))
             .RETURN(Core::Result<Control::Offset>(5));
         REQUIRE_FALSE(rig.m_duty.step(Core::Clock::now()));
         REQUIRE_FALSE(rig.isLoaded());
@@ -148,7 +148,7 @@
     const Endpoint::EngineClient client(settings, {});
     const std::shared_ptr<const Weights::HeldVersion> weights = rig.m_host.heldWeights(rig.m_version.m_digest);
     const Endpoint::Order order{Endpoint::OrderKind::Load, rig.m_version.m_digest, rig.m_version.m_manifest.m_contentDigest, 5};
-    REQUIRE(client.load(order, *weights, std::make_shared<Endpoint::ExchangeBreaker>()).error().m_code == Core::ErrorCode::Ambiguous);
+    REQUIRE(client.load(order, *weights, std::make_shared<Endpoint::AbortHandle>()).error().m_code == Core::ErrorCode::Ambiguous);
     Rig::waitUntil("the engine to give up the load",
                    [&rig] { return Rig::request(rig.m_engine.m_address, "GET", "/status")->getArray("models")->size() == 0; });
 }
--- a/Tests/Agent/TestProgram.cpp
+++ b/Tests/Agent/TestProgram.cpp
@@ -47,7 +47,7 @@
     StandIn::EngineSettings engineSettings;
     engineSettings.m_firstTokenMs = 1;
     engineSettings.m_tokenMs = 1;
-    Rig::Hosted<StandIn::Engine> engine(engineSettings);
+    Rig::HostedEndpoint<StandIn::Engine> engine(engineSettings);
     Rig::Entry entry;
     const Core::Address wire = Network::freeLoopbackAddress();
     const SettingsFile settings("instance: {id: " + std::string(Rig::Instance) + ", region: hcm, failure_domain: hcm-a, service: " + Rig::Service + "}\n"
@@ -57,18 +57,18 @@
     Core::Result<Bench::Process> process = Bench::Process::start(program(), {"--settings", settings.path()}, settings.path() + ".log");
     REQUIRE(process);
     Caller caller(wire);
-    entry.plan({version});
+    entry.publishPlan({version});
     await("the version to be attested", [&caller, &version] {
         caller.watch();
-        return caller.sees(version);
+        return caller.isAttested(version);
     });
-    const std::shared_ptr<Caller::Call> call = caller.call(Rig::draft("a1", version, 3000));
-    await("the first tokens", [&call] { return call->frames() > 2; });
+    const std::shared_ptr<Caller::Call> call = caller.call(Rig::draftRequest("a1", version, 3000));
+    await("the first tokens", [&call] { return call->frameCount() > 2; });
     process.value().signal(SIGTERM);
-    REQUIRE(call->end().m_succeeded);
+    REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
-    REQUIRE(call->frames() == 3001);
-    REQUIRE(process.value().wait(Rig::Patience) == 0);
+    REQUIRE(call->frameCount() == 3001);
+    REQUIRE(process.value().wait(Rig::WaitLimit) == 0);
     std::filesystem::remove(settings.path() + ".log");
 }
 
@@ -77,5 +77,5 @@
     const SettingsFile settings("instance: {id: a}\nengine: {address: nowhere, kind: oracle}\n");
     Core::Result<Bench::Process> process = Bench::Process::start(program(), {"--settings", settings.path(), "--check"}, "/dev/null");
     REQUIRE(process);
-    REQUIRE(process.value().wait(Rig::Patience) == 2);
+    REQUIRE(process.value().wait(Rig::WaitLimit) == 2);
 }
--- a/Tests/Entry/Site.h
+++ b/Tests/Entry/Site.h
@@ -153,16 +153,16 @@
     {
         m_effects += 1;
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_gate.begin(request.m_attempt);
-        m_gate.finish(request.m_attempt, 200, "red linen frames");
+        m_gate.tryBegin(request.m_attempt);
+        m_gate.recordAnswer(request.m_attempt, 200, "red linen frames");
     }
 
     void runAndLoseOutcome(const Protocol::LiveRequest &request)
     {
         m_effects += 1;
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_gate.begin(request.m_attempt);
-        m_gate.lose(request.m_attempt);
+        m_gate.tryBegin(request.m_attempt);
+        m_gate.recordLostAnswer(request.m_attempt);
     }
 
     int effects() const
--- a/Tests/LibEndpoint/TestAttemptGate.cpp
+++ b/Tests/LibEndpoint/TestAttemptGate.cpp
@@ -24,8 +24,8 @@
 void runWhole(AttemptGate &gate, const AttemptTag &attempt, const std::string &body)
 {
     REQUIRE(gate.admit(attempt) == Admission::Admitted);
-    REQUIRE(gate.begin(attempt.m_attempt));
-    gate.finish(attempt.m_attempt, 200, body);
+    REQUIRE(gate.tryBegin(attempt.m_attempt));
+    gate.recordAnswer(attempt.m_attempt, 200, body);
 }
 
 }
@@ -35,10 +35,10 @@
     // The answer to a booking is lost on its way back, and the entry or the network sends the call once more. A second run would book twice.
     AttemptGate gate(Life, {});
     runWhole(gate, tag("a", "key"), "booked");
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::SeenBefore);
-    REQUIRE_FALSE(gate.begin("a"));
+    REQUIRE(gate.admit(tag("a", "key")) == Admission::Duplicate);
+    REQUIRE_FALSE(gate.tryBegin("a"));
     REQUIRE(gate.outcome(tag("a")) == Protocol::OutcomeAnswer{Outcome::Finished, 200, "booked"});
-    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyTaken);
+    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyInUse);
 }
 
 TEST_CASE("an attempt that was asked after before it arrived never runs")
@@ -47,7 +47,7 @@
     AttemptGate gate(Life, {});
     REQUIRE(gate.outcome(tag("late")).m_outcome == Outcome::NeverRan);
     REQUIRE(gate.admit(tag("late", "key")) == Admission::Tombstoned);
-    REQUIRE_FALSE(gate.begin("late"));
+    REQUIRE_FALSE(gate.tryBegin("late"));
 }
 
 TEST_CASE("an attempt that was cancelled in the queue never runs and says so")
@@ -55,7 +55,7 @@
     AttemptGate gate(Life, {});
     REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
     gate.cancel(tag("a", "key"));
-    REQUIRE_FALSE(gate.begin("a"));
+    REQUIRE_FALSE(gate.tryBegin("a"));
     REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::NeverRan);
     REQUIRE(gate.admit(tag("b", "key")) == Admission::Admitted);
 }
@@ -65,11 +65,11 @@
     // The service has posted the invoice, and its answer is lost. Neither "not run" nor a second try would be true or safe.
     AttemptGate gate(Life, {});
     REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
-    REQUIRE(gate.begin("a"));
-    gate.lose("a");
+    REQUIRE(gate.tryBegin("a"));
+    gate.recordLostAnswer("a");
     REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::SeenBefore);
-    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyTaken);
+    REQUIRE(gate.admit(tag("a", "key")) == Admission::Duplicate);
+    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyInUse);
 }
 
 TEST_CASE("a fresh agent does not claim that an attempt of an earlier life did not run")
@@ -78,7 +78,7 @@
     AttemptGate gate("life-2", {});
     REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
     REQUIRE(gate.outcome(AttemptTag{"b", "", "", 0}).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::OtherLife);
+    REQUIRE(gate.admit(tag("a", "key")) == Admission::OtherIncarnation);
 }
 
 TEST_CASE("what is forgotten is unknown and is not run late")
@@ -99,8 +99,8 @@
 TEST_CASE("stored answers are bounded, oldest dropped first")
 {
     AttemptGateLimits limits;
-    limits.m_maximumAnswerBytes = 10;
-    limits.m_maximumAnswer = 8;
+    limits.m_maximumStoredAnswerBytes = 10;
+    limits.m_maximumBytesPerAnswer = 8;
     AttemptGate gate(Life, limits);
     runWhole(gate, tag("a"), "123456");
     runWhole(gate, tag("b"), "123456");
@@ -120,7 +120,7 @@
     REQUIRE(gate.admit(tag("b")) == Admission::Full);
     REQUIRE(gate.outcome(tag("b")).m_outcome == Outcome::NeverRan);
     REQUIRE(gate.admit(tag("b")) != Admission::Admitted);
-    REQUIRE(gate.begin("a"));
+    REQUIRE(gate.tryBegin("a"));
 }
 
 namespace {
@@ -164,13 +164,13 @@
             m_gate.admit(tagOf(attempt));
             break;
         case Event::Begin:
-            m_runs[name] += m_gate.begin(name) ? 1 : 0;
+            m_runs[name] += m_gate.tryBegin(name) ? 1 : 0;
             break;
         case Event::Finish:
-            m_gate.finish(name, 200, "abc");
+            m_gate.recordAnswer(name, 200, "abc");
             break;
         case Event::Lose:
-            m_gate.lose(name);
+            m_gate.recordLostAnswer(name);
             break;
         case Event::Cancel:
             m_gate.cancel(tagOf(attempt));
--- a/Tests/LibEndpoint/TestOrderDecision.cpp
+++ b/Tests/LibEndpoint/TestOrderDecision.cpp
@@ -24,7 +24,7 @@
     result.m_plannedManifests = {New.m_manifestDigest};
     result.m_engine.m_reachable = true;
     result.m_slots = slots;
-    result.m_grace = Core::Duration(1000);
+    result.m_retirementGrace = Core::Duration(1000);
     return result;
 }
 
@@ -40,16 +40,16 @@
     // The plan names a version that is still on its way here. An engine that got what there is would draft with partial weights.
     OrderSituation partial = situation(2);
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
-    partial.m_known = {KnownWeights{New.m_manifestDigest, New.m_contentDigest, false}};
+    partial.m_knownWeights = {KnownWeights{New.m_manifestDigest, New.m_contentDigest, false}};
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
-    partial.m_known = {New};
+    partial.m_knownWeights = {New};
     REQUIRE(Endpoint::decideOrder(partial, Start) == Order{OrderKind::Load, New.m_manifestDigest, New.m_contentDigest, 7});
 }
 
 TEST_CASE("nothing is ordered without a plan, without the engine, or while it loads")
 {
     OrderSituation ready = situation(2);
-    ready.m_known = {New};
+    ready.m_knownWeights = {New};
     OrderSituation changed = ready;
     changed.m_planOffset = 0;
     REQUIRE_FALSE(Endpoint::decideOrder(changed, Start));
@@ -64,37 +64,37 @@
 TEST_CASE("with a free slot the new version is loaded beside the old one, which goes after the grace period")
 {
     OrderSituation now = situation(2);
-    now.m_known = {Old, New};
+    now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Load);
     REQUIRE(Endpoint::retirementTimes(now, Start).empty());
 
     now.m_engine.m_models.push_back(serving(New));
-    now.m_retirement = Endpoint::retirementTimes(now, Start);
-    REQUIRE(now.m_retirement == Endpoint::RetirementTimes{{Old.m_contentDigest, Start}});
+    now.m_retirementTimes = Endpoint::retirementTimes(now, Start);
+    REQUIRE(now.m_retirementTimes == Endpoint::RetirementTimes{{Old.m_contentDigest, Start}});
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start + Core::Duration(999)));
-    now.m_retirement = Endpoint::retirementTimes(now, Start + Core::Duration(500));
+    now.m_retirementTimes = Endpoint::retirementTimes(now, Start + Core::Duration(500));
     REQUIRE(Endpoint::decideOrder(now, Start + Core::Duration(1000)) == Order{OrderKind::Unload, Old.m_manifestDigest, Old.m_contentDigest, 7});
 }
 
 TEST_CASE("a version that the plan names again is not unloaded")
 {
     OrderSituation now = situation(2);
-    now.m_known = {Old, New};
+    now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old), serving(New)};
-    now.m_retirement = {{Old.m_contentDigest, Start}};
+    now.m_retirementTimes = {{Old.m_contentDigest, Start}};
     now.m_plannedManifests = {New.m_manifestDigest, Old.m_manifestDigest};
-    now.m_retirement = Endpoint::retirementTimes(now, Start + Core::Duration(5000));
+    now.m_retirementTimes = Endpoint::retirementTimes(now, Start + Core::Duration(5000));
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start + Core::Duration(5000)));
 }
 
 TEST_CASE("an engine with one slot swaps only once the new version is whole here")
 {
     OrderSituation now = situation(1);
-    now.m_known = {Old};
+    now.m_knownWeights = {Old};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start));
-    now.m_known = {Old, New};
+    now.m_knownWeights = {Old, New};
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Unload);
     now.m_engine.m_models.clear();
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Load);
@@ -106,18 +106,18 @@
     OrderSituation now = situation(1);
     now.m_engine.m_models = {serving(New)};
     REQUIRE(Endpoint::retirementTimes(now, Start).empty());
-    now.m_retirement = Endpoint::retirementTimes(now, Start);
+    now.m_retirementTimes = Endpoint::retirementTimes(now, Start);
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start + Core::Duration(60000)));
 }
 
 TEST_CASE("weights under which the engine answered with another version are unloaded and not attested")
 {
     OrderSituation now = situation(2);
-    now.m_known = {New};
+    now.m_knownWeights = {New};
     now.m_engine.m_models = {serving(New)};
-    now.m_distrusted = {New.m_contentDigest};
+    now.m_mismatched = {New.m_contentDigest};
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Unload);
-    REQUIRE(Endpoint::attestationsOf(now.m_engine, now.m_known, now.m_distrusted, {}).empty());
+    REQUIRE(Endpoint::attestationsOf(now.m_engine, now.m_knownWeights, now.m_mismatched, {}).empty());
     now.m_notBefore = {{New.m_contentDigest, Start + Core::Duration(1)}};
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start));
 }
--- a/Tests/LibEndpoint/TestOrderFence.cpp
+++ b/Tests/LibEndpoint/TestOrderFence.cpp
@@ -47,16 +47,16 @@
 TEST_CASE("an entry that is behind confirms nothing")
 {
     const OrderFence fence = Endpoint::withAnswer(Endpoint::withSeenOffset({}, 5), 4, Start);
-    REQUIRE(fence.m_highest == 5);
+    REQUIRE(fence.m_highestPlanOffset == 5);
     REQUIRE(codeOf(Endpoint::checkOrder(fence, 5, Start, Age)) == Core::ErrorCode::Unavailable);
 }
 
 TEST_CASE("each order needs a confirmation of its own, and a newer plan voids an older confirmation")
 {
     const OrderFence fence = Endpoint::withAnswer(Endpoint::withSeenOffset({}, 5), 5, Start);
-    REQUIRE(codeOf(Endpoint::checkOrder(Endpoint::withOrderGiven(fence), 5, Start, Age)) == Core::ErrorCode::Unavailable);
+    REQUIRE(codeOf(Endpoint::checkOrder(Endpoint::withConfirmationUsed(fence), 5, Start, Age)) == Core::ErrorCode::Unavailable);
     REQUIRE(codeOf(Endpoint::checkOrder(Endpoint::withSeenOffset(fence, 6), 6, Start, Age)) == Core::ErrorCode::Unavailable);
-    REQUIRE(Endpoint::withSeenOffset(fence, 3).m_highest == 5);
+    REQUIRE(Endpoint::withSeenOffset(fence, 3).m_highestPlanOffset == 5);
 }
 
 namespace {
@@ -106,7 +106,7 @@
             const bool staleTooLong = world.m_planInHand < world.m_newest && world.m_now - world.m_replacedAt > Age;
             world.m_broken = world.m_broken || staleTooLong || world.m_planInHand < world.m_highestOrdered;
             world.m_highestOrdered = std::max(world.m_highestOrdered, world.m_planInHand);
-            world.m_fence = Endpoint::withOrderGiven(world.m_fence);
+            world.m_fence = Endpoint::withConfirmationUsed(world.m_fence);
         }
         break;
     case Event::Pause:
