--- a/Libraries/LibControl/TemplateDocument.cpp
+++ b/Libraries/LibControl/TemplateDocument.cpp
@@ -43,7 +43,7 @@
     reader.list("accounts", MaximumAccounts, [&document, &accounts](Settings::Reader &item) {
         AccountParameters parameters = readAccount(item, document.m_kind);
         if (!parameters.m_account.empty() && !accounts.insert(parameters.m_account).second) {
-            item.problem("account", "expected each account once");
+            item.addProblem("account", "expected each account once");
         }
         document.m_accounts.push_back(std::move(parameters));
     });
--- a/Libraries/LibJson/Json.cpp
+++ b/Libraries/LibJson/Json.cpp
@@ -137,7 +137,7 @@
     return Core::success();
 }
 
-std::string lineOf(const Poco::JSON::Object &object)
+std::string toLine(const Poco::JSON::Object &object)
 {
     std::ostringstream text;
     object.stringify(text);
@@ -153,7 +153,7 @@
     details.set("detail", error.m_detail);
     Poco::JSON::Object object;
     object.set("error", details);
-    return lineOf(object);
+    return toLine(object);
 }
 
 }
--- a/Libraries/LibJson/Json.h
+++ b/Libraries/LibJson/Json.h
@@ -35,7 +35,7 @@
 Core::Result<void> refuseUnknownFields(const Poco::JSON::Object &object, const std::vector<std::string> &known);
 
 /// JSON text of an object on one line.
-std::string lineOf(const Poco::JSON::Object &object);
+std::string toLine(const Poco::JSON::Object &object);
 
 /// A JSON object with one error, as a refused request is answered.
 std::string errorLine(const Core::Error &error);
--- a/Libraries/LibLoad/Report.cpp
+++ b/Libraries/LibLoad/Report.cpp
@@ -162,7 +162,7 @@
         problems.add(problem);
     }
     object.set("problems", problems);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 std::string Report::text() const
--- a/Libraries/LibLoad/Trace.cpp
+++ b/Libraries/LibLoad/Trace.cpp
@@ -73,7 +73,7 @@
     observed.set("first_token_ms", observation.m_firstTokenMs);
     observed.set("total_ms", observation.m_totalMs);
     object.set("observed", observed);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 Core::Result<Request> parseTraceLine(const std::string &line, std::uint64_t index)
--- a/Libraries/LibNetwork/NetworkSettings.cpp
+++ b/Libraries/LibNetwork/NetworkSettings.cpp
@@ -12,7 +12,7 @@
     settings.m_bindHost = reader.text("bind", "");
     Poco::Net::IPAddress ignored;
     if (!settings.m_bindHost.empty() && !Poco::Net::IPAddress::tryParse(settings.m_bindHost, ignored)) {
-        reader.problem("bind", "expected an IP number");
+        reader.addProblem("bind", "expected an IP number");
     }
     if (reader.has("gateway")) {
         settings.m_gateway = reader.address("gateway");
--- a/Libraries/LibPlatform/HttpExchange.cpp
+++ b/Libraries/LibPlatform/HttpExchange.cpp
@@ -25,7 +25,7 @@
     return body;
 }
 
-Core::Result<HttpAnswer> ask(Poco::Net::HTTPClientSession &session, const HttpQuestion &question, const std::string &peer)
+Core::Result<HttpAnswer> ask(Poco::Net::HTTPClientSession &session, const HttpRequest &question, const std::string &peer)
 {
     Poco::Net::HTTPRequest request(question.m_method, question.m_target, Poco::Net::HTTPMessage::HTTP_1_1);
     request.setHost(peer);
@@ -49,7 +49,7 @@
 
 }
 
-Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpQuestion &question)
+Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpRequest &question)
 {
     const std::string peer = server.toString();
     Core::Result<std::unique_ptr<Poco::Net::HTTPClientSession>> session = Network::dialHttp(network, server, question.m_timeout);
--- a/Libraries/LibPlatform/HttpExchange.h
+++ b/Libraries/LibPlatform/HttpExchange.h
@@ -9,7 +9,7 @@
 
 namespace Platform {
 
-struct HttpQuestion
+struct HttpRequest
 {
     std::string m_step; ///< For errors, for example "append record".
     std::string m_method = "GET";
@@ -26,6 +26,6 @@
 };
 
 /// Unavailable: no byte of the request was sent. Ambiguous: it was sent, at least in part, and no whole answer came back.
-Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpQuestion &question);
+Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpRequest &question);
 
 }
--- a/Libraries/LibPlatform/HttpInstanceList.cpp
+++ b/Libraries/LibPlatform/HttpInstanceList.cpp
@@ -38,7 +38,7 @@
 
 Core::Result<std::vector<Protocol::Member>> HttpInstanceList::instances()
 {
-    HttpQuestion question;
+    HttpRequest question;
     question.m_step = "read instance list";
     question.m_target = "/instances";
     const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, question));
--- a/Libraries/LibPlatform/HttpLog.cpp
+++ b/Libraries/LibPlatform/HttpLog.cpp
@@ -82,7 +82,7 @@
     if (body.size() > MaximumRecordBytes) {
         return Core::makeError(Core::ErrorCode::InvalidInput, step, peer, "the record is longer than " + std::to_string(MaximumRecordBytes) + " bytes");
     }
-    HttpQuestion question;
+    HttpRequest question;
     question.m_step = step;
     question.m_method = "POST";
     question.m_target = "/log/" + stream;
@@ -99,7 +99,7 @@
 {
     const std::string peer = m_server.toString();
     const std::size_t maximum = std::min(options.m_maximumRecords, MaximumPageRecords);
-    HttpQuestion question;
+    HttpRequest question;
     question.m_step = "read log";
     question.m_target =
         "/log/" + stream + "?from=" + std::to_string(from) + "&max=" + std::to_string(maximum) + "&wait_ms=" + std::to_string(options.m_wait.count());
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -121,7 +121,7 @@
         }
     }
     if (relations != 1) {
-        reader.problem("field", "expected exactly one of is, at_least, at_most");
+        reader.addProblem("field", "expected exactly one of is, at_least, at_most");
     }
     return expect;
 }
@@ -171,7 +171,7 @@
     readVerb(reader, "expect_origin", verbs, step, [](Settings::Reader &section) { return ExpectOrigin{section.number("at_most_copies", 0, 1000, 1)}; });
     readVerb(reader, "report", verbs, step, [](Settings::Reader &section) { return Report{section.text("title", "")}; });
     if (verbs != 1) {
-        reader.problem("verb", "expected exactly one verb in a step");
+        reader.addProblem("verb", "expected exactly one verb in a step");
     }
     return step;
 }
@@ -186,7 +186,7 @@
         reader.section("fleet", [&script](Settings::Reader &section) { script.m_topology = readTopology(section); });
         reader.list("steps", MaximumSteps, [&script](Settings::Reader &section) { script.m_steps.push_back(readStep(section)); });
         if (script.m_steps.empty()) {
-            reader.problem("steps", "expected at least one step");
+            reader.addProblem("steps", "expected at least one step");
         }
     });
 }
--- a/Libraries/LibSettings/Reader.cpp
+++ b/Libraries/LibSettings/Reader.cpp
@@ -78,7 +78,7 @@
     m_problems.push_back(Problem{m_file, mark.line + 1, path, expected});
 }
 
-void Reader::problem(const std::string &field, const std::string &expected)
+void Reader::addProblem(const std::string &field, const std::string &expected)
 {
     const YAML::Node node = m_node.IsMap() ? m_node[field] : m_node;
     problemAt(node.IsDefined() ? node : m_node, field, expected);
@@ -127,7 +127,7 @@
     for (const std::string &known : words) {
         expected += " " + known;
     }
-    problem(field, expected);
+    addProblem(field, expected);
     return fallback;
 }
 
@@ -187,7 +187,7 @@
     }
     const Core::Result<Core::Address> parsed = Core::parseAddress(value);
     if (!parsed) {
-        problem(field, "expected IP-number:port; " + parsed.error().m_detail);
+        addProblem(field, "expected IP-number:port; " + parsed.error().m_detail);
         return {};
     }
     return parsed.value();
@@ -199,11 +199,11 @@
     for (const std::string &value : texts(field)) {
         const Core::Result<Core::Address> parsed = Core::parseAddress(value);
         if (!parsed) {
-            problem(field, "expected a list of IP-number:port; " + value + ": " + parsed.error().m_detail);
+            addProblem(field, "expected a list of IP-number:port; " + value + ": " + parsed.error().m_detail);
             continue;
         }
         if (std::find(result.begin(), result.end(), parsed.value()) != result.end()) {
-            problem(field, "the address " + value + " is given twice");
+            addProblem(field, "the address " + value + " is given twice");
         }
         result.push_back(parsed.value());
     }
--- a/Libraries/LibSettings/Reader.h
+++ b/Libraries/LibSettings/Reader.h
@@ -71,7 +71,7 @@
     void list(const std::string &field, std::size_t maximumItems, const std::function<void(Reader &)> &read);
 
     /// Notes a problem with a field of this mapping.
-    void problem(const std::string &field, const std::string &expected);
+    void addProblem(const std::string &field, const std::string &expected);
     /// Reports unknown fields.
     void finish();
 
--- a/Libraries/LibStandIn/Engine.cpp
+++ b/Libraries/LibStandIn/Engine.cpp
@@ -97,7 +97,7 @@
     object.set("hang", faults.m_hang);
     object.set("cut_answers_after_tokens", faults.m_cutAnswersAfterTokens);
     object.set("refuse_loads", faults.m_refuseLoads);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 Core::Result<std::uint64_t> fenceOf(const Poco::Net::HTTPServerRequest &request)
@@ -116,7 +116,7 @@
     Poco::JSON::Object object;
     object.set("digest", digest);
     object.set("state", "serving");
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 }
@@ -237,7 +237,7 @@
     object.set("running", load.m_running);
     object.set("queued", load.m_queued);
     object.set("capacity", m_settings.m_capacity);
-    sendAnswer(response, StatusOk, "application/json", Json::lineOf(object));
+    sendAnswer(response, StatusOk, "application/json", Json::toLine(object));
 }
 
 void Engine::answerJournal(Poco::Net::HTTPServerResponse &response)
--- a/Libraries/LibStandIn/PlainService.cpp
+++ b/Libraries/LibStandIn/PlainService.cpp
@@ -68,7 +68,7 @@
     object.set("slow_ms", faults.m_slowMs);
     object.set("hang", faults.m_hang);
     object.set("refuse", faults.m_refuse);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 }
@@ -150,7 +150,7 @@
     }
     object.set("models", Poco::JSON::Array());
     object.set("capacity", m_settings.m_capacity);
-    sendAnswer(response, StatusOk, "application/json", Json::lineOf(object));
+    sendAnswer(response, StatusOk, "application/json", Json::toLine(object));
 }
 
 void PlainService::answerJournal(Poco::Net::HTTPServerResponse &response)
@@ -205,7 +205,7 @@
     Poco::JSON::Object object;
     object.set("effect", number);
     object.set("echo", body.value());
-    sendAnswer(response, StatusOk, "application/json", Json::lineOf(object));
+    sendAnswer(response, StatusOk, "application/json", Json::toLine(object));
 }
 
 bool PlainService::enter(bool &full)
--- a/Libraries/LibStandInLog/LogService.cpp
+++ b/Libraries/LibStandInLog/LogService.cpp
@@ -101,7 +101,7 @@
     object.set("slow_ms", static_cast<Poco::Int64>(faults.m_log.m_slow.count()));
     object.set("lose_answers", faults.m_log.m_loseAnswers);
     object.set("list_down", faults.m_listDown);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 }
@@ -281,7 +281,7 @@
     }
     Poco::JSON::Object object;
     object.set("instances", rows);
-    sendAnswer(response, StatusOk, "application/json", Json::lineOf(object));
+    sendAnswer(response, StatusOk, "application/json", Json::toLine(object));
 }
 
 }
--- a/Libraries/LibStandInNetwork/Gateway.cpp
+++ b/Libraries/LibStandInNetwork/Gateway.cpp
@@ -342,7 +342,7 @@
     object.set("reset", m_totals.m_reset);
     object.set("corrupted", m_totals.m_corrupted);
     object.set("vanished_bytes", m_totals.m_vanishedBytes);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 void Gateway::openTunnel(GatewayConnection &connection)
--- a/Libraries/LibStandInNetwork/GatewayFaults.cpp
+++ b/Libraries/LibStandInNetwork/GatewayFaults.cpp
@@ -92,7 +92,7 @@
     object.set("silent", showSelectors(faults.m_silent));
     object.set("freeze", freeze);
     object.set("corrupt_percent", faults.m_corruptPercent);
-    return Json::lineOf(object);
+    return Json::toLine(object);
 }
 
 }
--- a/Tests/LibPlatform/TestHttpLog.cpp
+++ b/Tests/LibPlatform/TestHttpLog.cpp
@@ -37,7 +37,7 @@
 
     void send(const std::string &method, const std::string &target, const std::string &body)
     {
-        Platform::HttpQuestion question;
+        Platform::HttpRequest question;
         question.m_method = method;
         question.m_target = target;
         question.m_body = body;
--- a/Utilities/oriolerail/Command.cpp
+++ b/Utilities/oriolerail/Command.cpp
@@ -50,7 +50,7 @@
 
 Core::Result<std::string> fetch(const Arguments &arguments, const Core::Address &server, const std::string &step, const std::string &target)
 {
-    Platform::HttpQuestion question;
+    Platform::HttpRequest question;
     question.m_step = step;
     question.m_target = target;
     const Platform::HttpAnswer answer = BOOST_OUTCOME_TRYX(Platform::exchangeHttp(arguments.m_network, server, question));
