--- a/Libraries/LibDaemon/Program.cpp
+++ b/Libraries/LibDaemon/Program.cpp
@@ -56,7 +56,7 @@
     google::InitGoogleLogging(program);
 }
 
-sigset_t blockEndingSignals()
+sigset_t blockTerminationSignals()
 {
     sigset_t signals;
     sigemptyset(&signals);
--- a/Libraries/LibDaemon/Program.h
+++ b/Libraries/LibDaemon/Program.h
@@ -39,7 +39,7 @@
 void startLogs(const char *program, const std::string &directory);
 
 /// Blocks the signals that end the process, in this and all later threads, and returns them.
-sigset_t blockEndingSignals();
+sigset_t blockTerminationSignals();
 
 /**
  * Runs a process to its end: checks the settings whole before anything starts, and drains on SIGTERM or SIGINT.
@@ -64,7 +64,7 @@
         return ExitOk;
     }
     startLogs(argv[0], settings.m_instance.m_logDirectory);
-    const sigset_t signals = blockEndingSignals();
+    const sigset_t signals = blockTerminationSignals();
     Process process(std::move(settings));
     const Core::Result<void> started = process.start();
     if (!started) {
--- a/Libraries/LibProtocol/Report.cpp
+++ b/Libraries/LibProtocol/Report.cpp
@@ -12,7 +12,7 @@
         held = BOOST_OUTCOME_TRYX(Wire::unpack<AgentReport>(frame, peer));
         return Core::success();
     }
-    if (held.m_sequence < load.m_wholeSequence) {
+    if (held.m_sequence < load.m_fullReportSequence) {
         return Core::makeError(Core::ErrorCode::Conflict, "apply load report", peer, "it builds on a report that was missed");
     }
     held.m_sequence = load.m_sequence;
--- a/Libraries/LibProtocol/Report.h
+++ b/Libraries/LibProtocol/Report.h
@@ -78,14 +78,14 @@
 {
     bool m_isLoadOnly = false; ///< Tells this frame from a whole report, which has no such field.
     std::uint64_t m_sequence = 0; ///< Counted on with the whole reports.
-    std::uint64_t m_wholeSequence = 0; ///< Sequence of the last whole report; everything but the load is as it said.
+    std::uint64_t m_fullReportSequence = 0; ///< Sequence of the last whole report; everything but the load is as it said.
     EndpointLoad m_load;
 
     bool operator==(const LoadReport &) const = default;
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("load_only", m_isLoadOnly),
                        MSGPACK_NVP("sequence", m_sequence),
-                       MSGPACK_NVP("whole", m_wholeSequence),
+                       MSGPACK_NVP("whole", m_fullReportSequence),
                        MSGPACK_NVP("load", m_load));
 };
 
--- a/Libraries/LibSettings/Reader.cpp
+++ b/Libraries/LibSettings/Reader.cpp
@@ -66,12 +66,12 @@
     for (YAML::const_iterator it = m_node.begin(); it != m_node.end(); ++it) {
         const std::string name = it->first.IsScalar() ? it->first.Scalar() : std::string();
         if (!seen.insert(name).second) {
-            problemAt(it->first, name, "the field is given twice");
+            addProblemAt(it->first, name, "the field is given twice");
         }
     }
 }
 
-void Reader::problemAt(const YAML::Node &node, const std::string &field, const std::string &expected)
+void Reader::addProblemAt(const YAML::Node &node, const std::string &field, const std::string &expected)
 {
     const YAML::Mark mark = node.IsDefined() ? node.Mark() : m_node.Mark();
     const std::string path = m_path.empty() ? field : m_path + "." + field;
@@ -81,15 +81,15 @@
 void Reader::addProblem(const std::string &field, const std::string &expected)
 {
     const YAML::Node node = m_node.IsMap() ? m_node[field] : m_node;
-    problemAt(node.IsDefined() ? node : m_node, field, expected);
+    addProblemAt(node.IsDefined() ? node : m_node, field, expected);
 }
 
 YAML::Node Reader::find(const std::string &field, bool required, const std::string &expected)
 {
-    m_known.insert(field);
+    m_requestedFields.insert(field);
     const YAML::Node node = m_node.IsMap() ? m_node[field] : YAML::Node(YAML::NodeType::Undefined);
     if (required && !node.IsDefined()) {
-        problemAt(m_node, field, "missing; expected " + expected);
+        addProblemAt(m_node, field, "missing; expected " + expected);
     }
     return node;
 }
@@ -106,7 +106,7 @@
         return {};
     }
     if (!node.IsScalar() || node.Scalar().empty()) {
-        problemAt(node, field, "expected a text that is not empty");
+        addProblemAt(node, field, "expected a text that is not empty");
         return {};
     }
     return node.Scalar();
@@ -114,7 +114,7 @@
 
 std::string Reader::text(const std::string &field, const std::string &fallback)
 {
-    return has(field) ? text(field) : (m_known.insert(field), fallback);
+    return has(field) ? text(field) : (m_requestedFields.insert(field), fallback);
 }
 
 std::string Reader::choice(const std::string &field, const std::vector<std::string> &words, const std::string &fallback)
@@ -140,7 +140,7 @@
     }
     std::int64_t value = 0;
     if (!node.IsScalar() || !YAML::convert<std::int64_t>::decode(node, value) || value < minimum || value > maximum) {
-        problemAt(node, field, "expected " + expected);
+        addProblemAt(node, field, "expected " + expected);
         return minimum;
     }
     return value;
@@ -148,7 +148,7 @@
 
 std::int64_t Reader::integer(const std::string &field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback)
 {
-    return has(field) ? integer(field, minimum, maximum) : (m_known.insert(field), fallback);
+    return has(field) ? integer(field, minimum, maximum) : (m_requestedFields.insert(field), fallback);
 }
 
 double Reader::number(const std::string &field, double minimum, double maximum, double fallback)
@@ -159,7 +159,7 @@
     }
     double value = 0;
     if (!node.IsScalar() || !YAML::convert<double>::decode(node, value) || !(value >= minimum && value <= maximum)) {
-        problemAt(node, field, "expected a number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+        addProblemAt(node, field, "expected a number from " + std::to_string(minimum) + " to " + std::to_string(maximum));
         return fallback;
     }
     return value;
@@ -173,7 +173,7 @@
     }
     bool value = false;
     if (!node.IsScalar() || !YAML::convert<bool>::decode(node, value)) {
-        problemAt(node, field, "expected true or false");
+        addProblemAt(node, field, "expected true or false");
         return fallback;
     }
     return value;
@@ -218,12 +218,12 @@
         return result;
     }
     if (!node.IsSequence()) {
-        problemAt(node, field, "expected a list of texts");
+        addProblemAt(node, field, "expected a list of texts");
         return result;
     }
     for (YAML::const_iterator it = node.begin(); it != node.end(); ++it) {
         if (!it->IsScalar() || it->Scalar().empty()) {
-            problemAt(*it, field, "expected a list of texts that are not empty");
+            addProblemAt(*it, field, "expected a list of texts that are not empty");
             continue;
         }
         result.push_back(it->Scalar());
@@ -240,7 +240,7 @@
 {
     const YAML::Node node = find(field, false, "a mapping");
     if (node.IsDefined() && !node.IsMap()) {
-        problemAt(node, field, "expected a mapping");
+        addProblemAt(node, field, "expected a mapping");
         return;
     }
     Reader nested(node.IsDefined() ? node : YAML::Node(YAML::NodeType::Map), m_file, m_path.empty() ? field : m_path + "." + field, m_problems);
@@ -255,13 +255,13 @@
         return;
     }
     if (!node.IsSequence() || node.size() > maximumItems) {
-        problemAt(node, field, "expected a list of at most " + std::to_string(maximumItems) + " mappings");
+        addProblemAt(node, field, "expected a list of at most " + std::to_string(maximumItems) + " mappings");
         return;
     }
     for (std::size_t index = 0; index < node.size(); ++index) {
         const std::string item = field + "[" + std::to_string(index) + "]";
         if (!node[index].IsMap()) {
-            problemAt(node[index], item, "expected a mapping");
+            addProblemAt(node[index], item, "expected a mapping");
             continue;
         }
         Reader nested(node[index], m_file, m_path.empty() ? item : m_path + "." + item, m_problems);
@@ -277,8 +277,8 @@
     }
     for (YAML::const_iterator it = m_node.begin(); it != m_node.end(); ++it) {
         const std::string name = it->first.IsScalar() ? it->first.Scalar() : std::string("?");
-        if (!m_known.contains(name)) {
-            problemAt(it->first, name, "unknown field");
+        if (!m_requestedFields.contains(name)) {
+            addProblemAt(it->first, name, "unknown field");
         }
     }
 }
--- a/Libraries/LibSettings/Reader.h
+++ b/Libraries/LibSettings/Reader.h
@@ -77,13 +77,13 @@
 
 private:
     YAML::Node find(const std::string &field, bool required, const std::string &expected);
-    void problemAt(const YAML::Node &node, const std::string &field, const std::string &expected);
+    void addProblemAt(const YAML::Node &node, const std::string &field, const std::string &expected);
 
     YAML::Node m_node;
     std::string m_file;
     std::string m_path;
     Problems &m_problems;
-    std::set<std::string> m_known; ///< Every field that was asked for.
+    std::set<std::string> m_requestedFields; ///< Every field that was asked for.
 };
 
 /// Parses @p content and hands its top mapping to @p read. Returns every problem found, in order of line.
--- a/Utilities/oriolerail/EntryStatus.cpp
+++ b/Utilities/oriolerail/EntryStatus.cpp
@@ -19,7 +19,7 @@
 
 }
 
-EntryStatus askEntries(const Arguments &arguments)
+EntryStatus fetchEntryStatus(const Arguments &arguments)
 {
     EntryStatus status;
     std::vector<Control::StatusPage> pages;
@@ -33,17 +33,17 @@
             status.m_errors.push_back(page.error());
         }
     }
-    status.m_answered = pages.size();
+    status.m_answeredEntries = pages.size();
     status.m_page = Control::combineStatusPages(pages);
     return status;
 }
 
-InForce waitUntilInForce(const Arguments &arguments, Control::Offset revision)
+RevisionProgress waitUntilInForce(const Arguments &arguments, Control::Offset revision)
 {
     const Core::Instant deadline = Core::Clock::now() + arguments.m_timeout;
     while (true) {
-        const EntryStatus status = askEntries(arguments);
-        const InForce inForce{countLive(status.m_page), Control::instancesBehind(status.m_page, revision), status.m_errors.size()};
+        const EntryStatus status = fetchEntryStatus(arguments);
+        const RevisionProgress inForce{countLive(status.m_page), Control::instancesBehind(status.m_page, revision), status.m_errors.size()};
         if (inForce.isComplete() || Core::Clock::now() >= deadline) {
             return inForce;
         }
--- a/Utilities/oriolerail/EntryStatus.h
+++ b/Utilities/oriolerail/EntryStatus.h
@@ -10,26 +10,26 @@
 struct EntryStatus
 {
     Control::StatusPage m_page;
-    std::size_t m_answered = 0;
+    std::size_t m_answeredEntries = 0;
     std::vector<Core::Error> m_errors; ///< Of the entries that did not answer.
 };
 
-EntryStatus askEntries(const Arguments &arguments);
+EntryStatus fetchEntryStatus(const Arguments &arguments);
 
 /// How far a revision has come.
-struct InForce
+struct RevisionProgress
 {
     std::size_t m_instances = 0; ///< Live ones that are known.
-    std::vector<std::string> m_behind; ///< Those among them where it is not in force.
-    std::size_t m_unreachable = 0; ///< Entries that did not answer.
+    std::vector<std::string> m_instancesBehind; ///< Those among them where it is not in force.
+    std::size_t m_unreachableEntries = 0; ///< Entries that did not answer.
 
     bool isComplete() const
     {
-        return m_instances > 0 && m_behind.empty();
+        return m_instances > 0 && m_instancesBehind.empty();
     }
 };
 
 /// Asks until the revision is in force on every live instance, or the time is over.
-InForce waitUntilInForce(const Arguments &arguments, Control::Offset revision);
+RevisionProgress waitUntilInForce(const Arguments &arguments, Control::Offset revision);
 
 }
--- a/Utilities/oriolerail/Publish.cpp
+++ b/Utilities/oriolerail/Publish.cpp
@@ -107,18 +107,18 @@
         print(arguments, object, text);
         return outcome.value().m_accepted ? ExitOk : ExitFailed;
     }
-    const InForce inForce = waitUntilInForce(arguments, outcome.value().m_offset);
+    const RevisionProgress inForce = waitUntilInForce(arguments, outcome.value().m_offset);
     Poco::JSON::Array::Ptr behind = new Poco::JSON::Array;
-    for (const std::string &instance : inForce.m_behind) {
+    for (const std::string &instance : inForce.m_instancesBehind) {
         behind->add(instance);
         text += "not in force at " + instance + "\n";
     }
     object->set("instances", static_cast<Poco::UInt64>(inForce.m_instances));
     object->set("not_in_force", behind);
-    object->set("unreachable_entries", static_cast<Poco::UInt64>(inForce.m_unreachable));
+    object->set("unreachable_entries", static_cast<Poco::UInt64>(inForce.m_unreachableEntries));
     if (inForce.isComplete()) {
         text += "in force on all " + std::to_string(inForce.m_instances) + " instances\n";
-    } else if (inForce.m_behind.empty()) {
+    } else if (inForce.m_instancesBehind.empty()) {
         text += "no entry could be asked\n";
     }
     print(arguments, object, text);
--- a/Utilities/oriolerail/Show.cpp
+++ b/Utilities/oriolerail/Show.cpp
@@ -113,13 +113,13 @@
 int watchStatus(const Arguments &arguments)
 {
     const Core::Instant started = Core::Clock::now();
-    const double initial = totalProgress(askEntries(arguments).m_page);
+    const double initial = totalProgress(fetchEntryStatus(arguments).m_page);
     while (true) {
-        const EntryStatus status = askEntries(arguments);
+        const EntryStatus status = fetchEntryStatus(arguments);
         const double progress = totalProgress(status.m_page);
         const double elapsed = Core::secondsBetween(started, Core::Clock::now());
         std::ostringstream line;
-        if (status.m_answered > 0) {
+        if (status.m_answeredEntries > 0) {
             line << bar(progress) << " " << std::fixed << std::setprecision(0) << progress * 100 << "%";
         } else {
             line << "no entry answers";
@@ -128,7 +128,7 @@
             line << ", about " << elapsed * (1 - progress) / (progress - initial) << " s left";
         }
         std::cout << (arguments.m_isTerminal ? "\r\033[K" : "") << line.str() << (arguments.m_isTerminal ? "" : "\n") << std::flush;
-        const bool isDone = status.m_answered > 0 && servesEverything(status.m_page);
+        const bool isDone = status.m_answeredEntries > 0 && servesEverything(status.m_page);
         if (isDone || elapsed * 1000 > static_cast<double>(arguments.m_timeout.count())) {
             std::cout << (arguments.m_isTerminal ? "\n" : "");
             return isDone ? ExitOk : ExitFailed;
@@ -243,8 +243,8 @@
     if (arguments.m_watch) {
         return watchStatus(arguments);
     }
-    const EntryStatus status = askEntries(arguments);
-    if (status.m_answered == 0) {
+    const EntryStatus status = fetchEntryStatus(arguments);
+    if (status.m_answeredEntries == 0) {
         return reportError(arguments, status.m_errors.front());
     }
     print(arguments, statusJson(status), statusText(status));
