--- a/Libraries/LibFleet/EndpointIndex.h
+++ b/Libraries/LibFleet/EndpointIndex.h
@@ -1,7 +1,7 @@
 /// @file Endpoints by the address at which they listen.
 #pragma once
 
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 
 #include <map>
 #include <string>
--- a/Libraries/LibFleet/Beliefs.cpp
+++ b/Libraries/LibFleet/FleetState.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the beliefs.
 
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 
 #include <algorithm>
 #include <set>
--- a/Libraries/LibFollow/RecordSource.h
+++ b/Libraries/LibFollow/RecordSource.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "LibCore/Clock.h"
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 
 #include <functional>
 
--- a/Libraries/LibGossip/Messages.h
+++ b/Libraries/LibGossip/Messages.h
@@ -1,9 +1,9 @@
 /// @file Messages between the system's processes about the fleet.
 #pragma once
 
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 #include "LibGossip/Membership.h"
-#include "LibPlacement/EndpointBook.h"
+#include "LibPlacement/EndpointTracker.h"
 
 #include <msgpack.hpp>
 
--- a/Libraries/LibPlacement/Admission.h
+++ b/Libraries/LibPlacement/Admission.h
@@ -4,8 +4,8 @@
 #include "LibCore/Clock.h"
 #include "LibCore/Random.h"
 #include "LibFleet/Configuration.h"
-#include "LibPlacement/PlaceLedger.h"
 #include "LibPlacement/RequestQueue.h"
+#include "LibPlacement/SlotTracker.h"
 
 #include <map>
 #include <optional>
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include "LibCore/Random.h"
-#include "LibPlacement/EndpointBook.h"
-#include "LibPlacement/PlaceLedger.h"
+#include "LibPlacement/EndpointTracker.h"
+#include "LibPlacement/SlotTracker.h"
 
 #include <optional>
 #include <set>
--- a/Libraries/LibPlacement/EndpointBook.cpp
+++ b/Libraries/LibPlacement/EndpointTracker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the records of endpoints.
 
-#include "LibPlacement/EndpointBook.h"
+#include "LibPlacement/EndpointTracker.h"
 
 #include <algorithm>
 
--- a/Libraries/LibPlacement/RepeatBudgets.cpp
+++ b/Libraries/LibPlacement/RetryBudgets.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the budgets for repeats.
 
-#include "LibPlacement/RepeatBudgets.h"
+#include "LibPlacement/RetryBudgets.h"
 
 #include <algorithm>
 
--- a/Libraries/LibPlacement/PlaceLedger.cpp
+++ b/Libraries/LibPlacement/SlotTracker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the ledger of places.
 
-#include "LibPlacement/PlaceLedger.h"
+#include "LibPlacement/SlotTracker.h"
 
 #include <algorithm>
 
--- a/Libraries/LibRelay/Relay.h
+++ b/Libraries/LibRelay/Relay.h
@@ -2,11 +2,11 @@
 #pragma once
 
 #include "LibCore/Random.h"
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 #include "LibHttp/ServerConnection.h"
 #include "LibPlacement/Admission.h"
-#include "LibPlacement/EndpointBook.h"
-#include "LibPlacement/RepeatBudgets.h"
+#include "LibPlacement/EndpointTracker.h"
+#include "LibPlacement/RetryBudgets.h"
 #include "LibPlacement/VersionDeadlines.h"
 #include "LibRelay/Dialect.h"
 #include "LibRelay/WaitingRequests.h"
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -2,7 +2,7 @@
 
 #include "LibRelay/RelayedRequest.h"
 
-#include "LibRelay/RequestPatience.h"
+#include "LibRelay/RequestTimeouts.h"
 
 #include <algorithm>
 
--- a/Libraries/LibRelay/RelayedRequestQueueing.cpp
+++ b/Libraries/LibRelay/RelayedRequestQueueing.cpp
@@ -1,7 +1,7 @@
 /// @file The part of a request's way through the relay in which it waits: for the first configuration, or for a place at an engine.
 
 #include "LibRelay/RelayedRequest.h"
-#include "LibRelay/RequestPatience.h"
+#include "LibRelay/RequestTimeouts.h"
 
 #include <algorithm>
 
--- a/Libraries/LibStaging/WeightsKeeper.h
+++ b/Libraries/LibStaging/WeightsKeeper.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "LibCore/Random.h"
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 #include "LibGossip/Membership.h"
 #include "LibHttp/EventLoop.h"
 #include "LibPlacement/VersionDeadlines.h"
--- a/Tests/LibFleet/TestBeliefs.cpp
+++ b/Tests/LibFleet/TestFleetState.cpp
@@ -1,6 +1,6 @@
 /// @file Beliefs only move towards newer records, whatever order they come in.
 
-#include "LibFleet/Beliefs.h"
+#include "LibFleet/FleetState.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibPlacement/TestAdmission.cpp
+++ b/Tests/LibPlacement/TestAdmission.cpp
@@ -3,7 +3,7 @@
 #include "LibPlacement/Admission.h"
 #include "LibPlacement/Choice.h"
 #include "LibPlacement/EngineForecast.h"
-#include "LibPlacement/RepeatBudgets.h"
+#include "LibPlacement/RetryBudgets.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibPlacement/TestRepeatBudgets.cpp
+++ b/Tests/LibPlacement/TestRetryBudgets.cpp
@@ -1,6 +1,6 @@
 /// @file The shared budget for sending requests again.
 
-#include "LibPlacement/RepeatBudgets.h"
+#include "LibPlacement/RetryBudgets.h"
 
 #include <catch2/catch.hpp>
 
