--- a/Libraries/LibStaging/AgentSettings.h
+++ b/Libraries/LibStaging/AgentSettings.h
@@ -3,7 +3,7 @@
 
 #include "LibGossip/GossipService.h"
 #include "LibSettings/Reader.h"
-#include "LibStaging/WeightsKeeper.h"
+#include "LibStaging/WeightsManager.h"
 #include "LibTransfer/TransferSettings.h"
 
 namespace Staging {
--- a/Libraries/LibStaging/ChunkSweep.cpp
+++ b/Libraries/LibStaging/ChunkIteration.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the sweep over chunks.
 
-#include "LibStaging/ChunkSweep.h"
+#include "LibStaging/ChunkIteration.h"
 
 #include <algorithm>
 #include <memory>
--- a/Libraries/LibStaging/Turns.cpp
+++ b/Libraries/LibStaging/LoadSchedule.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the turns.
 
-#include "LibStaging/Turns.h"
+#include "LibStaging/LoadSchedule.h"
 
 #include "LibCore/Random.h"
 
--- a/Libraries/LibStaging/WeightsKeeper.cpp
+++ b/Libraries/LibStaging/WeightsManager.cpp
@@ -1,8 +1,8 @@
 /// @file Implementation of the keeper.
 
-#include "LibStaging/WeightsKeeper.h"
+#include "LibStaging/WeightsManager.h"
 
-#include "LibStaging/ChunkSweep.h"
+#include "LibStaging/ChunkIteration.h"
 
 #include <algorithm>
 #include <numeric>
--- a/Libraries/LibStaging/WeightsKeeper.h
+++ b/Libraries/LibStaging/WeightsManager.h
@@ -7,7 +7,7 @@
 #include "LibHttp/EventLoop.h"
 #include "LibPlacement/VersionDeadlines.h"
 #include "LibStaging/EngineControl.h"
-#include "LibStaging/Turns.h"
+#include "LibStaging/LoadSchedule.h"
 #include "LibTelemetry/EventLog.h"
 #include "LibTelemetry/Metrics.h"
 #include "LibTransfer/TransferManager.h"
--- a/Libraries/LibTransfer/Picker.cpp
+++ b/Libraries/LibTransfer/ChunkSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the picker.
 
-#include "LibTransfer/Picker.h"
+#include "LibTransfer/ChunkSelection.h"
 
 namespace Transfer {
 
--- a/Libraries/LibTransfer/Picker.h
+++ b/Libraries/LibTransfer/ChunkSelection.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "LibCore/Random.h"
-#include "LibTransfer/Ranking.h"
+#include "LibTransfer/RendezvousRanking.h"
 #include "LibWeights/Manifest.h"
 
 #include <optional>
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "LibTransfer/Events.h"
-#include "LibTransfer/OriginDuty.h"
+#include "LibTransfer/OriginWorker.h"
 #include "LibTransfer/TransferManager.h"
-#include "LibTransfer/UploadDuty.h"
+#include "LibTransfer/UploadWorker.h"
 #include "LibTransfer/Version.h"
 
 #include <atomic>
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -4,10 +4,10 @@
 #include "LibControl/Model.h"
 #include "LibCore/Clock.h"
 #include "LibCore/Random.h"
+#include "LibTransfer/ChunkSelection.h"
 #include "LibTransfer/Messages.h"
 #include "LibTransfer/Pacer.h"
-#include "LibTransfer/Picker.h"
-#include "LibTransfer/Ranking.h"
+#include "LibTransfer/RendezvousRanking.h"
 #include "LibTransfer/TransferSettings.h"
 #include "LibWeights/Manifest.h"
 
--- a/Libraries/LibTransfer/OriginDuty.cpp
+++ b/Libraries/LibTransfer/OriginWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the origin duty: one thread for each connection.
 
-#include "LibTransfer/OriginDuty.h"
+#include "LibTransfer/OriginWorker.h"
 
 namespace Transfer {
 
--- a/Libraries/LibTransfer/Ranking.cpp
+++ b/Libraries/LibTransfer/RendezvousRanking.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of rendezvous ranking and neighbour choice.
 
-#include "LibTransfer/Ranking.h"
+#include "LibTransfer/RendezvousRanking.h"
 
 #include "LibCore/Random.h"
 
--- a/Libraries/LibTransfer/UploadDuty.cpp
+++ b/Libraries/LibTransfer/UploadWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the upload duty.
 
-#include "LibTransfer/UploadDuty.h"
+#include "LibTransfer/UploadWorker.h"
 
 namespace Transfer {
 
--- a/Tests/LibStaging/TestChunkSweep.cpp
+++ b/Tests/LibStaging/TestChunkIteration.cpp
@@ -1,6 +1,6 @@
 /// @file The sweep over chunks: each once, a few at a time.
 
-#include "LibStaging/ChunkSweep.h"
+#include "LibStaging/ChunkIteration.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibStaging/TestTurns.cpp
+++ b/Tests/LibStaging/TestLoadSchedule.cpp
@@ -1,6 +1,6 @@
 /// @file The order in which a fleet changes versions.
 
-#include "LibStaging/Turns.h"
+#include "LibStaging/LoadSchedule.h"
 
 #include <catch2/catch.hpp>
 #include <set>
--- a/Tests/LibStaging/TestWeightsKeeper.cpp
+++ b/Tests/LibStaging/TestWeightsManager.cpp
@@ -1,7 +1,7 @@
 /// @file How an agent brings its engine to a version, with an engine and an origin that misbehave.
 
 #include "../Support/LoopbackPeer.h"
-#include "LibStaging/WeightsKeeper.h"
+#include "LibStaging/WeightsManager.h"
 
 #include <boost/asio/post.hpp>
 #include <catch2/catch.hpp>
--- a/Tests/LibTransfer/TestBurst.cpp
+++ b/Tests/LibTransfer/TestBurst.cpp
@@ -1,6 +1,6 @@
 /// @file Bursts between real transfer managers, without limits on the links: what arrives, and what it costs the origin.
 
-#include "Replicas.h"
+#include "ReplicaCluster.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibTransfer/TestDecisions.cpp
+++ b/Tests/LibTransfer/TestDecisions.cpp
@@ -1,8 +1,8 @@
 /// @file The picker, the upload queue and the pacer.
 
 #include "LibCore/Random.h"
+#include "LibTransfer/ChunkSelection.h"
 #include "LibTransfer/Pacer.h"
-#include "LibTransfer/Picker.h"
 #include "LibTransfer/UploadQueue.h"
 
 #include <catch2/catch.hpp>
--- a/Tests/LibTransfer/TestFaults.cpp
+++ b/Tests/LibTransfer/TestFaults.cpp
@@ -2,7 +2,7 @@
 
 #include "LibTransfer/Messages.h"
 #include "LibWire/Pack.h"
-#include "Replicas.h"
+#include "ReplicaCluster.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibTransfer/TestOriginDuty.cpp
+++ b/Tests/LibTransfer/TestOriginWorker.cpp
@@ -1,6 +1,6 @@
 /// @file How the duty that draws from the origin treats the origin's connections.
 
-#include "LibTransfer/OriginDuty.h"
+#include "LibTransfer/OriginWorker.h"
 
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/StreamSocket.h>
--- a/Tests/LibTransfer/TestRanking.cpp
+++ b/Tests/LibTransfer/TestRendezvousRanking.cpp
@@ -1,7 +1,7 @@
 /// @file Properties of the ranking and of the choice of neighbours, on random sets of replicas.
 
 #include "LibCore/Random.h"
-#include "LibTransfer/Ranking.h"
+#include "LibTransfer/RendezvousRanking.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
