--- a/Libraries/LibGossip/UnstatedAge.cpp
+++ b/Libraries/LibGossip/DeclarationAge.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the age of declarations without a statement.
 
-#include "LibGossip/UnstatedAge.h"
+#include "LibGossip/DeclarationAge.h"
 
 #include <algorithm>
 
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "LibCore/Random.h"
+#include "LibGossip/DeclarationAge.h"
 #include "LibGossip/Messages.h"
 #include "LibGossip/ReportFanOut.h"
-#include "LibGossip/UnstatedAge.h"
 #include "LibHttp/EventLoop.h"
 #include "LibPlacement/VersionDeadlines.h"
 #include "LibSettings/Reader.h"
--- a/Libraries/LibServing/EntrySettings.h
+++ b/Libraries/LibServing/EntrySettings.h
@@ -4,7 +4,7 @@
 #include "LibGossip/GossipService.h"
 #include "LibRelay/Relay.h"
 #include "LibServing/Directory.h"
-#include "LibServing/ReadDuty.h"
+#include "LibServing/ReaderSelection.h"
 #include "LibSettings/Reader.h"
 
 namespace Serving {
--- a/Libraries/LibServing/ReadDuty.cpp
+++ b/Libraries/LibServing/ReaderSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the choice of readers.
 
-#include "LibServing/ReadDuty.h"
+#include "LibServing/ReaderSelection.h"
 
 #include <algorithm>
 
--- a/Tests/LibGossip/TestUnstatedAge.cpp
+++ b/Tests/LibGossip/TestDeclarationAge.cpp
@@ -1,6 +1,6 @@
 /// @file The age of declarations of which nobody states when they were accepted.
 
-#include "LibGossip/UnstatedAge.h"
+#include "LibGossip/DeclarationAge.h"
 
 #include <catch2/catch.hpp>
 
--- a/Tests/LibServing/TestReadDuty.cpp
+++ b/Tests/LibServing/TestReaderSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Who reads the log, and who may leave it to others.
 
-#include "LibServing/ReadDuty.h"
+#include "LibServing/ReaderSelection.h"
 
 #include <catch2/catch.hpp>
 
