--- a/Libraries/LibClaims/CallProtocol.cpp
+++ b/Libraries/LibClaims/CallStateMachine.cpp
@@ -1,6 +1,6 @@
 /// @file Transitions of a call that may not be repeated.
 
-#include "LibClaims/CallProtocol.h"
+#include "LibClaims/CallStateMachine.h"
 
 namespace Claims {
 
--- a/Libraries/LibClaims/Writers.cpp
+++ b/Libraries/LibClaims/ClaimWriterSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Choice of the entries that write claims.
 
-#include "LibClaims/Writers.h"
+#include "LibClaims/ClaimWriterSelection.h"
 #include "LibCore/Random.h"
 
 #include <algorithm>
--- a/Libraries/LibEntry/AgentWatch.cpp
+++ b/Libraries/LibEntry/AgentWatcher.cpp
@@ -1,6 +1,6 @@
 /// @file Streams of reports from agents.
 
-#include "LibEntry/AgentWatch.h"
+#include "LibEntry/AgentWatcher.h"
 #include "LibWire/Pack.h"
 
 namespace Entry {
--- a/Libraries/LibEntry/ClaimService.cpp
+++ b/Libraries/LibEntry/ClaimService.cpp
@@ -1,7 +1,7 @@
 /// @file Sending claims to their writers.
 
 #include "LibEntry/ClaimService.h"
-#include "LibClaims/Writers.h"
+#include "LibClaims/ClaimWriterSelection.h"
 #include "LibWire/Pack.h"
 
 #include <future>
--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -7,7 +7,7 @@
 #include "LibControl/PlannerDuty.h"
 #include "LibControl/StateFeed.h"
 #include "LibControl/StateSubscriber.h"
-#include "LibEntry/AgentWatch.h"
+#include "LibEntry/AgentWatcher.h"
 #include "LibEntry/CallerServer.h"
 #include "LibPlatform/HttpInstanceList.h"
 #include "LibPlatform/HttpLog.h"
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -1,7 +1,7 @@
 /// @file Attempts at a plain service, and the claims before them.
 
 #include "LibEntry/ServiceCall.h"
-#include "LibClaims/CallProtocol.h"
+#include "LibClaims/CallStateMachine.h"
 
 namespace Entry {
 
--- a/Libraries/LibRouting/Pick.cpp
+++ b/Libraries/LibRouting/EndpointSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Strategies for the choice of an endpoint.
 
-#include "LibRouting/Pick.h"
+#include "LibRouting/EndpointSelection.h"
 
 #include <algorithm>
 #include <limits>
--- a/Libraries/LibRouting/Scheduler.h
+++ b/Libraries/LibRouting/Scheduler.h
@@ -1,8 +1,8 @@
 /// @file Admission of requests: at once to an endpoint with room, else into a fair and bounded queue, else refused.
 #pragma once
 
+#include "LibRouting/EndpointSelection.h"
 #include "LibRouting/FairQueue.h"
-#include "LibRouting/Pick.h"
 #include "LibRouting/RetryBudget.h"
 
 #include <map>
--- a/Tests/Entry/TestAnswers.cpp
+++ b/Tests/Entry/TestCallerRequests.cpp
@@ -1,6 +1,6 @@
 /// @file Whole answers, one entry, and agents that misbehave.
 
-#include "Site.h"
+#include "EntryCluster.h"
 
 using namespace EntryTest;
 
--- a/Tests/Entry/TestKeyedCalls.cpp
+++ b/Tests/Entry/TestKeyedCalls.cpp
@@ -1,6 +1,6 @@
 /// @file Calls that may not be repeated, through two entries, with everything lost that can be.
 
-#include "Site.h"
+#include "EntryCluster.h"
 
 using namespace EntryTest;
 
--- a/Tests/Entry/TestLeaving.cpp
+++ b/Tests/Entry/TestLeaving.cpp
@@ -1,6 +1,6 @@
 /// @file An entry that leaves while callers still hold its address.
 
-#include "Site.h"
+#include "EntryCluster.h"
 
 using namespace EntryTest;
 
--- a/Tests/LibClaims/TestClaimModel.cpp
+++ b/Tests/LibClaims/TestCallStateMachine.cpp
@@ -1,6 +1,6 @@
 /// @file Model check of calls that may not be repeated: every interleaving of three calls under one key, with losses, late arrivals and restarts.
 
-#include "LibClaims/CallProtocol.h"
+#include "LibClaims/CallStateMachine.h"
 #include "LibWire/Pack.h"
 
 #include <catch2/catch.hpp>
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -1,7 +1,7 @@
 /// @file The writer against a log that is down, loses answers or records.
 
 #include "LibClaims/ClaimWriter.h"
-#include "LibClaims/Writers.h"
+#include "LibClaims/ClaimWriterSelection.h"
 #include "LibStandInLog/LogStore.h"
 
 #include <catch2/catch.hpp>
--- a/Tests/LibRouting/TestPick.cpp
+++ b/Tests/LibRouting/TestEndpointSelection.cpp
@@ -1,7 +1,7 @@
 /// @file Eligibility and the choice of endpoints, over random fleets.
 
-#include "Fleet.h"
-#include "LibRouting/Pick.h"
+#include "AgentReports.h"
+#include "LibRouting/EndpointSelection.h"
 #include "LibRouting/VersionChoice.h"
 
 #include <catch2/catch.hpp>
--- a/Tests/LibRouting/TestScheduler.cpp
+++ b/Tests/LibRouting/TestScheduler.cpp
@@ -1,6 +1,6 @@
 /// @file Fairness, bounds, deadlines and the retry budget.
 
-#include "Fleet.h"
+#include "AgentReports.h"
 #include "LibRouting/Scheduler.h"
 
 #include <catch2/catch.hpp>
