--- a/Libraries/LibControl/Fold.cpp
+++ b/Libraries/LibControl/ApplyRecord.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the fold.
 
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibCore/Digest.h"
 
 #include <set>
--- a/Libraries/LibControl/Checkpointer.h
+++ b/Libraries/LibControl/Checkpointer.h
@@ -1,8 +1,8 @@
 /// @file Keeps a usable checkpoint on the control stream.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibPlatform/Log.h"
 
 namespace Control {
--- a/Libraries/LibControl/FeedChoice.cpp
+++ b/Libraries/LibControl/FeedSelection.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the choice of feeds.
 
-#include "LibControl/FeedChoice.h"
+#include "LibControl/FeedSelection.h"
 #include "LibCore/Random.h"
 
 #include <algorithm>
--- a/Libraries/LibControl/InstanceListDuty.cpp
+++ b/Libraries/LibControl/InstanceListWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of polling the instance list.
 
-#include "LibControl/InstanceListDuty.h"
+#include "LibControl/InstanceListWorker.h"
 
 namespace Control {
 
--- a/Libraries/LibControl/InstanceListDuty.h
+++ b/Libraries/LibControl/InstanceListWorker.h
@@ -1,8 +1,8 @@
 /// @file Reads the platform's instance list now and then.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibPlatform/InstanceList.h"
 
 namespace Control {
--- a/Libraries/LibControl/LogFollowing.cpp
+++ b/Libraries/LibControl/LogReconciliation.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of following the stream.
 
-#include "LibControl/LogFollowing.h"
+#include "LibControl/LogReconciliation.h"
 #include "LibControl/Recovery.h"
 #include "LibCore/Digest.h"
 
--- a/Libraries/LibControl/LogTail.cpp
+++ b/Libraries/LibControl/LogTail.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of the control stream's reader.
 
 #include "LibControl/LogTail.h"
-#include "LibControl/LogFollowing.h"
+#include "LibControl/LogReconciliation.h"
 #include "LibControl/Recovery.h"
 #include "LibCore/Random.h"
 
--- a/Libraries/LibControl/LogTail.h
+++ b/Libraries/LibControl/LogTail.h
@@ -1,8 +1,8 @@
 /// @file An entry's reader of the control stream.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibPlatform/Log.h"
 
 #include <atomic>
--- a/Libraries/LibControl/PlannerDuty.cpp
+++ b/Libraries/LibControl/PlannerWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the planner's duty.
 
-#include "LibControl/PlannerDuty.h"
+#include "LibControl/PlannerWorker.h"
 #include "LibControl/Checkpointer.h"
 #include "LibControl/Planner.h"
 #include "LibCore/Random.h"
--- a/Libraries/LibControl/PlannerDuty.h
+++ b/Libraries/LibControl/PlannerWorker.h
@@ -1,9 +1,9 @@
 /// @file Keeps the plans on the log in step with templates and members.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/Records.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibPlatform/Log.h"
 
 #include <map>
--- a/Libraries/LibControl/Publisher.cpp
+++ b/Libraries/LibControl/Publisher.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of the publisher.
 
 #include "LibControl/Publisher.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/Recovery.h"
 
 #include <thread>
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of reading afresh and of joining histories.
 
 #include "LibControl/Recovery.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibCore/Digest.h"
 
 #include <algorithm>
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -1,8 +1,8 @@
 /// @file An entry's side of spreading control state to agents and other entries.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibCore/Ring.h"
 #include "LibWire/Node.h"
 
--- a/Libraries/LibControl/StateStore.cpp
+++ b/Libraries/LibControl/StateStore.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of the state store.
 
 #include "LibControl/StateStore.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/Recovery.h"
 
 #include <Poco/JSON/Array.h>
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of the state subscriber.
 
 #include "LibControl/StateSubscriber.h"
-#include "LibControl/FeedChoice.h"
+#include "LibControl/FeedSelection.h"
 #include "LibWire/Pack.h"
 
 #include <glog/logging.h>
--- a/Libraries/LibControl/StateSubscriber.h
+++ b/Libraries/LibControl/StateSubscriber.h
@@ -1,8 +1,8 @@
 /// @file How a process gets control state from entries: agents always, entries while the log is down.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibCore/Ring.h"
 #include "LibWire/Node.h"
 
--- a/Libraries/LibControl/TemplateDocument.cpp
+++ b/Libraries/LibControl/TemplateDocument.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of reading template documents.
 
 #include "LibControl/TemplateDocument.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 
 #include <set>
 
--- a/Libraries/LibControl/Duty.cpp
+++ b/Libraries/LibControl/Worker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of a duty's thread.
 
-#include "LibControl/Duty.h"
+#include "LibControl/Worker.h"
 
 namespace Control {
 
--- a/Libraries/LibEntry/AgentWatcher.h
+++ b/Libraries/LibEntry/AgentWatcher.h
@@ -1,8 +1,8 @@
 /// @file The duty that watches agents and keeps the router's view of them.
 #pragma once
 
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibCore/Ring.h"
 #include "LibEntry/VersionTracker.h"
 #include "LibEntry/WatchSet.h"
--- a/Libraries/LibEntry/ClaimService.h
+++ b/Libraries/LibEntry/ClaimService.h
@@ -2,8 +2,8 @@
 #pragma once
 
 #include "LibClaims/ClaimWriter.h"
-#include "LibControl/Duty.h"
 #include "LibControl/StateStore.h"
+#include "LibControl/Worker.h"
 #include "LibWire/Node.h"
 
 namespace Entry {
--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -2,9 +2,9 @@
 #pragma once
 
 #include "LibControl/Checkpointer.h"
-#include "LibControl/InstanceListDuty.h"
+#include "LibControl/InstanceListWorker.h"
 #include "LibControl/LogTail.h"
-#include "LibControl/PlannerDuty.h"
+#include "LibControl/PlannerWorker.h"
 #include "LibControl/StateFeed.h"
 #include "LibControl/StateSubscriber.h"
 #include "LibEntry/AgentWatcher.h"
--- a/Tests/LibControl/Examples.h
+++ b/Tests/LibControl/Examples.h
@@ -1,7 +1,7 @@
 /// @file Templates, members and records for the tests of control.
 #pragma once
 
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/StateStore.h"
 
 #include <chrono>
--- a/Tests/LibControl/Processes.h
+++ b/Tests/LibControl/Processes.h
@@ -4,7 +4,7 @@
 #include "Examples.h"
 #include "LibControl/Checkpointer.h"
 #include "LibControl/LogTail.h"
-#include "LibControl/PlannerDuty.h"
+#include "LibControl/PlannerWorker.h"
 #include "LibControl/StateFeed.h"
 #include "LibControl/StateSubscriber.h"
 #include "LibNetwork/Listener.h"
--- a/Tests/LibControl/TestEarlierVersions.cpp
+++ b/Tests/LibControl/TestEarlierVersions.cpp
@@ -1,6 +1,6 @@
 /// @file The fold remembers which versions an account ran before, so that a rollout never leaves it without an answer.
 
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/Records.h"
 
 #include <catch2/catch.hpp>
--- a/Tests/LibControl/TestDuties.cpp
+++ b/Tests/LibControl/TestFeedsAndCheckpoints.cpp
@@ -2,7 +2,7 @@
 
 #include "Examples.h"
 #include "LibControl/Checkpointer.h"
-#include "LibControl/FeedChoice.h"
+#include "LibControl/FeedSelection.h"
 
 #include <catch2/catch.hpp>
 #include <set>
--- a/Tests/LibControl/TestInterleavings.cpp
+++ b/Tests/LibControl/TestInterleavings.cpp
@@ -2,7 +2,7 @@
 
 #include "Examples.h"
 #include "Explorer.h"
-#include "LibControl/LogFollowing.h"
+#include "LibControl/LogReconciliation.h"
 #include "LibControl/Recovery.h"
 #include "LibCore/Random.h"
 
--- a/Tests/LibControl/TestRecovery.cpp
+++ b/Tests/LibControl/TestRecovery.cpp
@@ -1,7 +1,7 @@
 /// @file A log that expires, loses records or brings late checkpoints: state never reverts, and a fresh reader knows all or nothing.
 
 #include "Examples.h"
-#include "LibControl/LogFollowing.h"
+#include "LibControl/LogReconciliation.h"
 #include "LibControl/Recovery.h"
 #include "LibStandInLog/LogStore.h"
 
--- a/Tests/LibControl/TestTemplateDocument.cpp
+++ b/Tests/LibControl/TestTemplateDocument.cpp
@@ -1,6 +1,6 @@
 /// @file Template documents: what they mean, and that every mistake is reported at once.
 
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/TemplateDocument.h"
 
 #include <catch2/catch.hpp>
--- a/Utilities/control-benchmark/Propagation.cpp
+++ b/Utilities/control-benchmark/Propagation.cpp
@@ -2,7 +2,7 @@
 
 #include "Propagation.h"
 #include "LibControl/LogTail.h"
-#include "LibControl/PlannerDuty.h"
+#include "LibControl/PlannerWorker.h"
 #include "LibControl/StateFeed.h"
 #include "LibControl/StateSubscriber.h"
 #include "LibNetwork/Listener.h"
--- a/Utilities/control-benchmark/PureCosts.cpp
+++ b/Utilities/control-benchmark/PureCosts.cpp
@@ -1,7 +1,7 @@
 /// @file Implementation of the measurements without threads or sockets.
 
 #include "PureCosts.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/MemberTable.h"
 #include "LibControl/Planner.h"
 #include "LibCore/Clock.h"
--- a/Utilities/oriolerail/Publish.cpp
+++ b/Utilities/oriolerail/Publish.cpp
@@ -2,7 +2,7 @@
 
 #include "Command.h"
 #include "EntryStatus.h"
-#include "LibControl/Fold.h"
+#include "LibControl/ApplyRecord.h"
 #include "LibControl/Publisher.h"
 #include "LibControl/TemplateDocument.h"
 #include "LibCore/Digest.h"
