--- a/Libraries/LibEndpoint/AttemptGate.cpp
+++ b/Libraries/LibEndpoint/AttemptTracker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the gate for calls that may not be repeated.
 
-#include "LibEndpoint/AttemptGate.h"
+#include "LibEndpoint/AttemptTracker.h"
 
 #include <algorithm>
 
--- a/Libraries/LibEndpoint/LiveRelay.h
+++ b/Libraries/LibEndpoint/LiveRelay.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "LibEndpoint/AnswerFramer.h"
-#include "LibEndpoint/AttemptGate.h"
+#include "LibEndpoint/AttemptTracker.h"
 #include "LibEndpoint/EngineClient.h"
 #include "LibEndpoint/PriorityPool.h"
 #include "LibTelemetry/Metrics.h"
--- a/Libraries/LibEndpoint/OrderDuty.cpp
+++ b/Libraries/LibEndpoint/OrderWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the order duty.
 
-#include "LibEndpoint/OrderDuty.h"
+#include "LibEndpoint/OrderWorker.h"
 
 #include <glog/logging.h>
 
--- a/Libraries/LibEndpoint/ReportDuty.cpp
+++ b/Libraries/LibEndpoint/ReportWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the reports.
 
-#include "LibEndpoint/ReportDuty.h"
+#include "LibEndpoint/ReportWorker.h"
 #include "LibWire/Pack.h"
 
 namespace Endpoint {
--- a/Libraries/LibEndpoint/StatusDuty.cpp
+++ b/Libraries/LibEndpoint/StatusWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the status duty.
 
-#include "LibEndpoint/StatusDuty.h"
+#include "LibEndpoint/StatusWorker.h"
 
 #include <glog/logging.h>
 
--- a/Tests/Agent/TestModelAgent.cpp
+++ b/Tests/Agent/TestModelAgent.cpp
@@ -1,7 +1,7 @@
 /// @file An agent beside a model engine: from a plan to attested weights, and answers under faults.
 
-#include "Rig.h"
-#include "SilentRelay.h"
+#include "AgentFixture.h"
+#include "BlackholeProxy.h"
 
 namespace {
 
--- a/Tests/Agent/TestOrderDuty.cpp
+++ b/Tests/Agent/TestOrderWorker.cpp
@@ -1,6 +1,6 @@
 /// @file Orders to an engine that does not check fencing numbers, so that the agent alone keeps old ones away.
 
-#include "Rig.h"
+#include "AgentFixture.h"
 
 #include <catch2/trompeloeil.hpp>
 
--- a/Tests/Agent/TestPlainAgent.cpp
+++ b/Tests/Agent/TestPlainAgent.cpp
@@ -1,6 +1,6 @@
 /// @file An agent beside a plain service: calls that may not be repeated, under faults.
 
-#include "Rig.h"
+#include "AgentFixture.h"
 
 namespace {
 
--- a/Tests/Agent/TestProgram.cpp
+++ b/Tests/Agent/TestProgram.cpp
@@ -1,7 +1,7 @@
 /// @file The program as it is started and ended on an instance.
 
+#include "AgentFixture.h"
 #include "LibBench/Process.h"
-#include "Rig.h"
 
 #include <Poco/TemporaryFile.h>
 #include <csignal>
--- a/Tests/Entry/EntryCluster.h
+++ b/Tests/Entry/EntryCluster.h
@@ -3,7 +3,7 @@
 
 #include "LibControl/Records.h"
 #include "LibEndpoint/AnswerFramer.h"
-#include "LibEndpoint/AttemptGate.h"
+#include "LibEndpoint/AttemptTracker.h"
 #include "LibEntry/Entry.h"
 #include "LibNetwork/Listener.h"
 #include "LibStandIn/HttpServer.h"
--- a/Tests/LibEndpoint/TestAttemptGate.cpp
+++ b/Tests/LibEndpoint/TestAttemptTracker.cpp
@@ -1,6 +1,6 @@
 /// @file The gate for calls that may not be repeated: single rules, and a model check over all short interleavings.
 
-#include "LibEndpoint/AttemptGate.h"
+#include "LibEndpoint/AttemptTracker.h"
 
 #include <catch2/catch.hpp>
 #include <sstream>
--- a/Tests/LibEndpoint/TestReportDuty.cpp
+++ b/Tests/LibEndpoint/TestReportWorker.cpp
@@ -1,6 +1,6 @@
 /// @file When an agent reports.
 
-#include "LibEndpoint/ReportDuty.h"
+#include "LibEndpoint/ReportWorker.h"
 
 #include <catch2/catch.hpp>
 
