--- a/Libraries/LibPlacement/Admission.cpp
+++ b/Libraries/LibPlacement/Admission.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the admission.
+/// @file Implementation of request admission under overload.
 
 #include "LibPlacement/Admission.h"
 
@@ -10,43 +10,44 @@
 
 namespace {
 
-constexpr Core::Duration Memory{20000}; ///< After it a route's longest patience is learned anew, since operators change time limits.
-constexpr Core::Duration CalmAfterRefusal{3500}; ///< By then whoever was refused has come back or given up.
-constexpr std::size_t KeptPatiences = 64; ///< Of a route: some ten seconds of one process.
-constexpr std::size_t EnoughPatiences = 20;
-constexpr std::size_t OutlierParts = 20; ///< One in so many callers may have lost time elsewhere, as on a connection that failed.
-constexpr std::int64_t UnknownSpreadParts = 6; ///< Of the longest patience: the spread that is assumed until enough callers were seen.
-constexpr std::int64_t MostSpreadParts = 4; ///< The same for the widest spread that is believed.
+constexpr Core::Duration LongestTimeoutLifetime{20000}; ///< After this time a route's longest timeout is learned again, because operators change time limits.
+constexpr Core::Duration SamplingPauseAfterRefusal{3500}; ///< Within this time a refused caller has retried or given up.
+constexpr std::size_t MaximumSamples = 64; ///< Per route: about ten seconds of one process's traffic.
+constexpr std::size_t MinimumSamples = 20;
+constexpr std::size_t OutlierDivisor = 20; ///< One in this many callers may have spent time elsewhere, for example on a failed connection.
+constexpr std::int64_t DefaultSpreadDivisor =
+    6; ///< Until there are enough samples, the spread of timeouts is assumed to be the longest timeout divided by this.
+constexpr std::int64_t MaximumSpreadDivisor = 4; ///< The learned spread is limited to the longest timeout divided by this.
 
-/// The shortest time that a fresh caller states, judged by the times that callers stated while none came back.
-Core::Duration shortestFresh(Core::Duration longest, std::vector<Core::Duration> stated)
+/// Returns the shortest timeout that a first attempt is expected to state, from the timeouts that were sampled while no refused caller could be retrying.
+Core::Duration shortestFirstAttemptTimeout(Core::Duration longest, std::vector<Core::Duration> timeouts)
 {
-    if (stated.size() < EnoughPatiences) {
-        return longest - longest / UnknownSpreadParts;
+    if (timeouts.size() < MinimumSamples) {
+        return longest - longest / DefaultSpreadDivisor;
     }
-    const std::vector<Core::Duration>::iterator low = stated.begin() + static_cast<std::ptrdiff_t>(stated.size() / OutlierParts);
-    std::nth_element(stated.begin(), low, stated.end());
-    return std::max(*low, longest - longest / MostSpreadParts);
+    const std::vector<Core::Duration>::iterator shortestLikely = timeouts.begin() + static_cast<std::ptrdiff_t>(timeouts.size() / OutlierDivisor);
+    std::nth_element(timeouts.begin(), shortestLikely, timeouts.end());
+    return std::max(*shortestLikely, longest - longest / MaximumSpreadDivisor);
 }
 
 }
 
-Core::Duration ElapsedTimeEstimator::estimateElapsed(const std::string &route, Core::Duration patience, Core::Instant now)
+Core::Duration ElapsedTimeEstimator::estimateElapsed(const std::string &route, Core::Duration timeout, Core::Instant now)
 {
-    RouteTimeouts &stated = m_routes[route];
-    if (patience >= stated.m_longest || now - stated.m_longestAt > Memory) {
-        stated.m_longest = patience;
-        stated.m_longestAt = now;
+    RouteTimeouts &timeouts = m_routes[route];
+    if (timeout >= timeouts.m_longest || now - timeouts.m_longestAt > LongestTimeoutLifetime) {
+        timeouts.m_longest = timeout;
+        timeouts.m_longestAt = now;
     }
-    if (!m_refusedAt || now - *m_refusedAt > CalmAfterRefusal) {
-        if (stated.m_samples.size() < KeptPatiences) {
-            stated.m_samples.push_back(patience);
+    if (!m_refusedAt || now - *m_refusedAt > SamplingPauseAfterRefusal) {
+        if (timeouts.m_samples.size() < MaximumSamples) {
+            timeouts.m_samples.push_back(timeout);
         } else {
-            stated.m_samples[stated.m_oldestSample++ % KeptPatiences] = patience;
+            timeouts.m_samples[timeouts.m_oldestSample++ % MaximumSamples] = timeout;
         }
     }
-    const Core::Duration shortest = shortestFresh(stated.m_longest, stated.m_samples);
-    return patience >= shortest ? Core::Duration(0) : (stated.m_longest + shortest) / 2 - patience;
+    const Core::Duration shortest = shortestFirstAttemptTimeout(timeouts.m_longest, timeouts.m_samples);
+    return timeout >= shortest ? Core::Duration(0) : (timeouts.m_longest + shortest) / 2 - timeout;
 }
 
 void ElapsedTimeEstimator::recordRefusal(Core::Instant now)
@@ -74,19 +75,19 @@
 
 Core::Duration retryAfterWithoutWeights(Core::Duration timeLeft, Core::Random &random)
 {
-    constexpr double waitedShare = 1.0 / 3; // Of the time left, which callers wait at most.
-    constexpr double spread = 0.15; // So that those who were refused together do not come back together.
+    constexpr double waitedShare = 1.0 / 3; // Callers wait for at most this share of the time that they have left.
+    constexpr double spread = 0.15; // Spreads the retries of callers that were refused together.
     const double milliseconds = static_cast<double>(std::max(timeLeft, Core::Duration(0)).count());
     return Core::Duration(static_cast<std::int64_t>(milliseconds * waitedShare * (1 - spread * random.unit())));
 }
 
 ReportedSlots reportedSlots(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace)
 {
-    ReportedSlots places;
-    places.m_maximum = engine.m_slots;
-    places.m_free = places.m_maximum - running - waiting;
-    places.m_finishedPerSecond = finishedPerSecond(engine) / std::max(pace, 1.0);
-    return places;
+    ReportedSlots slots;
+    slots.m_maximum = engine.m_slots;
+    slots.m_free = slots.m_maximum - running - waiting;
+    slots.m_finishedPerSecond = finishedPerSecond(engine) / std::max(pace, 1.0);
+    return slots;
 }
 
 }
--- a/Libraries/LibPlacement/Admission.h
+++ b/Libraries/LibPlacement/Admission.h
@@ -1,4 +1,4 @@
-/// @file Which requests are admitted when there is more work than the engines can do: pure decisions.
+/// @file Decides which requests are admitted when the engines are overloaded. The functions depend only on their arguments.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -14,17 +14,17 @@
 namespace Placement {
 
 /**
- * Tells how long a caller has waited already.
+ * Estimates the time that has elapsed since a caller's first try.
  *
- * A caller that comes back after a refusal sends a new request, which states only the time that is left. Fresh callers of a route do not all state the
- * same time either; how far they differ is learned while nobody was refused. Used by one thread.
+ * A caller that retries after a refusal sends a new request that states only its remaining time. The timeouts of first attempts on a route differ too; the
+ * estimator learns their spread while no caller has recently been refused. Used by one thread.
  */
 class ElapsedTimeEstimator
 {
 public:
-    /// Notes what a caller of the route states, and returns the time that it has lost since its first try; zero for what may be a fresh one.
-    Core::Duration estimateElapsed(const std::string &route, Core::Duration patience, Core::Instant now);
-    /// Notes that a caller was refused, who will come back.
+    /// Records the timeout that a caller of the route states, and returns the time since its first try; zero for what may be a first attempt.
+    Core::Duration estimateElapsed(const std::string &route, Core::Duration timeout, Core::Instant now);
+    /// Records that a caller was refused and is expected to retry.
     void recordRefusal(Core::Instant now);
 
 private:
@@ -32,8 +32,8 @@
     {
         Core::Duration m_longest{0};
         Core::Instant m_longestAt;
-        std::vector<Core::Duration> m_samples; ///< Stated while nobody was refused; a ring once it is full.
-        std::size_t m_oldestSample = 0; ///< Oldest element of the ring.
+        std::vector<Core::Duration> m_samples; ///< Timeouts stated while no caller had recently been refused; a ring buffer once it is full.
+        std::size_t m_oldestSample = 0; ///< Index of the oldest element of the ring buffer, before it wraps around.
     };
 
     std::map<std::string, RouteTimeouts> m_routes; ///< By route.
@@ -42,38 +42,38 @@
 
 struct AdmissionSettings
 {
-    double m_slotsPerRequest = 1; ///< Places that a request needs in this process's part.
-    /// Requests that may queue at an engine beyond its slots: parts of places are rounded, and an engine whose queue is empty idles between two reports.
+    double m_slotsPerRequest = 1; ///< Free slots that this process's share must hold to admit a request.
+    /// Requests that may queue at an engine beyond its slots. Shares of slots are rounded, and an engine with an empty queue would idle between two reports.
     double m_queuedPerEngine = 0.75;
-    Core::Duration m_minimumRetryAfter{150}; ///< One request of a full engine, and a half.
-    Core::Duration m_maximumRetryAfter{1500}; ///< A quarter of the time that callers have; later they would only have been kept waiting.
+    Core::Duration m_minimumRetryAfter{150}; ///< One and a half times the interval at which a full engine finishes requests.
+    Core::Duration m_maximumRetryAfter{1500}; ///< A quarter of the time that callers usually have. A longer delay would only keep them waiting.
 
     bool operator==(const AdmissionSettings &) const = default;
 };
 
-/// What admission depends on besides the request.
+/// Load information, other than the request itself, that admission depends on.
 struct AdmissionView
 {
-    std::size_t m_engines = 0; ///< From which reports came lately.
-    double m_share = 1; ///< This process's part of their places.
+    std::size_t m_engines = 0; ///< Engines that have reported recently.
+    double m_share = 1; ///< This process's share of their slots, over 0 and at most 1.
 };
 
-/// Places that a request needs in this process's part of all places; may be negative.
+/// Returns the free slots that this process's share of all slots must hold to admit a request; may be negative.
 double neededSlots(const AdmissionView &view, const AdmissionSettings &settings);
 
 /**
- * Shortest time until a caller that was refused should come back: until the @p ahead requests that wait here have got what the engines can do beyond
- * fresh requests; within bounds.
+ * Returns the shortest time after which a refused caller should retry: the time in which the engines' spare capacity serves the @p ahead requests that
+ * wait here and one more, limited to the bounds in @p settings.
  */
 Core::Duration retryAfter(const QueueForecast &forecast, std::size_t ahead, const AdmissionSettings &settings);
 
 /**
- * When a caller should come back that was refused because no engine has the weights. They arrive over links that take two seconds for a version; who
- * comes back sooner is refused once more and gives up. Callers wait for a third of the time that they have left at most.
+ * Returns the time after which a caller should retry if it was refused because no engine has the weights. Links take two seconds to transfer a version, so
+ * a caller that retries sooner is refused again and gives up. Callers wait for at most a third of the time that they have left.
  */
 Core::Duration retryAfterWithoutWeights(Core::Duration timeLeft, Core::Random &random);
 
-/// What a report says of an engine's places.
+/// Returns the slots of an engine according to its report. @p pace: factor by which the engine is slower than stated; values below 1 count as 1.
 ReportedSlots reportedSlots(const Fleet::EngineModel &engine, std::uint32_t running, std::uint32_t waiting, double pace);
 
 }
--- a/Libraries/LibPlacement/Choice.cpp
+++ b/Libraries/LibPlacement/Choice.cpp
@@ -8,44 +8,44 @@
 
 namespace {
 
-/// Endpoints that are compared.
+/// Number of endpoints that are compared with each other.
 constexpr std::size_t SampleSize = 2;
 /**
- * Cost of an endpoint in another failure domain: the round trip, and bytes over links that are shared. A tenth of an engine's interval between two
- * requests, so that load still decides where it differs.
+ * Cost of an endpoint in another failure domain, in milliseconds: the round trip and the use of shared links. It is a tenth of the interval at which an
+ * engine finishes requests, so that differences in load still decide.
  */
-constexpr double FarMilliseconds = 10;
-/// Engines of the own failure domain with places from which on they are chosen from alone. Among few, two choices even the load out badly.
-constexpr std::size_t EnoughNear = 8;
-/// Share of the engines nearby that must have places, in parts of the share of all engines that have. Where they are scarcer, they would be crowded.
-constexpr double EnoughNearShare = 0.75;
-/// A report by the process beside an engine is used for so long: four reporting intervals, after which the list is the better source.
+constexpr double RemoteCostMilliseconds = 10;
+/// Engines with free slots in the local failure domain that are needed to choose only among them. Comparing two samples balances few engines badly.
+constexpr std::size_t MinimumNearEngines = 8;
+/// Minimum ratio of the share of local engines with free slots to the share of all engines with free slots. Below it local engines would be overloaded.
+constexpr double MinimumNearShareRatio = 0.75;
+/// Time for which an agent's report on its engine is used: four reporting intervals. After that the list of endpoints is the better source.
 constexpr Core::Duration ReportLifetime{2000};
-/// Usual time of a plain service before one was measured.
-constexpr double DefaultPlainMilliseconds = 30;
+/// Assumed answer time of a plain service before one was measured.
+constexpr double DefaultPlainAnswerMilliseconds = 30;
 
-struct Usable
+struct Candidate
 {
     const Fleet::Endpoint *m_endpoint = nullptr;
     const EndpointRecord *m_record = nullptr;
-    bool m_isMissing = false; ///< Its entry in the list is gone, for an unclear reason.
+    bool m_isMissing = false; ///< Its entry in the list is gone, possibly only because of a log outage.
 };
 
-double expectedMilliseconds(const Usable &candidate, const ChoiceRequest &request, const ChoiceView &view)
+double expectedMilliseconds(const Candidate &candidate, const ChoiceRequest &request, const ChoiceView &view)
 {
     if (view.m_engine.m_slots > 0) {
         return firstEventMilliseconds(view.m_engine, candidate.m_record->m_load, request.m_size);
     }
-    const double usual = candidate.m_record->m_averageMilliseconds > 0 ? candidate.m_record->m_averageMilliseconds : DefaultPlainMilliseconds;
-    return plainAnswerMilliseconds(candidate.m_endpoint->m_slots, candidate.m_record->m_load, usual);
+    const double average = candidate.m_record->m_averageMilliseconds > 0 ? candidate.m_record->m_averageMilliseconds : DefaultPlainAnswerMilliseconds;
+    return plainAnswerMilliseconds(candidate.m_endpoint->m_slots, candidate.m_record->m_load, average);
 }
 
-std::optional<std::uint64_t> versionOf(const Usable &candidate, const ChoiceRequest &request, const ChoiceView &view)
+std::optional<std::uint64_t> versionOf(const Candidate &candidate, const ChoiceRequest &request, const ChoiceView &view)
 {
     return usableVersion(*candidate.m_endpoint, *candidate.m_record, request.m_model, view.m_engine.m_layers, view.m_now);
 }
 
-bool hasWeights(const Usable &candidate, const ChoiceRequest &request, const ChoiceView &view)
+bool hasWeights(const Candidate &candidate, const ChoiceRequest &request, const ChoiceView &view)
 {
     if (request.m_model.empty()) {
         return true;
@@ -54,99 +54,100 @@
     return version && (!request.m_requiredVersion || *version >= *request.m_requiredVersion);
 }
 
-/// Drops what does not meet the condition, unless nothing does.
+/// Removes candidates that do not meet the condition, unless none does.
 template <typename Condition>
-void prefer(std::vector<Usable> &usable, const Condition &isPreferred)
+void prefer(std::vector<Candidate> &candidates, const Condition &isPreferred)
 {
-    if (std::any_of(usable.begin(), usable.end(), isPreferred)) {
-        std::erase_if(usable, [&isPreferred](const Usable &candidate) { return !isPreferred(candidate); });
+    if (std::any_of(candidates.begin(), candidates.end(), isPreferred)) {
+        std::erase_if(candidates, [&isPreferred](const Candidate &candidate) { return !isPreferred(candidate); });
     }
 }
 
 /**
- * For a request that has moved already, drops the engines that will have to load a newer version, if there are others. Its stream would be cut again
- * there, and a request may be sent to few endpoints: the second cut could end it.
+ * For a request that has already moved from another endpoint, removes the engines that still have to load a newer version, if there are others. Loading
+ * would interrupt its stream again, and since the number of attempts is limited, a second interruption could end the request.
  */
-void preferNewest(std::vector<Usable> &usable, const ChoiceRequest &request, const ChoiceView &view)
+void preferNewest(std::vector<Candidate> &candidates, const ChoiceRequest &request, const ChoiceView &view)
 {
     if (request.m_excluded.empty() || !request.m_newestVersion) {
         return;
     }
-    prefer(usable, [&request, &view](const Usable &candidate) { return versionOf(candidate, request, view) >= request.m_newestVersion; });
+    prefer(candidates, [&request, &view](const Candidate &candidate) { return versionOf(candidate, request, view) >= request.m_newestVersion; });
 }
 
-/// Drops every engine if this process's part of all places does not suffice for the request.
-void dropIfOverloaded(std::vector<Usable> &usable, const ChoiceRequest &request, const ChoiceView &view, ChoiceResult &result)
+/// Removes every engine if this process's share of all free slots does not suffice for the request.
+void removeAllIfOverloaded(std::vector<Candidate> &candidates, const ChoiceRequest &request, const ChoiceView &view, ChoiceResult &result)
 {
-    if (!request.m_neededSlots || view.m_engine.m_slots == 0 || usable.empty()) {
+    if (!request.m_neededSlots || view.m_engine.m_slots == 0 || candidates.empty()) {
         return;
     }
-    const std::optional<double> places = view.m_slotTracker.totalFreeSlots(view.m_now);
-    if (places && *places < *request.m_neededSlots) {
-        usable.clear();
+    const std::optional<double> freeSlots = view.m_slotTracker.totalFreeSlots(view.m_now);
+    if (freeSlots && *freeSlots < *request.m_neededSlots) {
+        candidates.clear();
         result.m_reason = NoChoiceReason::Overloaded;
     }
 }
 
-bool isNear(const Usable &candidate, const ChoiceView &view)
+bool isNear(const Candidate &candidate, const ChoiceView &view)
 {
     return candidate.m_endpoint->m_failureDomain == view.m_ownFailureDomain;
 }
 
-std::size_t countNear(const std::vector<Usable> &usable, const ChoiceView &view)
+std::size_t countNear(const std::vector<Candidate> &candidates, const ChoiceView &view)
 {
-    return static_cast<std::size_t>(std::count_if(usable.begin(), usable.end(), [&view](const Usable &candidate) { return isNear(candidate, view); }));
+    return static_cast<std::size_t>(
+        std::count_if(candidates.begin(), candidates.end(), [&view](const Candidate &candidate) { return isNear(candidate, view); }));
 }
 
-/// Whether the engines nearby that have places suffice. @p withPlace: those of @p usable that have places.
-bool isNearEnough(const std::vector<Usable> &withPlace, const std::vector<Usable> &usable, const ChoiceView &view)
+/// Returns whether enough engines of the local failure domain have free slots. @p withSlot: the candidates in @p candidates that have free slots.
+bool isNearEnough(const std::vector<Candidate> &withSlot, const std::vector<Candidate> &candidates, const ChoiceView &view)
 {
-    const std::size_t near = countNear(withPlace, view);
-    if (near < EnoughNear) {
+    const std::size_t near = countNear(withSlot, view);
+    if (near < MinimumNearEngines) {
         return false;
     }
-    const double nearShare = static_cast<double>(near) / static_cast<double>(countNear(usable, view));
-    const double share = static_cast<double>(withPlace.size()) / static_cast<double>(usable.size());
-    return nearShare >= EnoughNearShare * share;
+    const double nearShare = static_cast<double>(near) / static_cast<double>(countNear(candidates, view));
+    const double share = static_cast<double>(withSlot.size()) / static_cast<double>(candidates.size());
+    return nearShare >= MinimumNearShareRatio * share;
 }
 
 /**
- * Keeps the engines at which this process's part is not used up, if there are any, and of them those of its own failure domain, if they are enough: links
- * between regions are thin, and the reports of engines nearby are the newest.
+ * Keeps the engines at which this process's share of slots is not used up, if there are any. If enough of them are in the local failure domain, keeps only
+ * those: links between regions have little bandwidth, and reports from local engines are the newest.
  */
-void preferOwnPlaces(std::vector<Usable> &usable, const ChoiceView &view)
+void preferFreeSlots(std::vector<Candidate> &candidates, const ChoiceView &view)
 {
     if (view.m_engine.m_slots == 0) {
         return;
     }
-    std::vector<Usable> withPlace = usable;
-    std::erase_if(withPlace, [&view](const Usable &candidate) { return view.m_slotTracker.freeSlots(candidate.m_endpoint->m_id, view.m_now) <= 0; });
-    if (withPlace.empty()) {
+    std::vector<Candidate> withSlot = candidates;
+    std::erase_if(withSlot, [&view](const Candidate &candidate) { return view.m_slotTracker.freeSlots(candidate.m_endpoint->m_id, view.m_now) <= 0; });
+    if (withSlot.empty()) {
         return;
     }
-    if (isNearEnough(withPlace, usable, view)) {
-        std::erase_if(withPlace, [&view](const Usable &candidate) { return !isNear(candidate, view); });
+    if (isNearEnough(withSlot, candidates, view)) {
+        std::erase_if(withSlot, [&view](const Candidate &candidate) { return !isNear(candidate, view); });
     }
-    usable = std::move(withPlace);
+    candidates = std::move(withSlot);
 }
 
 /**
- * Drops endpoints whose entries are gone, if there are others. When this process was cut off, such an endpoint may be leaving without a notice, and
- * requests would reach it after it should get none; when the log itself was away, all entries lapse, and all are used.
+ * Removes endpoints whose entries are gone, if there are others. If only this process was cut off from the log, such an endpoint may be leaving without
+ * notice, and requests would reach it after it should receive none. If the log itself was down, all entries expire together, and all endpoints are used.
  */
-void preferListed(std::vector<Usable> &usable)
+void preferListed(std::vector<Candidate> &candidates)
 {
-    prefer(usable, [](const Usable &candidate) { return !candidate.m_isMissing; });
+    prefer(candidates, [](const Candidate &candidate) { return !candidate.m_isMissing; });
 }
 
-/// Moves a random sample to the front and cuts the rest off.
-void takeSample(std::vector<Usable> &usable, Core::Random &random)
+/// Reduces the candidates to a random sample.
+void takeSample(std::vector<Candidate> &candidates, Core::Random &random)
 {
-    const std::size_t size = std::min(usable.size(), SampleSize);
+    const std::size_t size = std::min(candidates.size(), SampleSize);
     for (std::size_t index = 0; index < size; ++index) {
-        std::swap(usable[index], usable[index + random.below(usable.size() - index)]);
+        std::swap(candidates[index], candidates[index + random.below(candidates.size() - index)]);
     }
-    usable.resize(size);
+    candidates.resize(size);
 }
 
 }
@@ -184,36 +185,36 @@
 ChoiceResult chooseEndpoint(const ChoiceRequest &request, const ChoiceView &view, Core::Random &random)
 {
     ChoiceResult result;
-    std::vector<Usable> usable;
+    std::vector<Candidate> candidates;
     for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : view.m_endpoints) {
         const Fleet::Endpoint &endpoint = entry.second.m_endpoint;
         if (endpoint.m_service != request.m_service || endpoint.m_isLeaving) {
             continue;
         }
         result.m_reason = std::max(result.m_reason, NoChoiceReason::NoWeights);
-        const Usable candidate{&endpoint, &view.m_endpointTracker.get(endpoint), entry.second.m_missingSince.has_value()};
+        const Candidate candidate{&endpoint, &view.m_endpointTracker.get(endpoint), entry.second.m_missingSince.has_value()};
         if (!hasWeights(candidate, request, view)) {
             continue;
         }
         result.m_reason = NoChoiceReason::AllTried;
         if (!request.m_excluded.contains(endpoint.m_id)) {
-            usable.push_back(candidate);
+            candidates.push_back(candidate);
         }
     }
-    preferListed(usable);
-    preferNewest(usable, request, view);
-    const bool isAnySound =
-        std::any_of(usable.begin(), usable.end(), [&view](const Usable &candidate) { return candidate.m_record->m_avoidUntil <= view.m_now; });
-    if (isAnySound || request.m_canWait) {
-        std::erase_if(usable, [&view](const Usable &candidate) { return candidate.m_record->m_avoidUntil > view.m_now; });
+    preferListed(candidates);
+    preferNewest(candidates, request, view);
+    const bool isAnyAvailable =
+        std::any_of(candidates.begin(), candidates.end(), [&view](const Candidate &candidate) { return candidate.m_record->m_avoidUntil <= view.m_now; });
+    if (isAnyAvailable || request.m_canWait) {
+        std::erase_if(candidates, [&view](const Candidate &candidate) { return candidate.m_record->m_avoidUntil > view.m_now; });
     }
-    dropIfOverloaded(usable, request, view, result);
-    preferOwnPlaces(usable, view);
-    takeSample(usable, random);
+    removeAllIfOverloaded(candidates, request, view, result);
+    preferFreeSlots(candidates, view);
+    takeSample(candidates, random);
     double best = 0;
-    for (const Usable &candidate : usable) {
+    for (const Candidate &candidate : candidates) {
         const double expected = expectedMilliseconds(candidate, request, view);
-        const double cost = expected + (candidate.m_endpoint->m_failureDomain == view.m_ownFailureDomain ? 0 : FarMilliseconds);
+        const double cost = expected + (candidate.m_endpoint->m_failureDomain == view.m_ownFailureDomain ? 0 : RemoteCostMilliseconds);
         if (result.m_choice && cost >= best) {
             continue;
         }
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -1,4 +1,4 @@
-/// @file Which endpoint a request goes to, or why none may take it: a pure decision.
+/// @file Chooses the endpoint for a request, or gives the reason why there is none. The result depends only on the arguments.
 #pragma once
 
 #include "LibCore/Random.h"
@@ -11,30 +11,30 @@
 
 namespace Placement {
 
-/// What the decision needs to know of a request.
+/// Properties of a request that the choice depends on.
 struct ChoiceRequest
 {
     std::string m_service;
     std::string m_model; ///< Empty for plain services.
-    std::optional<std::uint64_t> m_requiredVersion; ///< Of the model's weights, if no other may answer any more.
-    std::optional<std::uint64_t> m_newestVersion; ///< Declared for the model; engines that have it are not about to load.
+    std::optional<std::uint64_t> m_requiredVersion; ///< Oldest version of the model's weights that may still answer; empty if any may.
+    std::optional<std::uint64_t> m_newestVersion; ///< Newest version declared for the model. Engines that have it will not load another one soon.
     RequestSize m_size;
     /**
-     * Places that this process's part must hold for the request to be admitted; empty if it is admitted in any case. An answer that begins within its
-     * objective is worth four late ones, and an overloaded engine that takes everybody answers everybody late.
+     * Free slots that this process's share must hold for the request to be admitted; empty if it is admitted in any case. An answer that begins within its
+     * latency objective is worth four late ones, and an overloaded engine that accepts every request answers all of them late.
      */
     std::optional<double> m_neededSlots;
-    std::set<std::string> m_excluded; ///< Endpoints that have failed this request.
-    bool m_canWait = false; ///< Endpoints that failed lately are not taken, even if there is no other.
+    std::set<std::string> m_excluded; ///< Ids of the endpoints at which this request has failed.
+    bool m_canWait = false; ///< If set, endpoints that failed recently are not chosen even if there is no other.
 };
 
-/// What the decision needs to know of the fleet.
+/// State of the fleet that the choice depends on.
 struct ChoiceView
 {
     const std::map<std::string, Fleet::KnownEndpoint> &m_endpoints;
     const EndpointTracker &m_endpointTracker;
-    const SlotTracker &m_slotTracker; ///< Of the engines' places.
-    const Fleet::EngineModel &m_engine; ///< Of the service; without slots for plain services.
+    const SlotTracker &m_slotTracker; ///< Free slots of the engines.
+    const Fleet::EngineModel &m_engine; ///< Engine model of the service; has no slots for plain services.
     std::string m_ownFailureDomain;
     Core::Instant m_now;
 };
@@ -42,20 +42,21 @@
 struct Choice
 {
     Fleet::Endpoint m_endpoint;
-    double m_expectedMilliseconds = 0; ///< To the first event, or to the answer of a plain service.
-    std::optional<std::uint64_t> m_version; ///< Of the model's weights there; empty for plain services.
-    EndpointLoad m_load; ///< That the expectation rests on.
-    Core::Duration m_reportAge{0}; ///< Of the load that the expectation rests on; negative if no load was ever reported.
+    double m_expectedMilliseconds = 0; ///< Time to the first event, or to the answer of a plain service.
+    std::optional<std::uint64_t> m_version; ///< Version of the model's weights at the endpoint; empty for plain services.
+    EndpointLoad m_load; ///< Load that the expected time was computed from.
+    Core::Duration m_reportAge{0}; ///< Age of the report of that load; negative if no load was ever reported.
 };
 
 /// Why no endpoint was chosen.
 enum class NoChoiceReason {
-    NoEndpoint, ///< The service has no endpoint that takes work.
+    NoEndpoint, ///< The service has no endpoint that accepts work.
     NoWeights, ///< Endpoints exist, but none has the weights.
-    AllTried, ///< Every endpoint that could has failed this request.
-    Overloaded, ///< The engines have no place for it.
+    AllTried, ///< The request has already failed at every usable endpoint.
+    Overloaded, ///< The engines have no free slot for it.
 };
 
+/// Returns the name of the reason in answers and logs.
 std::string_view noChoiceReasonName(NoChoiceReason reason);
 
 /// Either a choice or the reason why there is none.
@@ -66,14 +67,14 @@
 };
 
 /**
- * Takes a few of the usable endpoints at random and chooses the one that is expected to begin first; near ones win a tie.
+ * Compares a few usable endpoints, sampled at random, and chooses the one that is expected to begin the answer first; the local failure domain wins a tie.
  *
- * Every process decides alone on reports that all of them have. If each took the best of all, all would take the same one until the next report;
- * a sample spreads them. Endpoints that failed lately are taken only if there is no other.
+ * Each process decides alone, on reports that all processes receive. If each took the best endpoint of all, they would all take the same one until the next
+ * report; sampling spreads the load. Endpoints that failed recently are chosen only if there is no other.
  */
 ChoiceResult chooseEndpoint(const ChoiceRequest &request, const ChoiceView &view, Core::Random &random);
 
-/// The version of the model, of @p layers layers, that an endpoint has whole by its newest report; empty if it has none or loads another now.
+/// Returns the version of the model that the endpoint holds with all @p layers layers, by its newest report; empty if it holds none or is loading another.
 std::optional<std::uint64_t>
 usableVersion(const Fleet::Endpoint &endpoint, const EndpointRecord &record, const std::string &model, std::uint32_t layers, Core::Instant now);
 
--- a/Libraries/LibPlacement/EndpointTracker.cpp
+++ b/Libraries/LibPlacement/EndpointTracker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the records of endpoints.
+/// @file Implementation of the endpoint tracker.
 
 #include "LibPlacement/EndpointTracker.h"
 
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr double AverageWeight = 0.1; ///< Of a new answer time in the moving average: about the last ten answers.
+constexpr double AverageWeight = 0.1; ///< Weight of a new answer time in the moving average, which covers about the last ten answers.
 constexpr std::uint32_t MaximumDoublings = 5;
 
-void noteLoad(EndpointRecord &entry, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
+void updateLoad(EndpointRecord &entry, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
 {
     entry.m_load.m_running = running;
     entry.m_load.m_waiting = waiting;
@@ -60,13 +60,13 @@
 
 void EndpointTracker::recordLoad(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now)
 {
-    noteLoad(getOrCreate(endpoint), running, waiting, now);
+    updateLoad(getOrCreate(endpoint), running, waiting, now);
 }
 
 void EndpointTracker::recordEngineReport(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now)
 {
     EndpointRecord &entry = getOrCreate(endpoint);
-    noteLoad(entry, report.m_running, report.m_waiting, now);
+    updateLoad(entry, report.m_running, report.m_waiting, now);
     entry.m_load.m_pace = report.m_pace;
     entry.m_engineReport = report;
     entry.m_engineReportedAt = now;
--- a/Libraries/LibPlacement/EndpointTracker.h
+++ b/Libraries/LibPlacement/EndpointTracker.h
@@ -1,4 +1,4 @@
-/// @file What this process has learned of each endpoint from reports, answers and failures.
+/// @file Tracks the load and the failures of each endpoint, from reports and from this process's own requests.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,13 +11,13 @@
 
 namespace Placement {
 
-/// What the process beside an engine says of it.
+/// An agent's report on its engine.
 struct EngineReport
 {
     std::uint32_t m_running = 0;
     std::uint32_t m_waiting = 0;
-    double m_pace = 1;
-    bool m_isLoading = false; ///< It takes nothing new until other weights are loaded.
+    double m_pace = 1; ///< Factor by which the engine is slower than its model states; 1 is as stated.
+    bool m_isLoading = false; ///< The engine is loading other weights and accepts no new requests until it has them.
     std::vector<Fleet::LoadedWeights> m_weights;
 
     bool operator==(const EngineReport &) const = default;
@@ -25,55 +25,62 @@
     MSGPACK_DEFINE_ARRAY(m_running, m_waiting, m_pace, m_isLoading, m_weights);
 };
 
-/// Why a request did not get an answer from an endpoint.
+/// Why a request got no valid answer from an endpoint.
 enum class EndpointFailure {
-    Unreachable, ///< No connection.
-    ConnectionLost, ///< The connection broke or fell silent after the request was sent.
-    Refused, ///< It said that it did not run the request, being full.
-    WrongInstance, ///< Another endpoint has the address now.
-    BadAnswer, ///< The answer was not one, or a failure of its own.
+    Unreachable, ///< No connection could be made.
+    ConnectionLost, ///< The connection was lost or went silent after the request was sent.
+    Refused, ///< The endpoint was full and stated that it did not run the request.
+    WrongInstance, ///< Another endpoint uses the address now.
+    BadAnswer, ///< The answer was invalid, or was an error that may have occurred after the request began to run.
 };
 
+/// Load and failures of one incarnation of an endpoint.
 struct EndpointRecord
 {
-    std::uint64_t m_startedMilliseconds = 0; ///< Incarnation that the rest is about.
+    std::uint64_t m_startedMilliseconds = 0; ///< Incarnation that the record refers to, as the Unix time of its start.
     EndpointLoad m_load;
     std::optional<Core::Instant> m_reportedAt; ///< When the load was last reported.
-    std::optional<EngineReport> m_engineReport; ///< The last report of the process beside it.
+    std::optional<EngineReport> m_engineReport; ///< Last report of the agent beside the engine.
     Core::Instant m_engineReportedAt;
-    Core::Instant m_avoidUntil; ///< No requests before, if there is any other choice.
+    Core::Instant m_avoidUntil; ///< Until this time requests go to other endpoints, if there are any.
     std::uint32_t m_consecutiveFailures = 0;
-    double m_averageMilliseconds = 0; ///< Moving average of answer times of a plain service; 0 until one was measured.
+    double m_averageMilliseconds = 0; ///< Moving average of a plain service's answer times; 0 until one was measured.
 };
 
-/// How long an endpoint is passed over after failures.
+/// For how long an endpoint is avoided after failures.
 struct AvoidanceSettings
 {
-    Core::Duration m_initial{400}; ///< After one failure: longer than a burst of failures of one cause, far shorter than a heartbeat.
-    Core::Duration m_maximum{3000}; ///< Doubled up to this with each failure in a row: about when a dead endpoint leaves the list.
-    Core::Duration m_afterRefusal{60}; ///< A full engine finishes a request about every 100 ms.
+    Core::Duration m_initial{400}; ///< After one failure: longer than a burst of failures with one cause, much shorter than a heartbeat interval.
+    Core::Duration m_maximum{3000}; ///< The time doubles with each consecutive failure up to this, about the time in which a dead endpoint leaves the list.
+    Core::Duration m_afterRefusal{60}; ///< After a refusal. A full engine finishes a request about every 100 ms.
 
     bool operator==(const AvoidanceSettings &) const = default;
 };
 
-/// Records by endpoint id. Used by one thread.
+/// Keeps a record for each endpoint. Used by one thread.
 class EndpointTracker
 {
 public:
     explicit EndpointTracker(AvoidanceSettings settings = {});
 
-    /// The record of an incarnation; one of an earlier incarnation is replaced.
+    /// Returns the record of the endpoint's incarnation. Creates it if there is none, and replaces one of another incarnation.
     EndpointRecord &getOrCreate(const Fleet::Endpoint &endpoint);
-    /// The record as it is; a default one if nothing is known.
+    /// Returns the record of the endpoint's incarnation; a default one if there is none.
     const EndpointRecord &get(const Fleet::Endpoint &endpoint) const;
 
+    /// Records that this process has sent a request to the endpoint.
     void recordSent(const Fleet::Endpoint &endpoint);
+    /// Records that a request of this process has ended, with or without an answer.
     void recordEnded(const Fleet::Endpoint &endpoint);
+    /// Records the load that an endpoint without an agent has reported.
     void recordLoad(const Fleet::Endpoint &endpoint, std::uint32_t running, std::uint32_t waiting, Core::Instant now);
+    /// Records an agent's report.
     void recordEngineReport(const Fleet::Endpoint &endpoint, const EngineReport &report, Core::Instant now);
+    /// Records a complete answer. @p milliseconds: from sending the request to the end of the answer.
     void recordSuccess(const Fleet::Endpoint &endpoint, double milliseconds);
+    /// Records a failed request, after which the endpoint is avoided for a time.
     void recordFailure(const Fleet::Endpoint &endpoint, EndpointFailure failure, Core::Instant now);
-    /// Drops the records of endpoints that are not known any more.
+    /// Removes the records of endpoints that are not in @p known.
     void retainKnown(const std::map<std::string, Fleet::KnownEndpoint> &known);
 
 private:
--- a/Libraries/LibPlacement/EngineForecast.cpp
+++ b/Libraries/LibPlacement/EngineForecast.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the forecast.
+/// @file Implementation of the engine and service models.
 
 #include "LibPlacement/EngineForecast.h"
 
@@ -53,7 +53,7 @@
 {
     const std::uint32_t tokens = request.m_answerTokens > 0 ? std::min(request.m_answerTokens, engine.m_usualAnswerTokens) : engine.m_usualAnswerTokens;
     const double slots = std::max<std::uint32_t>(engine.m_slots, 1);
-    // The prompts of the requests that come and go are read between the steps.
+    // The engine reads the prompts of newly admitted requests between the steps.
     const double prompts = promptMilliseconds(engine, engine.m_usualPromptTokens) * slots / std::max<std::uint32_t>(engine.m_usualAnswerTokens, 1);
     return tokens * (stepMilliseconds(engine, engine.m_slots) + prompts);
 }
@@ -62,7 +62,7 @@
 {
     const std::uint32_t ahead = requestsAhead(load);
     const std::uint32_t slots = std::max<std::uint32_t>(engine.m_slots, 1);
-    // Those that came after the report, and those that wait, have prompts to be read before ours.
+    // The prompts of waiting requests and of those sent after the report are read first.
     const std::uint32_t unread = std::min(load.m_waiting + load.m_sentSinceReport, slots);
     double milliseconds = unread * promptMilliseconds(engine, engine.m_usualPromptTokens);
     if (ahead >= slots) {
@@ -80,9 +80,9 @@
 
 double plainAnswerMilliseconds(std::uint32_t slots, const EndpointLoad &load, double usual)
 {
-    const std::uint32_t places = std::max<std::uint32_t>(slots, 1);
+    const std::uint32_t slotCount = std::max<std::uint32_t>(slots, 1);
     const std::uint32_t ahead = requestsAhead(load);
-    const double waiting = ahead >= places ? static_cast<double>(ahead - places + 1) / places : 0;
+    const double waiting = ahead >= slotCount ? static_cast<double>(ahead - slotCount + 1) / slotCount : 0;
     return usual * (1 + waiting) * std::max(load.m_pace, 1.0);
 }
 
--- a/Libraries/LibPlacement/EngineForecast.h
+++ b/Libraries/LibPlacement/EngineForecast.h
@@ -1,4 +1,4 @@
-/// @file How long an endpoint will take to begin an answer: a pure model of batching engines and of plain services.
+/// @file Models of batching engines and of plain services that predict when an answer begins. The functions depend only on their arguments.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -9,19 +9,19 @@
 
 namespace Placement {
 
-/// How much work an endpoint has, as far as this process can tell.
+/// Load of an endpoint as far as this process knows.
 struct EndpointLoad
 {
     std::uint32_t m_running = 0; ///< As last reported.
     std::uint32_t m_waiting = 0; ///< As last reported.
-    std::uint32_t m_sentSinceReport = 0; ///< Requests that this process sent after the report was made and that have not ended.
+    std::uint32_t m_sentSinceReport = 0; ///< Requests that this process sent after the last report and that have not ended.
     std::uint32_t m_inFlight = 0; ///< Requests of this process that have not ended.
-    double m_pace = 1; ///< Over 1 means that the endpoint is that many times slower than stated.
+    double m_pace = 1; ///< Factor by which the endpoint is slower than its model states. Values below 1 count as 1.
 
     bool operator==(const EndpointLoad &) const = default;
 };
 
-/// What a request asks of an engine.
+/// Tokens that an engine processes for a request.
 struct RequestSize
 {
     std::uint32_t m_promptTokens = 0;
@@ -30,31 +30,31 @@
     bool operator==(const RequestSize &) const = default;
 };
 
-/// Requests that are at the endpoint already.
+/// Returns the number of requests that are already at the endpoint.
 std::uint32_t requestsAhead(const EndpointLoad &load);
 
-/// Milliseconds that an engine takes to read a prompt while it does nothing else.
+/// Returns the milliseconds in which an otherwise idle engine reads a prompt.
 double promptMilliseconds(const Fleet::EngineModel &engine, std::uint32_t tokens);
 
-/// Milliseconds of one step while @p running requests are decoded.
+/// Returns the milliseconds of one step while @p running requests are decoded.
 double stepMilliseconds(const Fleet::EngineModel &engine, std::uint32_t running);
 
-/// Mean milliseconds between two requests that a full engine finishes.
+/// Returns the mean milliseconds between two requests that a full engine finishes.
 double saturatedIntervalMilliseconds(const Fleet::EngineModel &engine);
 
-/// Requests that a full engine finishes in a second; 0 if that is not stated.
+/// Returns the requests that a full engine finishes per second; 0 if the model does not state its times.
 double finishedPerSecond(const Fleet::EngineModel &engine);
 
-/// Expected milliseconds from the first step of a request until its answer ends, at a full engine.
+/// Returns the expected milliseconds from the first step of a request to the end of its answer at a full engine.
 double answerMilliseconds(const Fleet::EngineModel &engine, const RequestSize &request);
 
-/// Expected milliseconds from sending a request until the engine begins to read its prompt.
+/// Returns the expected milliseconds from sending a request until the engine begins to read its prompt.
 double queueMilliseconds(const Fleet::EngineModel &engine, const EndpointLoad &load);
 
-/// Expected milliseconds from sending a request to the first event of its answer.
+/// Returns the expected milliseconds from sending a request to the first event of its answer.
 double firstEventMilliseconds(const Fleet::EngineModel &engine, const EndpointLoad &load, const RequestSize &request);
 
-/// Expected milliseconds from sending a request to a plain service until its answer. @p usual is the usual time of an answer that does not wait.
+/// Returns the expected milliseconds from sending a request to a plain service to its answer. @p usual: milliseconds of an answer that does not queue.
 double plainAnswerMilliseconds(std::uint32_t slots, const EndpointLoad &load, double usual);
 
 }
--- a/Libraries/LibPlacement/RequestQueue.cpp
+++ b/Libraries/LibPlacement/RequestQueue.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the decisions on waiting requests.
+/// @file Implementation of the ordering of waiting requests.
 
 #include "LibPlacement/RequestQueue.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double RateMemorySeconds = 2; ///< Long against the gaps between requests of one process, short against a burst.
+constexpr double RateWindowSeconds = 2; ///< Long compared with the time between requests of one process, short compared with a burst.
 
-/// Seconds until @p count requests have got places of which @p free are there and @p perSecond become free.
-double secondsFor(std::size_t count, double free, double perSecond)
+/// Returns the seconds until @p count requests have slots if @p free slots are free now and @p perSecond become free per second.
+double secondsUntilSlots(std::size_t count, double free, double perSecond)
 {
     const double missing = static_cast<double>(count) - free;
     if (missing <= 0) {
@@ -22,10 +22,10 @@
     return perSecond > 0 ? missing / perSecond : std::numeric_limits<double>::infinity();
 }
 
-/// Whether a place that is expected after @p seconds comes early enough for a request that must be sent before @p latest.
-bool isEarlyEnough(double seconds, Core::Instant latest, Core::Instant now)
+/// Returns whether a slot that is expected after @p seconds is free early enough for a request that must be sent before @p deadline.
+bool isEarlyEnough(double seconds, Core::Instant deadline, Core::Instant now)
 {
-    return seconds <= Core::secondsBetween(now, latest);
+    return seconds <= Core::secondsBetween(now, deadline);
 }
 
 }
@@ -42,29 +42,29 @@
 
 QueueDecision decideQueue(std::vector<QueuedRequest> queued, const QueueForecast &forecast, Core::Instant now, const QueueSettings &settings)
 {
-    const std::vector<QueuedRequest>::iterator late =
+    const std::vector<QueuedRequest>::iterator firstLate =
         std::partition(queued.begin(), queued.end(), [now](const QueuedRequest &request) { return canMeetObjective(request, now); });
-    std::sort(queued.begin(), late, [](const QueuedRequest &left, const QueuedRequest &right) {
+    std::sort(queued.begin(), firstLate, [](const QueuedRequest &left, const QueuedRequest &right) {
         return left.m_objectiveSendDeadline < right.m_objectiveSendDeadline;
     });
-    std::sort(late, queued.end(), [](const QueuedRequest &left, const QueuedRequest &right) { return left.m_sendDeadline < right.m_sendDeadline; });
+    std::sort(firstLate, queued.end(), [](const QueuedRequest &left, const QueuedRequest &right) { return left.m_sendDeadline < right.m_sendDeadline; });
 
     const double untilWeights = Core::secondsBetween(now, now + forecast.m_untilWeights);
-    const double spare = spareSlotsPerSecond(forecast);
-    const double freeLater = forecast.m_freeSlots + forecast.m_expectedSlots;
-    std::size_t inTime = 0;
-    std::size_t afterwards = 0;
+    const double sparePerSecond = spareSlotsPerSecond(forecast);
+    const double laterFreeSlots = forecast.m_freeSlots + forecast.m_expectedSlots;
+    std::size_t timelyCount = 0;
+    std::size_t lateCount = 0;
     QueueDecision decision;
     for (const QueuedRequest &request : queued) {
-        const double freshPlace = secondsFor(inTime + 1, forecast.m_freeSlots, forecast.m_finishedPerSecond);
-        if (isEarlyEnough(freshPlace / settings.m_safetyFactor, request.m_objectiveSendDeadline, now)) {
-            ++inTime;
+        const double untilTimelySlot = secondsUntilSlots(timelyCount + 1, forecast.m_freeSlots, forecast.m_finishedPerSecond);
+        if (isEarlyEnough(untilTimelySlot / settings.m_safetyFactor, request.m_objectiveSendDeadline, now)) {
+            ++timelyCount;
             decision.m_order.push_back(request.m_ticket);
             continue;
         }
-        const double sparePlace = untilWeights + secondsFor(inTime + afterwards + 1, freeLater, spare);
-        if (isEarlyEnough(sparePlace, request.m_sendDeadline, now)) {
-            ++afterwards;
+        const double untilSpareSlot = untilWeights + secondsUntilSlots(timelyCount + lateCount + 1, laterFreeSlots, sparePerSecond);
+        if (isEarlyEnough(untilSpareSlot, request.m_sendDeadline, now)) {
+            ++lateCount;
             decision.m_order.push_back(request.m_ticket);
             continue;
         }
@@ -75,19 +75,19 @@
 
 Core::Duration remainingOutage(Core::Duration lasted, const QueueSettings &settings)
 {
-    const Core::Duration growing(static_cast<std::int64_t>(static_cast<double>(lasted.count()) * settings.m_outageGrowth));
-    return std::max(settings.m_typicalOutage - lasted, growing);
+    const Core::Duration proportional(static_cast<std::int64_t>(static_cast<double>(lasted.count()) * settings.m_outageGrowth));
+    return std::max(settings.m_typicalOutage - lasted, proportional);
 }
 
 void EventRate::recordEvent(Core::Instant now)
 {
-    m_value = value(now) + 1 / RateMemorySeconds;
+    m_value = value(now) + 1 / RateWindowSeconds;
     m_updatedAt = now;
 }
 
 double EventRate::value(Core::Instant now) const
 {
-    return m_value * std::exp(-std::max(0.0, Core::secondsBetween(m_updatedAt, now)) / RateMemorySeconds);
+    return m_value * std::exp(-std::max(0.0, Core::secondsBetween(m_updatedAt, now)) / RateWindowSeconds);
 }
 
 }
--- a/Libraries/LibPlacement/RequestQueue.h
+++ b/Libraries/LibPlacement/RequestQueue.h
@@ -1,4 +1,4 @@
-/// @file Which of the requests that wait for a place go first, and which have waited in vain: pure decisions.
+/// @file Orders the requests that wait for a slot and rejects those without a chance. The functions depend only on their arguments.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -8,76 +8,76 @@
 
 namespace Placement {
 
-/// A request that waits at this process, as far as the decisions need to know it.
+/// Properties of a waiting request that the decisions depend on.
 struct QueuedRequest
 {
-    std::uint64_t m_ticket = 0; ///< Names the request.
-    Core::Instant m_objectiveSendDeadline; ///< Sent later, its answer begins after its latency objective.
-    Core::Instant m_sendDeadline; ///< Sent later, its answer cannot end within the caller's time.
+    std::uint64_t m_ticket = 0; ///< Identifies the request.
+    Core::Instant m_objectiveSendDeadline; ///< If the request is sent later, its answer begins after its latency objective.
+    Core::Instant m_sendDeadline; ///< If the request is sent later, its answer cannot end within the caller's timeout.
 
     bool operator==(const QueuedRequest &) const = default;
 };
 
-/// What is expected of the engines that the requests wait for.
+/// Expected capacity of the engines that the requests wait for.
 struct QueueForecast
 {
-    Core::Duration m_untilWeights{0}; ///< Until engines have weights; zero if some have.
-    double m_freeSlots = 0; ///< This process's part of the places that are free at engines with weights.
-    double m_finishedPerSecond = 0; ///< This process's part of the requests that the engines finish.
-    double m_timelyArrivalsPerSecond = 0; ///< Requests that come to this process and can still be answered within their objective.
-    double m_expectedSlots = 0; ///< This process's part of the places at engines that are listed and have no weights yet.
-    double m_expectedFinishedPerSecond = 0; ///< The same of the requests that they will finish.
+    Core::Duration m_untilWeights{0}; ///< Time until engines have weights; zero if some have them now.
+    double m_freeSlots = 0; ///< This process's share of the free slots at engines with weights.
+    double m_finishedPerSecond = 0; ///< This process's share of the requests that these engines finish per second.
+    double m_timelyArrivalsPerSecond = 0; ///< Requests per second that arrive at this process and can still be answered within their objective.
+    double m_expectedSlots = 0; ///< This process's share of the slots at listed engines that have no weights yet.
+    double m_expectedFinishedPerSecond = 0; ///< This process's share of the requests that those engines will finish per second.
 
     bool operator==(const QueueForecast &) const = default;
 };
 
 struct QueueSettings
 {
-    /// Of the time until a request must be sent, the part within which its place must be expected: forecasts are rough.
+    /// Part of the time until a request must be sent within which its slot must be expected, because forecasts are imprecise.
     double m_safetyFactor = 0.7;
-    std::size_t m_maximumRequests = 256; ///< Requests that wait at once.
-    std::size_t m_maximumBytes = 8 << 20; ///< Of their bodies, in all.
-    Core::Duration m_typicalOutage{1000}; ///< Until engines without weights have them, at the least.
-    double m_outageGrowth = 0.5; ///< A longer outage is expected to last on for this part of its length so far.
+    std::size_t m_maximumRequests = 256; ///< Maximum number of waiting requests.
+    std::size_t m_maximumBytes = 8 << 20; ///< Maximum total size of their bodies.
+    Core::Duration m_typicalOutage{1000}; ///< Shortest total time after which engines without weights are expected to have them.
+    double m_outageGrowth = 0.5; ///< A longer outage is expected to go on for this part of its duration so far.
 
     bool operator==(const QueueSettings &) const = default;
 };
 
-/// Order and fate of the requests in a queue.
+/// Decision on the requests in a queue.
 struct QueueDecision
 {
-    std::vector<std::uint64_t> m_order; ///< Tickets of those that go on waiting, the first to be sent first.
-    std::vector<std::uint64_t> m_rejected; ///< Tickets of those for which no place is expected in time.
+    std::vector<std::uint64_t> m_order; ///< Tickets of the requests that keep waiting, in the order in which they are sent.
+    std::vector<std::uint64_t> m_rejected; ///< Tickets of the requests for which no slot is expected in time.
 
     bool operator==(const QueueDecision &) const = default;
 };
 
-/// What the engines, with those that are coming, finish in a second beyond the fresh requests; may be negative.
+/// Returns the requests that the engines, including those that will get weights, finish per second beyond the timely arrivals; may be negative.
 double spareSlotsPerSecond(const QueueForecast &forecast);
 
-/// Whether sent now its answer would begin within the objective.
+/// Returns whether the answer would begin within the latency objective if the request was sent now.
 bool canMeetObjective(const QueuedRequest &request, Core::Instant now);
 
 /**
- * Orders the requests of one service: first those that can be answered within their objectives, then the others, each by the time that is left for
- * sending them. The latter get what the engines can do beyond the fresh requests that keep coming.
+ * Orders the requests of one service: first those that can be answered within their objectives, then the others, each group by the time left for sending.
+ * The second group gets the capacity that the engines have beyond the timely requests that keep arriving.
  */
 QueueDecision decideQueue(std::vector<QueuedRequest> queued, const QueueForecast &forecast, Core::Instant now, const QueueSettings &settings);
 
-/// How long engines will go on to have no weights after @p lasted without any.
+/// Returns the time for which engines are expected to remain without weights after having had none for @p lasted.
 Core::Duration remainingOutage(Core::Duration lasted, const QueueSettings &settings);
 
-/// Rate of events as a moving average over about two seconds. Used by one thread.
+/// Rate of events, averaged over about two seconds with exponential decay. Used by one thread.
 class EventRate
 {
 public:
     void recordEvent(Core::Instant now);
-    /// Events a second.
+    /// Returns the events per second.
     double value(Core::Instant now) const;
 
 private:
     double m_value = 0;
-    Core::Instant m_updatedAt; ///< To which the value refers.
+    Core::Instant m_updatedAt; ///< Time that m_value refers to.
 };
 
 }
--- a/Libraries/LibPlacement/RetryBudgets.cpp
+++ b/Libraries/LibPlacement/RetryBudgets.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the budgets for repeats.
+/// @file Implementation of the retry budgets.
 
 #include "LibPlacement/RetryBudgets.h"
 
@@ -20,7 +20,7 @@
 {
     m_processCount = std::max<std::size_t>(sharers, 1);
     for (std::pair<const std::string, Routing::RetryBudget> &entry : m_budgets) {
-        // What was used up stays used up: a new bucket at each change would let a fleet whose members come and go repeat without end.
+        // Keeps what was used: refilling the buckets at each change would allow unlimited retries while processes join and leave.
         entry.second.limitBurst(burst());
     }
 }
--- a/Libraries/LibPlacement/RetryBudgets.h
+++ b/Libraries/LibPlacement/RetryBudgets.h
@@ -1,4 +1,4 @@
-/// @file This process's part of the fleet's budget for sending requests again.
+/// @file This process's share of the retry budgets of the fleet.
 #pragma once
 
 #include "LibRouting/RetryBudget.h"
@@ -9,30 +9,31 @@
 
 namespace Placement {
 
-/// The budget that all processes share.
+/// Budget of a service that all processes share.
 struct RetryBudgetSettings
 {
-    double m_retriesPerRequest = 0.2; ///< Repeats for each request of a service.
-    double m_burst = 100; ///< Further repeats of a service within the window, summed over all processes.
-    double m_safetyFactor = 0.85; ///< Part of the budget that is used: requests spread unevenly over processes, and windows begin at any time.
+    double m_retriesPerRequest = 0.2; ///< Retries that each request of a service adds to the budget.
+    double m_burst = 100; ///< Additional retries of a service within the window, summed over all processes.
+    double m_safetyFactor = 0.85; ///< Part of the budget that is used, because requests are spread unevenly over processes and windows begin at any time.
 
     bool operator==(const RetryBudgetSettings &) const = default;
 };
 
 /**
- * One budget for each service.
+ * Keeps one retry budget for each service.
  *
- * The processes cannot count together without a round trip for each repeat, so each takes an equal part of the slack. Used by one thread.
+ * The processes cannot count together without a round trip for each retry, so each uses an equal part of the burst. Used by one thread.
  */
 class RetryBudgets
 {
 public:
     explicit RetryBudgets(RetryBudgetSettings settings);
 
-    /// Number of processes that share the budget; at least one.
+    /// Sets the number of processes that share the budget; 0 counts as 1.
     void setProcessCount(std::size_t sharers);
+    /// Adds the retries that a new request of the service allows.
     void onRequest(const std::string &service);
-    /// Takes one repeat out of the budget; false if there is none.
+    /// Takes one retry out of the budget; returns false if the budget is used up.
     bool tryRetry(const std::string &service);
 
 private:
--- a/Libraries/LibPlacement/SlotTracker.cpp
+++ b/Libraries/LibPlacement/SlotTracker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the ledger of places.
+/// @file Implementation of the slot tracker.
 
 #include "LibPlacement/SlotTracker.h"
 
@@ -8,19 +8,19 @@
 
 namespace {
 
-constexpr Core::Duration ReportLifetime{2000}; ///< Four reporting intervals; an engine without reports for so long is left out of the sum.
-constexpr double SmallestShare = 0.001;
+constexpr Core::Duration ReportLifetime{2000}; ///< Four reporting intervals. Engines whose last report is older are not counted.
+constexpr double MinimumShare = 0.001;
 
 }
 
 void SlotTracker::setShare(double share)
 {
-    m_share = std::clamp(share, SmallestShare, 1.0);
+    m_share = std::clamp(share, MinimumShare, 1.0);
 }
 
-void SlotTracker::recordReport(const std::string &engine, const ReportedSlots &places, Core::Instant now)
+void SlotTracker::recordReport(const std::string &engine, const ReportedSlots &slots, Core::Instant now)
 {
-    m_entries[engine] = Entry{places, now, 0};
+    m_entries[engine] = Entry{slots, now, 0};
 }
 
 void SlotTracker::recordSent(const std::string &engine)
@@ -33,9 +33,9 @@
 
 double SlotTracker::freeSlotsOf(const Entry &entry, Core::Instant now) const
 {
-    // What ends between two reports makes room too.
-    const double since = Core::secondsBetween(entry.m_reportedAt, now) * entry.m_report.m_finishedPerSecond;
-    return m_share * std::min(entry.m_report.m_maximum, entry.m_report.m_free + since) - entry.m_sentSinceReport;
+    // Requests that end between two reports free slots too.
+    const double finished = Core::secondsBetween(entry.m_reportedAt, now) * entry.m_report.m_finishedPerSecond;
+    return m_share * std::min(entry.m_report.m_maximum, entry.m_report.m_free + finished) - entry.m_sentSinceReport;
 }
 
 double SlotTracker::freeSlots(const std::string &engine, Core::Instant now) const
--- a/Libraries/LibPlacement/SlotTracker.h
+++ b/Libraries/LibPlacement/SlotTracker.h
@@ -1,4 +1,4 @@
-/// @file This process's part of the places at engines, counted without a word between the processes that share them.
+/// @file Counts this process's share of the engines' free slots without communication between the processes that share them.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,46 +11,47 @@
 
 namespace Placement {
 
-/// What a report says of an engine's places.
+/// Slots of an engine according to its report.
 struct ReportedSlots
 {
-    double m_free = 0; ///< Requests that it may take now, queue included; negative if it has more than that.
-    double m_maximum = 0; ///< Requests that it may have at once.
-    double m_finishedPerSecond = 0; ///< Requests that it finishes while it is full.
+    double m_free = 0; ///< Slots without a request; negative if more requests run and queue than there are slots.
+    double m_maximum = 0; ///< All slots of the engine.
+    double m_finishedPerSecond = 0; ///< Requests that the engine finishes per second while it is full.
 
     bool operator==(const ReportedSlots &) const = default;
 };
 
 /**
- * Deals the places of every engine out to the processes by their share of the traffic.
+ * Divides the slots of each engine among the processes by their share of the traffic.
  *
- * All processes hear the same reports. If each sent to whatever looked free, all would send to the same few engines until the next report. Each process
- * therefore counts only its own part of the places as free; the parts add up to the whole. Used by one thread.
+ * All processes receive the same reports. If each sent requests to any engine that looked free, all would choose the same few engines until the next report.
+ * Each process therefore counts only its own share of the slots as free; the shares add up to all slots. Used by one thread.
  */
 class SlotTracker
 {
 public:
-    /// Part of the traffic that this process has; over 0, at most 1.
+    /// Sets this process's share of the traffic, over 0 and at most 1.
     void setShare(double share);
     double share() const
     {
         return m_share;
     }
 
-    void recordReport(const std::string &engine, const ReportedSlots &places, Core::Instant now);
-    /// A request of this process goes to the engine.
+    /// Records an engine's report, which replaces the earlier one.
+    void recordReport(const std::string &engine, const ReportedSlots &slots, Core::Instant now);
+    /// Records that this process has sent a request to the engine.
     void recordSent(const std::string &engine);
-    /// This process's part of the engine's places. May be a fraction, or negative.
+    /// Returns this process's share of the engine's free slots. May be a fraction, or negative.
     double freeSlots(const std::string &engine, Core::Instant now) const;
-    /// Sum of the parts at all engines from which a report came lately; empty if there is no such engine.
+    /// Returns the sum of the shares at all engines that have reported recently; empty if there is no such engine.
     std::optional<double> totalFreeSlots(Core::Instant now) const;
-    /// This process's part of the requests that these engines finish in a second while they are full.
+    /// Returns this process's share of the requests that these engines finish per second while they are full.
     double finishedPerSecond(Core::Instant now) const;
-    /// Engines that have reported lately and have places, free or taken.
+    /// Returns the number of engines that have reported recently and have slots, free or in use.
     std::size_t enginesWithSlots(Core::Instant now) const;
-    /// Engines from which a report came lately.
+    /// Returns the number of engines that have reported recently.
     std::size_t reportingEngines(Core::Instant now) const;
-    /// Drops the engines that are not known any more.
+    /// Removes the engines for which @p isKnown returns false.
     void retainKnown(const std::function<bool(const std::string &engine)> &isKnown);
 
 private:
@@ -58,13 +59,13 @@
     {
         ReportedSlots m_report;
         Core::Instant m_reportedAt;
-        double m_sentSinceReport = 0; ///< Requests of this process since the report.
+        double m_sentSinceReport = 0; ///< Requests that this process has sent to the engine since the report.
     };
 
     double freeSlotsOf(const Entry &entry, Core::Instant now) const;
 
     double m_share = 1;
-    std::map<std::string, Entry> m_entries; ///< By engine.
+    std::map<std::string, Entry> m_entries; ///< By endpoint id of the engine.
 };
 
 }
--- a/Libraries/LibPlacement/VersionDeadlines.h
+++ b/Libraries/LibPlacement/VersionDeadlines.h
@@ -1,4 +1,4 @@
-/// @file From when on requests may only begin on a declared version of the weights.
+/// @file Tracks since when each declared version of the weights is known, and from when on requests must begin on it.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -10,35 +10,35 @@
 
 namespace Placement {
 
-/// When a declaration became known, which is at most a moment after it was accepted.
+/// Time at which a declaration was accepted, as far as it is known. A process that learns of it directly does so at most a moment later.
 struct DeclarationTime
 {
     Core::Instant m_acceptedAt;
-    bool m_isAgeKnown = false; ///< Somebody saw it being accepted; otherwise it is taken to be old.
+    bool m_isAgeKnown = false; ///< Some process observed the acceptance. Otherwise the declaration counts as older than the bound.
 };
 
-/// Used by one thread.
+/// Acceptance times of the declared versions of each model. Used by one thread.
 class VersionDeadlines
 {
 public:
-    /// @p bound: from the acceptance of a declaration until no request may begin on an older version.
+    /// @p bound: time after the acceptance of a declaration from which on no request may begin on an older version.
     explicit VersionDeadlines(Core::Duration bound);
 
-    /// Notes that a version was accepted @p age ago. The oldest statement about a version counts.
+    /// Records that a version was accepted @p age ago. If several ages are recorded for a version, the greatest counts.
     void recordDeclared(const std::string &model, std::uint64_t version, Core::Duration age, Core::Instant now);
     /**
-     * Notes that a version was found declared, nobody knows since when. Unless somebody states it, the bound counts as passed: a process that
-     * starts within the bound would otherwise let requests begin on old weights for longer than allowed.
+     * Records that a version is declared, with unknown age. Until an age is recorded, the bound counts as passed: a process that starts within the bound
+     * would otherwise let requests begin on old weights for longer than allowed.
      */
     void recordFound(const std::string &model, std::uint64_t version, Core::Instant now);
-    /// The version that requests must begin on; empty while any version may answer.
+    /// Returns the oldest version that requests may begin on; empty while any version may answer.
     std::optional<std::uint64_t> requiredVersion(const std::string &model, Core::Instant now) const;
-    /// Versions of the model whose acceptance somebody stated and that were accepted within @p horizon, oldest first, with the time since.
+    /// Returns the versions of the model that were accepted less than @p horizon ago, oldest first, each with its age. Leaves out versions of unknown age.
     std::vector<std::pair<std::uint64_t, Core::Duration>> recentVersions(const std::string &model, Core::Duration horizon, Core::Instant now) const;
-    /// Time since the version was accepted, if somebody stated it.
+    /// Returns the time since the version was accepted; empty if it is unknown.
     std::optional<Core::Duration> knownAge(const std::string &model, std::uint64_t version, Core::Instant now) const;
 
-    /// Time since the oldest stated version after @p loaded was accepted; empty if there is none.
+    /// Returns the greatest known age of the versions after @p loaded; empty if no such version has a known age.
     std::optional<Core::Duration> oldestAgeAfter(const std::string &model, std::uint64_t loaded, Core::Instant now) const;
 
 private:
--- a/Tests/LibPlacement/TestAdmission.cpp
+++ b/Tests/LibPlacement/TestAdmission.cpp
@@ -1,4 +1,4 @@
-/// @file Load beyond what the engines can do: who is admitted, and what callers get.
+/// @file Tests of admission and of the retry delays under more load than the engines can handle.
 
 #include "LibPlacement/Admission.h"
 #include "LibPlacement/Choice.h"
@@ -13,12 +13,12 @@
 constexpr std::size_t Entries = 13;
 constexpr std::size_t Engines = 16;
 constexpr int Slots = 16;
-constexpr double RequestsPerSecond = 220; ///< 1.4 times what the engines below finish.
-constexpr double ServiceMilliseconds = 1632; ///< 16 slots that each take so long finish 9.8 requests a second.
+constexpr double RequestsPerSecond = 220; ///< 1.4 times the rate at which the engines below finish requests.
+constexpr double ServiceMilliseconds = 1632; ///< Mean time of a request. 16 slots finish 9.8 requests per second.
 constexpr int StepMilliseconds = 2;
 constexpr int ReportMilliseconds = 180;
-constexpr int PlayedMilliseconds = 10000;
-constexpr double MostInTimeMilliseconds = 200; ///< Longest queue after which an answer still begins within an objective of 400 ms.
+constexpr int SimulatedMilliseconds = 10000;
+constexpr double MaximumTimelyWaitMilliseconds = 200; ///< Longest wait after which an answer still begins within an objective of 400 ms.
 
 Fleet::EngineModel engineModel()
 {
@@ -32,10 +32,10 @@
     return engine;
 }
 
-/// An engine that takes requests into its slots in the order in which they came.
-struct ModelledEngine
+/// An engine that runs requests in its slots in order of arrival.
+struct SimulatedEngine
 {
-    std::vector<double> m_endsAt; ///< One element for each taken slot.
+    std::vector<double> m_endsAt; ///< One element for each used slot.
     std::vector<double> m_waitingSince;
 
     int load() const
@@ -46,67 +46,68 @@
 
 struct Outcome
 {
-    int m_asked = 0;
+    int m_requests = 0;
     int m_inTime = 0;
     int m_late = 0;
     int m_refused = 0;
 };
 
-/// Plays sustained overload. @p useLedger: entries admit by their parts of the places; else each sends to the best of two engines by its own count.
-Outcome play(bool useLedger)
+/// Simulates sustained overload. @p useSlotTracker: entries admit by their share of the slots. Otherwise each sends to the better of two engines by its own
+/// count of their load.
+Outcome simulate(bool useSlotTracker)
 {
     const Fleet::EngineModel model = engineModel();
     const Placement::AdmissionSettings settings;
     Core::Random random(11);
-    std::vector<ModelledEngine> engines(Engines);
-    std::vector<Placement::SlotTracker> ledgers(Entries);
-    std::vector<std::vector<int>> seen(Entries, std::vector<int>(Engines, 0)); ///< Load of each engine as each entry believes it.
-    for (Placement::SlotTracker &ledger : ledgers) {
-        ledger.setShare(1.0 / Entries);
+    std::vector<SimulatedEngine> engines(Engines);
+    std::vector<Placement::SlotTracker> trackers(Entries);
+    std::vector<std::vector<int>> knownLoads(Entries, std::vector<int>(Engines, 0)); ///< Load of each engine as known to each entry.
+    for (Placement::SlotTracker &tracker : trackers) {
+        tracker.setShare(1.0 / Entries);
     }
     Outcome outcome;
-    for (int time = 0; time < PlayedMilliseconds; time += StepMilliseconds) {
+    for (int time = 0; time < SimulatedMilliseconds; time += StepMilliseconds) {
         const Core::Instant now = Start + Core::Duration(time);
         for (std::size_t index = 0; index < Engines; ++index) {
-            ModelledEngine &engine = engines[index];
+            SimulatedEngine &engine = engines[index];
             std::erase_if(engine.m_endsAt, [time](double end) { return end <= time; });
             while (engine.m_endsAt.size() < Slots && !engine.m_waitingSince.empty()) {
                 const double waited = time - engine.m_waitingSince.front();
-                ++(waited <= MostInTimeMilliseconds ? outcome.m_inTime : outcome.m_late);
+                ++(waited <= MaximumTimelyWaitMilliseconds ? outcome.m_inTime : outcome.m_late);
                 engine.m_waitingSince.erase(engine.m_waitingSince.begin());
                 engine.m_endsAt.push_back(time + ServiceMilliseconds * (0.5 + random.unit()));
             }
-            const bool reportsNow = (time / StepMilliseconds + static_cast<int>(index)) % (ReportMilliseconds / StepMilliseconds) == 0;
-            for (std::size_t entry = 0; reportsNow && entry < Entries; ++entry) {
+            const bool isReporting = (time / StepMilliseconds + static_cast<int>(index)) % (ReportMilliseconds / StepMilliseconds) == 0;
+            for (std::size_t entry = 0; isReporting && entry < Entries; ++entry) {
                 const std::uint32_t running = static_cast<std::uint32_t>(engine.m_endsAt.size());
                 const std::uint32_t waiting = static_cast<std::uint32_t>(engine.m_waitingSince.size());
-                ledgers[entry].recordReport(std::to_string(index), Placement::reportedSlots(model, running, waiting, 1), now);
-                seen[entry][index] = engine.load();
+                trackers[entry].recordReport(std::to_string(index), Placement::reportedSlots(model, running, waiting, 1), now);
+                knownLoads[entry][index] = engine.load();
             }
         }
         if (random.unit() >= RequestsPerSecond * StepMilliseconds / 1000) {
             continue;
         }
-        ++outcome.m_asked;
+        ++outcome.m_requests;
         const std::size_t entry = random.below(Entries);
-        const Placement::AdmissionView view{ledgers[entry].reportingEngines(now), ledgers[entry].share()};
+        const Placement::AdmissionView view{trackers[entry].reportingEngines(now), trackers[entry].share()};
         const double needed = Placement::neededSlots(view, settings);
-        const bool isRefused = useLedger && ledgers[entry].totalFreeSlots(now).value_or(needed) < needed;
+        const bool isRefused = useSlotTracker && trackers[entry].totalFreeSlots(now).value_or(needed) < needed;
         if (isRefused) {
             ++outcome.m_refused;
             continue;
         }
         std::vector<std::size_t> open;
         for (std::size_t index = 0; index < Engines; ++index) {
-            if (!useLedger || ledgers[entry].freeSlots(std::to_string(index), now) > 0) {
+            if (!useSlotTracker || trackers[entry].freeSlots(std::to_string(index), now) > 0) {
                 open.push_back(index);
             }
         }
         const std::size_t first = open[random.below(open.size())];
         const std::size_t second = open[random.below(open.size())];
-        const std::size_t chosen = seen[entry][first] <= seen[entry][second] ? first : second;
-        ++seen[entry][chosen];
-        ledgers[entry].recordSent(std::to_string(chosen));
+        const std::size_t chosen = knownLoads[entry][first] <= knownLoads[entry][second] ? first : second;
+        ++knownLoads[entry][chosen];
+        trackers[entry].recordSent(std::to_string(chosen));
         engines[chosen].m_waitingSince.push_back(time);
     }
     return outcome;
@@ -114,82 +115,82 @@
 
 }
 
-TEST_CASE("under sustained overload the engines answer in time those whom they take")
+TEST_CASE("under sustained overload the admitted requests are answered in time")
 {
-    // A burst asks for 1.4 times what the fleet can do. If everybody is taken, the queues grow until every answer is late and callers give up; if
-    // all entries send to whatever looked free in the last report, a few engines get everything.
-    const Outcome open = play(false);
-    const Outcome dealt = play(true);
-    CAPTURE(open.m_inTime, open.m_late, dealt.m_inTime, dealt.m_late, dealt.m_refused, dealt.m_asked);
-    CHECK(dealt.m_late < dealt.m_inTime / 10);
-    CHECK(dealt.m_inTime > 2 * open.m_inTime);
-    // The engines stay busy: what they can finish in the time played, less the first seconds' slack.
-    CHECK(dealt.m_inTime + dealt.m_late > 0.85 * Engines * Slots * PlayedMilliseconds / ServiceMilliseconds);
+    // Load is 1.4 times the fleet's capacity. If every request is admitted, the queues grow until all answers are late and callers give up. If all entries
+    // send to the engines that looked free in the last report, a few engines get all requests.
+    const Outcome open = simulate(false);
+    const Outcome shared = simulate(true);
+    CAPTURE(open.m_inTime, open.m_late, shared.m_inTime, shared.m_late, shared.m_refused, shared.m_requests);
+    CHECK(shared.m_late < shared.m_inTime / 10);
+    CHECK(shared.m_inTime > 2 * open.m_inTime);
+    // The engines stay busy: they finish most of what they can in the simulated time, with an allowance for the first seconds.
+    CHECK(shared.m_inTime + shared.m_late > 0.85 * Engines * Slots * SimulatedMilliseconds / ServiceMilliseconds);
 }
 
-TEST_CASE("the parts of all processes add up to the places that were reported")
+TEST_CASE("the shares of all processes add up to the reported slots")
 {
-    std::vector<Placement::SlotTracker> ledgers(3);
+    std::vector<Placement::SlotTracker> trackers(3);
     const std::vector<double> shares{0.5, 0.3, 0.2};
     double sum = 0;
-    for (std::size_t index = 0; index < ledgers.size(); ++index) {
-        ledgers[index].setShare(shares[index]);
-        ledgers[index].recordReport("engine", Placement::ReportedSlots{4, 18, 10}, Start);
-        sum += ledgers[index].freeSlots("engine", Start);
+    for (std::size_t index = 0; index < trackers.size(); ++index) {
+        trackers[index].setShare(shares[index]);
+        trackers[index].recordReport("engine", Placement::ReportedSlots{4, 18, 10}, Start);
+        sum += trackers[index].freeSlots("engine", Start);
     }
     CHECK(sum == Approx(4));
-    ledgers[0].recordSent("engine");
-    CHECK(ledgers[0].freeSlots("engine", Start) == Approx(1));
-    CHECK(ledgers[0].freeSlots("engine", Start + Core::Duration(200)) == Approx(2));
+    trackers[0].recordSent("engine");
+    CHECK(trackers[0].freeSlots("engine", Start) == Approx(1));
+    CHECK(trackers[0].freeSlots("engine", Start + Core::Duration(200)) == Approx(2));
 }
 
-TEST_CASE("without recent reports nobody is refused for want of places")
+TEST_CASE("without recent reports no request is refused for lack of slots")
 {
-    Placement::SlotTracker ledger;
-    CHECK_FALSE(ledger.totalFreeSlots(Start));
-    ledger.recordReport("engine", Placement::ReportedSlots{0, 18, 10}, Start);
-    CHECK(ledger.totalFreeSlots(Start));
-    CHECK_FALSE(ledger.totalFreeSlots(Start + Core::Duration(5000)));
+    Placement::SlotTracker tracker;
+    CHECK_FALSE(tracker.totalFreeSlots(Start));
+    tracker.recordReport("engine", Placement::ReportedSlots{0, 18, 10}, Start);
+    CHECK(tracker.totalFreeSlots(Start));
+    CHECK_FALSE(tracker.totalFreeSlots(Start + Core::Duration(5000)));
 }
 
-TEST_CASE("a caller that comes back is told from a fresh one by the time that it has left")
+TEST_CASE("a retry is distinguished from a first attempt by its shorter timeout")
 {
-    Placement::ElapsedTimeEstimator patience;
-    constexpr int fresh = 30;
-    for (int caller = 0; caller < fresh; ++caller) {
-        CHECK(patience.estimateElapsed("route", Core::Duration(6000), Start) == Core::Duration(0));
+    Placement::ElapsedTimeEstimator estimator;
+    constexpr int firstAttempts = 30;
+    for (int caller = 0; caller < firstAttempts; ++caller) {
+        CHECK(estimator.estimateElapsed("route", Core::Duration(6000), Start) == Core::Duration(0));
     }
-    CHECK(patience.estimateElapsed("route", Core::Duration(5200), Start) == Core::Duration(800));
-    CHECK(patience.estimateElapsed("other", Core::Duration(1000), Start) == Core::Duration(0));
+    CHECK(estimator.estimateElapsed("route", Core::Duration(5200), Start) == Core::Duration(800));
+    CHECK(estimator.estimateElapsed("other", Core::Duration(1000), Start) == Core::Duration(0));
 }
 
-TEST_CASE("fresh callers that state different times are not taken for ones that come back")
+TEST_CASE("first attempts with different timeouts are not treated as retries")
 {
-    // Guards against treating half of the fresh requests as late ones where callers state between 5.1 and 6 s.
-    Placement::ElapsedTimeEstimator patience;
+    // Guards against treating half of the first attempts as late when callers state timeouts between 5.1 and 6 s.
+    Placement::ElapsedTimeEstimator estimator;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
-        patience.estimateElapsed("route", Core::Duration(6000 - 15 * caller), Start + Core::Duration(100 * caller));
+        estimator.estimateElapsed("route", Core::Duration(6000 - 15 * caller), Start + Core::Duration(100 * caller));
     }
     const Core::Instant later = Start + Core::Duration(callers * 100);
-    CHECK(patience.estimateElapsed("route", Core::Duration(5200), later) == Core::Duration(0));
-    CHECK(patience.estimateElapsed("route", Core::Duration(4000), later) > Core::Duration(1000));
+    CHECK(estimator.estimateElapsed("route", Core::Duration(5200), later) == Core::Duration(0));
+    CHECK(estimator.estimateElapsed("route", Core::Duration(4000), later) > Core::Duration(1000));
 }
 
-TEST_CASE("callers that come back do not widen the range of what fresh ones state")
+TEST_CASE("the timeouts of retries do not widen the range of timeouts expected of first attempts")
 {
-    // Guards against learning from a spell of refusals that everybody is fresh.
-    Placement::ElapsedTimeEstimator patience;
+    // Guards against learning from a period of refusals that all requests are first attempts.
+    Placement::ElapsedTimeEstimator estimator;
     constexpr int callers = 60;
     for (int caller = 0; caller < callers; ++caller) {
-        patience.estimateElapsed("route", Core::Duration(6000), Start + Core::Duration(100 * caller));
+        estimator.estimateElapsed("route", Core::Duration(6000), Start + Core::Duration(100 * caller));
     }
     const Core::Instant later = Start + Core::Duration(callers * 100);
-    patience.recordRefusal(later);
+    estimator.recordRefusal(later);
     for (int caller = 0; caller < callers; ++caller) {
-        patience.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(20 * caller));
+        estimator.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(20 * caller));
     }
-    CHECK(patience.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(1500)) == Core::Duration(700));
+    CHECK(estimator.estimateElapsed("route", Core::Duration(5300), later + Core::Duration(1500)) == Core::Duration(700));
 }
 
 TEST_CASE("a few requests may queue at the engines")
@@ -200,51 +201,51 @@
     CHECK(Placement::neededSlots(Placement::AdmissionView{0, 0.1}, settings) == settings.m_slotsPerRequest);
 }
 
-TEST_CASE("members that come and go do not refill the budget for repeats")
+TEST_CASE("processes that join and leave do not refill the retry budget")
 {
-    // Two processes ran slowly, so that their heartbeats came and went. Each return filled the buckets of all others, and together they repeated
-    // more than the budget allows.
+    // The heartbeats of slow processes can stop and return repeatedly. If each return refilled the budgets of all others, together they would send more
+    // retries than the budget allows.
     Placement::RetryBudgets budgets(Placement::RetryBudgetSettings{0.2, 26, 1});
     budgets.setProcessCount(13);
-    int repeats = 0;
+    int retries = 0;
     for (std::size_t change = 0; change < 20; ++change) {
         budgets.setProcessCount(12 + change % 2);
         while (budgets.tryRetry("drafts")) {
-            ++repeats;
+            ++retries;
         }
     }
-    CHECK(repeats <= 2);
+    CHECK(retries <= 2);
 }
 
-TEST_CASE("callers that are refused come back when there is room, neither at once nor too late")
+TEST_CASE("refused callers are told to retry when capacity is expected, within the bounds")
 {
     const Placement::AdmissionSettings settings;
-    const Placement::QueueForecast spare{Core::Duration(0), 0, 20, 10};
-    CHECK(Placement::retryAfter(spare, 0, settings) == settings.m_minimumRetryAfter);
-    CHECK(Placement::retryAfter(spare, 1000, settings) == settings.m_maximumRetryAfter);
-    const Core::Duration one = Placement::retryAfter(spare, 4, settings);
-    const Core::Duration two = Placement::retryAfter(spare, 9, settings);
+    const Placement::QueueForecast forecast{Core::Duration(0), 0, 20, 10};
+    CHECK(Placement::retryAfter(forecast, 0, settings) == settings.m_minimumRetryAfter);
+    CHECK(Placement::retryAfter(forecast, 1000, settings) == settings.m_maximumRetryAfter);
+    const Core::Duration one = Placement::retryAfter(forecast, 4, settings);
+    const Core::Duration two = Placement::retryAfter(forecast, 9, settings);
     CHECK(one > settings.m_minimumRetryAfter);
     CHECK(two > one);
-    // Fresh requests alone take more than the engines do, or no engine is known: a later time is the better one.
+    // If timely arrivals alone exceed the capacity, or if no engine is known, the longest delay is used.
     CHECK(Placement::retryAfter(Placement::QueueForecast{Core::Duration(0), 0, 10, 12}, 0, settings) == settings.m_maximumRetryAfter);
     CHECK(Placement::retryAfter(Placement::QueueForecast{}, 1, settings) == settings.m_maximumRetryAfter);
 }
 
-TEST_CASE("callers that find no engine with the weights come back when a version can have arrived")
+TEST_CASE("callers refused for lack of weights are told to retry when a version can have arrived")
 {
-    // All instances lose power, and the engines come back empty. Callers with six seconds that were told 0.3 s came back before any engine served, were
-    // refused again and gave up.
+    // After a power loss of all instances the engines restart without weights. Callers with a timeout of 6 s that retry after 0.3 s are refused again before
+    // any engine serves, and give up.
     Core::Random random(4);
-    Core::Duration least{6000};
-    Core::Duration most{0};
+    Core::Duration shortest{6000};
+    Core::Duration longest{0};
     for (int caller = 0; caller < 100; ++caller) {
-        const Core::Duration told = Placement::retryAfterWithoutWeights(Core::Duration(6000), random);
-        least = std::min(least, told);
-        most = std::max(most, told);
+        const Core::Duration delay = Placement::retryAfterWithoutWeights(Core::Duration(6000), random);
+        shortest = std::min(shortest, delay);
+        longest = std::max(longest, delay);
     }
-    CHECK(least >= Core::Duration(1700));
-    CHECK(most <= Core::Duration(2000));
-    CHECK(most - least > Core::Duration(200));
+    CHECK(shortest >= Core::Duration(1700));
+    CHECK(longest <= Core::Duration(2000));
+    CHECK(longest - shortest > Core::Duration(200));
     CHECK(Placement::retryAfterWithoutWeights(Core::Duration(-5), random) == Core::Duration(0));
 }
--- a/Tests/LibPlacement/TestChoice.cpp
+++ b/Tests/LibPlacement/TestChoice.cpp
@@ -1,4 +1,4 @@
-/// @file Which endpoint takes a request, and how long it is expected to take.
+/// @file Tests of the choice of an endpoint and of the expected time to its answer.
 
 #include "LibPlacement/Choice.h"
 
@@ -28,8 +28,8 @@
 struct TestFleet
 {
     std::map<std::string, Fleet::KnownEndpoint> m_endpoints;
-    Placement::EndpointTracker m_book;
-    Placement::SlotTracker m_ledger;
+    Placement::EndpointTracker m_endpointTracker;
+    Placement::SlotTracker m_slotTracker;
     Fleet::EngineModel m_engine = engineModel();
     Core::Random m_random{7};
 
@@ -46,7 +46,7 @@
 
     Placement::ChoiceResult choose(const Placement::ChoiceRequest &request, Core::Instant now = Start)
     {
-        return Placement::chooseEndpoint(request, Placement::ChoiceView{m_endpoints, m_book, m_ledger, m_engine, "here", now}, m_random);
+        return Placement::chooseEndpoint(request, Placement::ChoiceView{m_endpoints, m_endpointTracker, m_slotTracker, m_engine, "here", now}, m_random);
     }
 };
 
@@ -61,7 +61,7 @@
 
 }
 
-TEST_CASE("an engine that leaves, lacks the weights or loads others takes nothing")
+TEST_CASE("an engine that is leaving, lacks the weights or is loading others is not chosen")
 {
     TestFleet fleet;
     fleet.add("leaving").m_isLeaving = true;
@@ -70,7 +70,7 @@
     Placement::EngineReport loading;
     loading.m_isLoading = true;
     loading.m_weights = {Fleet::LoadedWeights{"draft", 1, {{0, 16}}}};
-    fleet.m_book.recordEngineReport(fleet.add("loading"), loading, Start);
+    fleet.m_endpointTracker.recordEngineReport(fleet.add("loading"), loading, Start);
     CHECK_FALSE(fleet.choose(request()).m_choice);
     CHECK(fleet.choose(request()).m_reason == Placement::NoChoiceReason::NoWeights);
     fleet.add("good");
@@ -79,32 +79,31 @@
     }
 }
 
-TEST_CASE("without endpoints a service cannot serve, and says so at once")
+TEST_CASE("the reason for no choice distinguishes a service without endpoints from one whose endpoints were all tried")
 {
     TestFleet fleet;
     CHECK(fleet.choose(request()).m_reason == Placement::NoChoiceReason::NoEndpoint);
     fleet.add("only");
-    Placement::ChoiceRequest again = request();
-    again.m_excluded = {"only"};
-    CHECK(fleet.choose(again).m_reason == Placement::NoChoiceReason::AllTried);
+    Placement::ChoiceRequest retry = request();
+    retry.m_excluded = {"only"};
+    CHECK(fleet.choose(retry).m_reason == Placement::NoChoiceReason::AllTried);
 }
 
-TEST_CASE("the choice tells the version that the engine has, which may be newer than required")
+TEST_CASE("the choice names the version that the engine has, which may be newer than required")
 {
-    // Engines compare the expected version for equality. Told the required version 2, an engine that already had 3 refused, and with it every
-    // engine that was ahead: 324 of 363 requests in two seconds.
+    // Engines compare the expected version for equality. If the request named the required version 2, every engine that already has version 3 would refuse it.
     TestFleet fleet;
     fleet.add("old", 1);
     fleet.add("ahead", 3);
-    Placement::ChoiceRequest bound = request();
-    bound.m_requiredVersion = 2;
-    const Placement::ChoiceResult result = fleet.choose(bound);
+    Placement::ChoiceRequest withRequiredVersion = request();
+    withRequiredVersion.m_requiredVersion = 2;
+    const Placement::ChoiceResult result = fleet.choose(withRequiredVersion);
     REQUIRE(result.m_choice);
     CHECK(result.m_choice->m_endpoint.m_id == "ahead");
     CHECK(result.m_choice->m_version == 3);
 }
 
-TEST_CASE("a request that has moved goes to an engine that will not load soon")
+TEST_CASE("a request that has moved from another engine goes to one that will not load weights soon")
 {
     TestFleet fleet;
     fleet.add("old", 1);
@@ -123,7 +122,7 @@
     TestFleet fleet;
     const Fleet::Endpoint bad = fleet.add("bad");
     fleet.add("good");
-    fleet.m_book.recordFailure(bad, Placement::EndpointFailure::ConnectionLost, Start);
+    fleet.m_endpointTracker.recordFailure(bad, Placement::EndpointFailure::ConnectionLost, Start);
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         REQUIRE(fleet.choose(request()).m_choice->m_endpoint.m_id == "good");
     }
@@ -131,25 +130,25 @@
     CHECK(fleet.choose(request()).m_choice->m_endpoint.m_id == "bad");
 }
 
-TEST_CASE("own requests since the last report count")
+TEST_CASE("requests that this process sent since the last report count as load")
 {
-    // Reports come twice a second. A process that did not count what it has sent since would send a burst to the engine that looked idle.
+    // Reports arrive twice per second. A process that did not count its own requests since then would send a burst to the engine that looked idle.
     TestFleet fleet;
     const Fleet::Endpoint first = fleet.add("first");
     const Fleet::Endpoint second = fleet.add("second");
-    fleet.m_book.recordLoad(first, 2, 0, Start);
-    fleet.m_book.recordLoad(second, 3, 0, Start);
+    fleet.m_endpointTracker.recordLoad(first, 2, 0, Start);
+    fleet.m_endpointTracker.recordLoad(second, 3, 0, Start);
     std::map<std::string, int> sent;
     for (int index = 0; index < 20; ++index) {
         const Placement::ChoiceResult result = fleet.choose(request());
-        fleet.m_book.recordSent(result.m_choice->m_endpoint);
+        fleet.m_endpointTracker.recordSent(result.m_choice->m_endpoint);
         ++sent[result.m_choice->m_endpoint.m_id];
     }
     CHECK(sent["first"] >= 9);
     CHECK(sent["second"] >= 9);
 }
 
-TEST_CASE("a full engine's queue is foreseen")
+TEST_CASE("the expected time to the first event includes the queue of a full engine")
 {
     const Fleet::EngineModel engine = engineModel();
     const Placement::RequestSize size{979, 92};
@@ -165,10 +164,10 @@
     CHECK(Placement::firstEventMilliseconds(engine, full, size) == Approx(2 * queued));
 }
 
-TEST_CASE("an endpoint whose entry is gone for an unclear reason is used only if there is no other")
+TEST_CASE("an endpoint whose entry is missing from the list is used only if there is no other")
 {
-    // This process was cut off from the log for some seconds. An entry that has gone since may have lapsed with the log, or its endpoint is leaving
-    // without a notice. Requests that went there reached it 3.4 s after it had left the list.
+    // After a process was cut off from the log for some seconds, a missing entry may have expired because of the outage, or its endpoint may be leaving
+    // without notice. Guards against requests that reach such an endpoint up to 3.4 s after it has left the list.
     TestFleet fleet;
     fleet.add("missing");
     fleet.m_endpoints["missing"].m_missingSince = Start;
@@ -179,9 +178,9 @@
     }
 }
 
-TEST_CASE("a request that has moved does not go to a missing endpoint for its newer version")
+TEST_CASE("a request that has moved does not go to a missing endpoint even if that has a newer version")
 {
-    // Guards against requests that reach an engine after it left without a notice.
+    // Guards against requests that reach an engine after it left without notice.
     TestFleet fleet;
     fleet.add("missing", 2);
     fleet.m_endpoints["missing"].m_missingSince = Start;
@@ -194,50 +193,50 @@
     }
 }
 
-TEST_CASE("engines of the own failure domain are taken while enough of them have places, and others then")
+TEST_CASE("engines of the local failure domain are chosen while enough of them have free slots")
 {
-    // Guards against answers that cross thin links between regions although engines nearby are free, and against crowding the last free ones nearby.
+    // Guards against answers that cross slow links between regions although local engines are free, and against overloading the last free local engines.
     TestFleet fleet;
     std::vector<std::string> near;
     for (int index = 0; index < 10; ++index) {
         near.push_back(fleet.add("near-" + std::to_string(index)).m_id);
-        fleet.m_ledger.recordReport(near.back(), Placement::ReportedSlots{2, 16, 8}, Start);
-        const std::string far = "far-" + std::to_string(index);
-        fleet.add(far).m_failureDomain = "elsewhere";
-        fleet.m_ledger.recordReport(far, Placement::ReportedSlots{16, 16, 8}, Start);
+        fleet.m_slotTracker.recordReport(near.back(), Placement::ReportedSlots{2, 16, 8}, Start);
+        const std::string remote = "far-" + std::to_string(index);
+        fleet.add(remote).m_failureDomain = "elsewhere";
+        fleet.m_slotTracker.recordReport(remote, Placement::ReportedSlots{16, 16, 8}, Start);
     }
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         REQUIRE(fleet.choose(request()).m_choice->m_endpoint.m_failureDomain == "here");
     }
     for (int index = 0; index < 5; ++index) {
-        fleet.m_ledger.recordReport(near[index], Placement::ReportedSlots{-1, 16, 8}, Start);
+        fleet.m_slotTracker.recordReport(near[index], Placement::ReportedSlots{-1, 16, 8}, Start);
     }
-    std::size_t far = 0;
+    std::size_t remote = 0;
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         const Fleet::Endpoint chosen = fleet.choose(request()).m_choice->m_endpoint;
-        far += chosen.m_failureDomain == "elsewhere" ? 1 : 0;
+        remote += chosen.m_failureDomain == "elsewhere" ? 1 : 0;
         CHECK(std::find(near.begin(), near.begin() + 5, chosen.m_id) == near.begin() + 5);
     }
-    CHECK(far > 0);
+    CHECK(remote > 0);
 }
 
-TEST_CASE("engines nearby are not crowded when places are scarcer there than elsewhere")
+TEST_CASE("local engines are not overloaded when free slots are scarcer there than elsewhere")
 {
-    // Guards against requests that queue at the last free engines of a failure domain, past the bound of their version, while others are idle.
+    // Guards against requests that queue at the last free engines of a failure domain until after the deadline of their version, while others are idle.
     TestFleet fleet;
     constexpr int count = 20;
     constexpr int freeNear = 9;
     for (int index = 0; index < count; ++index) {
         const std::string near = "near-" + std::to_string(index);
         fleet.add(near);
-        fleet.m_ledger.recordReport(near, Placement::ReportedSlots{index < freeNear ? 2.0 : -1.0, 16, 8}, Start);
-        const std::string far = "far-" + std::to_string(index);
-        fleet.add(far).m_failureDomain = "elsewhere";
-        fleet.m_ledger.recordReport(far, Placement::ReportedSlots{16, 16, 8}, Start);
+        fleet.m_slotTracker.recordReport(near, Placement::ReportedSlots{index < freeNear ? 2.0 : -1.0, 16, 8}, Start);
+        const std::string remote = "far-" + std::to_string(index);
+        fleet.add(remote).m_failureDomain = "elsewhere";
+        fleet.m_slotTracker.recordReport(remote, Placement::ReportedSlots{16, 16, 8}, Start);
     }
-    std::size_t far = 0;
+    std::size_t remote = 0;
     for (std::size_t draw = 0; draw < Draws; ++draw) {
-        far += fleet.choose(request()).m_choice->m_endpoint.m_failureDomain == "elsewhere" ? 1 : 0;
+        remote += fleet.choose(request()).m_choice->m_endpoint.m_failureDomain == "elsewhere" ? 1 : 0;
     }
-    CHECK(far > Draws / 4);
+    CHECK(remote > Draws / 4);
 }
--- a/Tests/LibPlacement/TestNearEngines.cpp
+++ b/Tests/LibPlacement/TestNearEngines.cpp
@@ -1,4 +1,4 @@
-/// @file Plays a large service whose engines change versions in one failure domain, and checks how long callers wait.
+/// @file Simulates a large service in which the engines of one failure domain change versions, and checks how long requests wait.
 
 #include "LibPlacement/Admission.h"
 #include "LibPlacement/Choice.h"
@@ -13,11 +13,11 @@
 constexpr std::size_t EntriesInDomain = 30;
 constexpr std::size_t EnginesInDomain = 31;
 constexpr Core::Duration Step{10};
-constexpr Core::Duration Run{6000};
-constexpr Core::Duration Settled{1500}; ///< Before it, what is sent does not count: the entries hear the first reports.
-constexpr Core::Duration NearReports{180};
-constexpr Core::Duration FarReports{500};
-constexpr Core::Duration Late{1000}; ///< A wait after which an answer begins too late, and near its bound on a version that is replaced.
+constexpr Core::Duration SimulatedTime{6000};
+constexpr Core::Duration Settled{1500}; ///< Requests before this time are not counted, because the entries are still receiving the first reports.
+constexpr Core::Duration NearReportInterval{180};
+constexpr Core::Duration RemoteReportInterval{500};
+constexpr Core::Duration LateWait{1000}; ///< A longer wait is late: the answer would begin too late, and near the deadline of a version that is being replaced.
 
 Fleet::EngineModel engineModel()
 {
@@ -35,57 +35,57 @@
     return "domain-" + std::to_string(domain);
 }
 
-/// An engine that runs as many requests as it has slots, in order of arrival.
-struct PlayedEngine
+/// An engine that runs requests in its slots in order of arrival.
+struct SimulatedEngine
 {
     std::string m_id;
     std::size_t m_domain = 0;
-    bool m_isAway = false; ///< It loads other weights all the while.
-    std::vector<Core::Instant> m_ends; ///< Of the requests that run.
-    std::deque<std::pair<std::size_t, Core::Instant>> m_waiting; ///< Domain of the caller, and when the request came.
+    bool m_isLoading = false; ///< The engine is loading other weights during the whole simulation.
+    std::vector<Core::Instant> m_ends; ///< End times of the running requests.
+    std::deque<std::pair<std::size_t, Core::Instant>> m_waiting; ///< Domain of the entry and arrival time of each waiting request.
 };
 
-/// What an entry knows.
-struct PlayedEntry
+/// State of an entry.
+struct SimulatedEntry
 {
     std::size_t m_domain = 0;
-    Placement::EndpointTracker m_book;
-    Placement::SlotTracker m_ledger;
+    Placement::EndpointTracker m_endpointTracker;
+    Placement::SlotTracker m_slotTracker;
     Core::Random m_random{0};
 };
 
-struct PlayedService
+struct SimulatedService
 {
     Fleet::EngineModel m_model = engineModel();
     std::map<std::string, Fleet::KnownEndpoint> m_endpoints;
-    std::vector<PlayedEngine> m_engines;
-    std::vector<PlayedEntry> m_entries;
+    std::vector<SimulatedEngine> m_engines;
+    std::vector<SimulatedEntry> m_entries;
     Core::Instant m_start = Core::Instant() + Core::Duration(1000000);
-    std::array<std::size_t, Domains> m_sent{}; ///< By domain of the caller, once settled.
-    std::array<std::size_t, Domains> m_late{}; ///< Of these the ones that waited too long.
+    std::array<std::size_t, Domains> m_sent{}; ///< Requests after the Settled time, by domain of the entry.
+    std::array<std::size_t, Domains> m_late{}; ///< Those of them that were late.
 
-    /// @p awayInFirst: engines of the first domain that are away.
-    explicit PlayedService(std::size_t awayInFirst)
+    /// @p loadingInFirst: number of engines of the first domain that are loading.
+    explicit SimulatedService(std::size_t loadingInFirst)
     {
         for (std::size_t domain = 0; domain < Domains; ++domain) {
             for (std::size_t index = 0; index < EnginesInDomain; ++index) {
-                addEngine(domain, domain == 0 && index < awayInFirst);
+                addEngine(domain, domain == 0 && index < loadingInFirst);
             }
             for (std::size_t index = 0; index < EntriesInDomain; ++index) {
                 m_entries.emplace_back();
                 m_entries.back().m_domain = domain;
-                m_entries.back().m_ledger.setShare(1.0 / (Domains * EntriesInDomain));
+                m_entries.back().m_slotTracker.setShare(1.0 / (Domains * EntriesInDomain));
                 m_entries.back().m_random = Core::Random(m_entries.size());
             }
         }
     }
 
-    void addEngine(std::size_t domain, bool isAway)
+    void addEngine(std::size_t domain, bool isLoading)
     {
-        PlayedEngine engine;
+        SimulatedEngine engine;
         engine.m_id = "engine-" + std::to_string(m_engines.size());
         engine.m_domain = domain;
-        engine.m_isAway = isAway;
+        engine.m_isLoading = isLoading;
         Fleet::Endpoint &endpoint = m_endpoints[engine.m_id].m_endpoint;
         endpoint.m_id = engine.m_id;
         endpoint.m_service = "drafts";
@@ -94,24 +94,24 @@
         m_engines.push_back(std::move(engine));
     }
 
-    void report(const PlayedEngine &engine, bool isNear, Core::Instant now)
+    void report(const SimulatedEngine &engine, bool isNear, Core::Instant now)
     {
         Placement::EngineReport report;
         report.m_running = static_cast<std::uint32_t>(engine.m_ends.size());
         report.m_waiting = static_cast<std::uint32_t>(engine.m_waiting.size());
-        report.m_isLoading = engine.m_isAway;
+        report.m_isLoading = engine.m_isLoading;
         report.m_weights = {Fleet::LoadedWeights{"draft", 1, {}}};
-        Placement::ReportedSlots places = Placement::reportedSlots(m_model, report.m_running, report.m_waiting, report.m_pace);
-        places = engine.m_isAway ? Placement::ReportedSlots{} : places;
-        for (PlayedEntry &entry : m_entries) {
+        Placement::ReportedSlots slots = Placement::reportedSlots(m_model, report.m_running, report.m_waiting, report.m_pace);
+        slots = engine.m_isLoading ? Placement::ReportedSlots{} : slots;
+        for (SimulatedEntry &entry : m_entries) {
             if ((entry.m_domain == engine.m_domain) == isNear) {
-                entry.m_book.recordEngineReport(m_endpoints.at(engine.m_id).m_endpoint, report, now);
-                entry.m_ledger.recordReport(engine.m_id, places, now);
+                entry.m_endpointTracker.recordEngineReport(m_endpoints.at(engine.m_id).m_endpoint, report, now);
+                entry.m_slotTracker.recordReport(engine.m_id, slots, now);
             }
         }
     }
 
-    void work(PlayedEngine &engine, Core::Instant now)
+    void runRequests(SimulatedEngine &engine, Core::Instant now)
     {
         std::erase_if(engine.m_ends, [now](Core::Instant end) { return end <= now; });
         const std::int64_t interval = static_cast<std::int64_t>(Placement::saturatedIntervalMilliseconds(m_model));
@@ -120,49 +120,49 @@
             engine.m_waiting.pop_front();
             engine.m_ends.push_back(now + Core::Duration(interval * m_model.m_slots));
             if (request.second >= m_start + Settled) {
-                m_late[request.first] += now - request.second > Late ? 1 : 0;
+                m_late[request.first] += now - request.second > LateWait ? 1 : 0;
             }
         }
     }
 
-    void send(PlayedEntry &entry, Core::Instant now)
+    void send(SimulatedEntry &entry, Core::Instant now)
     {
         Placement::ChoiceRequest request;
         request.m_service = "drafts";
         request.m_model = "draft";
         request.m_size = {m_model.m_usualPromptTokens, m_model.m_usualAnswerTokens};
-        const Placement::ChoiceView view{m_endpoints, entry.m_book, entry.m_ledger, m_model, domainName(entry.m_domain), now};
+        const Placement::ChoiceView view{m_endpoints, entry.m_endpointTracker, entry.m_slotTracker, m_model, domainName(entry.m_domain), now};
         const std::optional<Placement::Choice> choice = Placement::chooseEndpoint(request, view, entry.m_random).m_choice;
         if (!choice) {
             return;
         }
-        entry.m_book.recordSent(choice->m_endpoint);
-        entry.m_ledger.recordSent(choice->m_endpoint.m_id);
-        const std::vector<PlayedEngine>::iterator engine =
-            std::find_if(m_engines.begin(), m_engines.end(), [&choice](const PlayedEngine &candidate) { return candidate.m_id == choice->m_endpoint.m_id; });
+        entry.m_endpointTracker.recordSent(choice->m_endpoint);
+        entry.m_slotTracker.recordSent(choice->m_endpoint.m_id);
+        const std::vector<SimulatedEngine>::iterator engine =
+            std::find_if(m_engines.begin(), m_engines.end(), [&choice](const SimulatedEngine &candidate) { return candidate.m_id == choice->m_endpoint.m_id; });
         engine->m_waiting.emplace_back(entry.m_domain, now);
         m_sent[entry.m_domain] += now >= m_start + Settled ? 1 : 0;
     }
 
-    /// @p utilization: of the engines that are not away.
-    void play(double utilization)
+    /// @p utilization: utilization of the engines that are not loading, from 0 to 1.
+    void simulate(double utilization)
     {
-        const std::int64_t working = std::count_if(m_engines.begin(), m_engines.end(), [](const PlayedEngine &engine) { return !engine.m_isAway; });
-        const double perSecond = utilization * static_cast<double>(working) * Placement::finishedPerSecond(m_model);
+        const std::int64_t serving = std::count_if(m_engines.begin(), m_engines.end(), [](const SimulatedEngine &engine) { return !engine.m_isLoading; });
+        const double perSecond = utilization * static_cast<double>(serving) * Placement::finishedPerSecond(m_model);
         const double perStep = perSecond / static_cast<double>(m_entries.size()) * std::chrono::duration<double>(Step).count();
-        for (Core::Duration at{0}; at < Run; at += Step) {
+        for (Core::Duration at{0}; at < SimulatedTime; at += Step) {
             const Core::Instant now = m_start + at;
             for (std::size_t index = 0; index < m_engines.size(); ++index) {
-                work(m_engines[index], now);
+                runRequests(m_engines[index], now);
                 const Core::Duration shifted = at + Core::Duration(10 * static_cast<std::int64_t>(index));
-                if (shifted % NearReports < Step) {
+                if (shifted % NearReportInterval < Step) {
                     report(m_engines[index], true, now);
                 }
-                if (shifted % FarReports < Step) {
+                if (shifted % RemoteReportInterval < Step) {
                     report(m_engines[index], false, now);
                 }
             }
-            for (PlayedEntry &entry : m_entries) {
+            for (SimulatedEntry &entry : m_entries) {
                 if (entry.m_random.unit() < perStep) {
                     send(entry, now);
                 }
@@ -173,11 +173,11 @@
 
 }
 
-TEST_CASE("callers of a failure domain whose engines are mostly away wait no longer than others")
+TEST_CASE("requests in a failure domain whose engines are mostly loading are not late more often than elsewhere")
 {
-    // Guards against requests that queue at the last engines nearby while engines elsewhere have places.
-    PlayedService service(EnginesInDomain - 9);
-    service.play(0.8);
+    // Guards against requests that queue at the last local engines while engines in other domains have free slots.
+    SimulatedService service(EnginesInDomain - 9);
+    service.simulate(0.8);
     for (std::size_t domain = 0; domain < Domains; ++domain) {
         INFO("domain " << domain << ": " << service.m_late[domain] << " of " << service.m_sent[domain] << " late");
         CHECK(service.m_sent[domain] > 300);
@@ -185,11 +185,11 @@
     }
 }
 
-TEST_CASE("callers wait no longer for engines nearby than they would for any while all work")
+TEST_CASE("preferring local engines does not make requests late while all engines serve")
 {
-    // Guards against bytes saved on links between regions at the cost of callers.
-    PlayedService service(0);
-    service.play(0.8);
+    // Guards against saving traffic between regions at the cost of longer waits.
+    SimulatedService service(0);
+    service.simulate(0.8);
     for (std::size_t domain = 0; domain < Domains; ++domain) {
         INFO("domain " << domain << ": " << service.m_late[domain] << " of " << service.m_sent[domain] << " late");
         CHECK(service.m_late[domain] * 20 <= service.m_sent[domain]);
--- a/Tests/LibPlacement/TestVersionDeadlines.cpp
+++ b/Tests/LibPlacement/TestVersionDeadlines.cpp
@@ -1,4 +1,4 @@
-/// @file From when on requests may only begin on a declared version.
+/// @file Tests of the time from which on requests must begin on a declared version.
 
 #include "LibPlacement/VersionDeadlines.h"
 
@@ -20,10 +20,10 @@
     CHECK_FALSE(deadlines.requiredVersion("other", Start + Core::Duration(9000)));
 }
 
-TEST_CASE("the bound of the version before the newest still counts")
+TEST_CASE("the bounds of versions before the newest still count")
 {
-    // Two versions are declared three seconds apart, and a process starts after the second. If it knew only the newest it would let requests begin
-    // on weights that two declarations have replaced.
+    // Two versions are declared three seconds apart, and a process starts after the second. If it knew only the newest version, it would let requests begin on
+    // weights that two declarations have replaced.
     Placement::VersionDeadlines deadlines(Bound);
     deadlines.recordDeclared("draft", 3, Core::Duration(3000), Start);
     deadlines.recordDeclared("draft", 2, Core::Duration(6000), Start);
@@ -35,7 +35,7 @@
     CHECK(deadlines.oldestAgeAfter("draft", 2, Start) == Core::Duration(3000));
 }
 
-TEST_CASE("a version that was found declared is required at once, until somebody states its age")
+TEST_CASE("a version of unknown age is required at once until its age becomes known")
 {
     Placement::VersionDeadlines deadlines(Bound);
     deadlines.recordFound("draft", 2, Start);
@@ -49,7 +49,7 @@
     CHECK(deadlines.knownAge("draft", 2, Start) == Core::Duration(1000));
 }
 
-TEST_CASE("the oldest statement about a version counts")
+TEST_CASE("the greatest recorded age of a version counts")
 {
     Placement::VersionDeadlines deadlines(Bound);
     deadlines.recordDeclared("draft", 2, Core::Duration(4000), Start);
