--- a/Libraries/LibRelay/Dialect.h
+++ b/Libraries/LibRelay/Dialect.h
@@ -1,4 +1,4 @@
-/// @file What the relay needs to know of header fields whose names depend on where it runs, as types that say what they hold.
+/// @file Header fields that the relay reads and writes. Their names depend on the platform, so an adapter converts them to and from these types.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,30 +11,30 @@
 
 namespace Relay {
 
-/// What a caller states about its request.
+/// Header fields of a caller's request.
 struct RequestFacts
 {
-    std::string m_attemptId; ///< New for each try of the caller; empty if it is missing.
-    std::optional<Core::Duration> m_timeout; ///< How long the caller waits from now on.
-    std::string m_key; ///< Of a client account; empty if none was sent.
+    std::string m_attemptId; ///< Different for each try of the caller; empty if it is missing.
+    std::optional<Core::Duration> m_timeout; ///< Time that the caller waits from now on.
+    std::string m_key; ///< Key of a client account; empty if none was sent.
     std::string m_model; ///< Empty unless the request is for a model engine.
     std::uint32_t m_promptTokens = 0;
     std::uint32_t m_answerTokens = 0; ///< Upper bound.
-    std::optional<std::uint64_t> m_resumeAfter; ///< Id of the last event that the caller has.
+    std::optional<std::uint64_t> m_resumeAfter; ///< Id of the last event that the caller has received.
 };
 
-/// What the system states when it passes a request on to an endpoint.
+/// Header fields that the relay adds to a request for an endpoint.
 struct AttemptFacts
 {
-    std::string m_endpointId; ///< Any other endpoint at the address refuses.
-    Core::Duration m_timeLeft{0}; ///< The endpoint stops work after it.
+    std::string m_endpointId; ///< Any other endpoint at the address refuses the request.
+    Core::Duration m_timeLeft{0}; ///< The endpoint stops working on the request after this time.
     std::string m_account; ///< Empty for requests without one.
     std::optional<std::uint32_t> m_priority; ///< 0 is the most urgent.
-    std::optional<std::uint64_t> m_expectedVersion; ///< An engine with any other weights refuses.
-    std::optional<std::uint64_t> m_resumeAfter;
+    std::optional<std::uint64_t> m_expectedVersion; ///< An engine with any other version of the weights refuses the request.
+    std::optional<std::uint64_t> m_resumeAfter; ///< Id of the last event that the caller has received.
 };
 
-/// What an endpoint states in the head of its answer.
+/// Header fields of an endpoint's answer.
 struct AnswerFacts
 {
     struct Load
@@ -43,17 +43,17 @@
         std::uint32_t m_waiting = 0;
     };
 
-    std::string m_attemptId; ///< Of the request that it answers; empty if it does not say.
-    bool m_isSealed = false; ///< The endpoint's own mark, without which a success is not its answer.
-    bool m_didNotRun = false; ///< The endpoint promises that the request did not run and will not.
+    std::string m_attemptId; ///< Attempt id of the answered request; empty if it is missing.
+    bool m_isSealed = false; ///< The answer has the endpoint's seal. A success without it does not come from the endpoint itself.
+    bool m_didNotRun = false; ///< The endpoint guarantees that the request did not run and will not run.
     std::optional<Load> m_load;
 };
 
-/// Reads and writes the fields. Supplied by the adapter of the place where the system runs.
+/// Reads and writes the header fields. Supplied by the platform adapter.
 struct Dialect
 {
     std::function<RequestFacts(const Http::HeaderFields &fields)> m_readRequest;
-    /// @p fields came from the caller, without those of its connection; those that only the system may set are replaced.
+    /// @p fields: those of the caller, without those of its connection. Fields that only the relay may set are replaced.
     std::function<Http::HeaderFields(const Http::HeaderFields &fields, const AttemptFacts &attempt)> m_attemptFields;
     std::function<AnswerFacts(const Http::HeaderFields &fields)> m_readAnswer;
 };
--- a/Libraries/LibRelay/EventFramer.cpp
+++ b/Libraries/LibRelay/EventFramer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the framing of events.
+/// @file Implementation of the event framer.
 
 #include "LibRelay/EventFramer.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Length of the first whole event, with the empty line that ends it; npos if there is none.
+/// Returns the length of the first complete event, including the empty line that ends it; npos if there is none.
 std::size_t eventLength(std::string_view bytes)
 {
     std::size_t lineStart = 0;
@@ -26,7 +26,7 @@
     }
 }
 
-std::optional<std::uint64_t> idOf(std::string_view event)
+std::optional<std::uint64_t> eventId(std::string_view event)
 {
     constexpr std::string_view field = "id:";
     std::size_t lineStart = 0;
@@ -59,7 +59,7 @@
 std::string EventFramer::feed(std::string_view bytes)
 {
     m_partialEvent.append(bytes);
-    std::string whole;
+    std::string complete;
     std::string_view pending = m_partialEvent;
     while (true) {
         const std::size_t length = eventLength(pending);
@@ -68,7 +68,7 @@
         }
         const std::string_view event = pending.substr(0, length);
         pending.remove_prefix(length);
-        const std::optional<std::uint64_t> id = idOf(event);
+        const std::optional<std::uint64_t> id = eventId(event);
         if (id && m_lastId && *id <= *m_lastId) {
             continue;
         }
@@ -76,10 +76,10 @@
             m_hasGap = m_hasGap || (m_lastId && *id != *m_lastId + 1);
             m_lastId = id;
         }
-        whole.append(event);
+        complete.append(event);
     }
     m_partialEvent.erase(0, m_partialEvent.size() - pending.size());
-    return whole;
+    return complete;
 }
 
 void EventFramer::discardPartialEvent()
--- a/Libraries/LibRelay/EventFramer.h
+++ b/Libraries/LibRelay/EventFramer.h
@@ -1,4 +1,4 @@
-/// @file Cuts a stream of server-sent events into whole events.
+/// @file Splits a stream of server-sent events into complete events.
 #pragma once
 
 #include <cstdint>
@@ -9,31 +9,31 @@
 namespace Relay {
 
 /**
- * Holds the bytes of an event back until it is whole.
+ * Buffers the bytes of an event until it is complete, and drops events that were already forwarded.
  *
- * An engine can break off in the middle of an event. Had the first half been passed on, the caller's stream could not be continued by another
- * engine; and events that a second engine sends again, or out of order, would reach the caller twice.
+ * An engine can stop in the middle of an event. If the first part had been forwarded, no other engine could continue the caller's stream. The ids of the
+ * events prevent that events which a second engine sends again reach the caller twice.
  */
 class EventFramer
 {
 public:
-    /// @p after: id of the last event that the caller has already.
+    /// @p after: id of the last event that the caller has already received.
     explicit EventFramer(std::optional<std::uint64_t> after = std::nullopt);
 
-    /// Takes bytes and returns the whole events among them that the caller lacks.
+    /// Adds bytes of the stream and returns the events that are complete now, without those that the caller has already received.
     std::string feed(std::string_view bytes);
-    /// Bytes of an event that has not ended.
+    /// Returns the bytes of an event that is not complete.
     const std::string &partialEvent() const
     {
         return m_partialEvent;
     }
-    /// Drops a half event, before another engine goes on.
+    /// Discards the bytes of an incomplete event before another engine continues the stream.
     void discardPartialEvent();
     std::optional<std::uint64_t> lastId() const
     {
         return m_lastId;
     }
-    /// An event's id did not follow the last one.
+    /// Returns whether the id of some event did not follow that of the event before it.
     bool hasGap() const
     {
         return m_hasGap;
@@ -41,7 +41,7 @@
 
 private:
     std::string m_partialEvent;
-    std::optional<std::uint64_t> m_lastId; ///< Of the last event that was passed on.
+    std::optional<std::uint64_t> m_lastId; ///< Id of the last event that was returned.
     bool m_hasGap = false;
 };
 
--- a/Libraries/LibRelay/Relay.cpp
+++ b/Libraries/LibRelay/Relay.cpp
@@ -35,9 +35,9 @@
 
 void Relay::onConfigurationChanged()
 {
-    const std::vector<std::weak_ptr<RelayedRequest>> unconfigured = std::move(m_awaitingConfiguration);
+    const std::vector<std::weak_ptr<RelayedRequest>> awaiting = std::move(m_awaitingConfiguration);
     m_awaitingConfiguration.clear();
-    for (const std::weak_ptr<RelayedRequest> &waiting : unconfigured) {
+    for (const std::weak_ptr<RelayedRequest> &waiting : awaiting) {
         const std::shared_ptr<RelayedRequest> request = waiting.lock();
         if (request) {
             request->onConfigurationKnown();
@@ -68,16 +68,16 @@
         return forecast;
     }
     const Core::Instant now = Core::Clock::now();
-    const Placement::SlotTracker &ledger = m_parts.m_slotTracker;
-    forecast.m_finishedPerSecond = ledger.finishedPerSecond(now);
-    forecast.m_freeSlots = std::max(0.0, ledger.totalFreeSlots(now).value_or(0));
+    const Placement::SlotTracker &slotTracker = m_parts.m_slotTracker;
+    forecast.m_finishedPerSecond = slotTracker.finishedPerSecond(now);
+    forecast.m_freeSlots = std::max(0.0, slotTracker.totalFreeSlots(now).value_or(0));
     const std::size_t listed = listedEngines(service);
-    const std::size_t active = std::min(listed, ledger.enginesWithSlots(now));
-    // A few engines that are away for a change of versions or have died do not make an outage.
-    const std::size_t coming = listed - active > active ? listed - active : 0;
-    const double ownComing = ledger.share() * static_cast<double>(coming);
-    forecast.m_expectedSlots = ownComing * known->m_engine.m_slots;
-    forecast.m_expectedFinishedPerSecond = ownComing * Placement::finishedPerSecond(known->m_engine);
+    const std::size_t active = std::min(listed, slotTracker.enginesWithSlots(now));
+    // A few engines that are changing versions or have failed do not count as an outage.
+    const std::size_t expectedEngines = listed - active > active ? listed - active : 0;
+    const double ownExpectedEngines = slotTracker.share() * static_cast<double>(expectedEngines);
+    forecast.m_expectedSlots = ownExpectedEngines * known->m_engine.m_slots;
+    forecast.m_expectedFinishedPerSecond = ownExpectedEngines * Placement::finishedPerSecond(known->m_engine);
     return forecast;
 }
 
--- a/Libraries/LibRelay/Relay.h
+++ b/Libraries/LibRelay/Relay.h
@@ -1,4 +1,4 @@
-/// @file Answers callers: decides on each request and passes it on to an endpoint of its route's service.
+/// @file Relays the requests of callers to endpoints of the service that their route names.
 #pragma once
 
 #include "LibCore/Random.h"
@@ -22,21 +22,21 @@
 
 struct RelaySettings
 {
-    std::string m_failureDomain; ///< Of this instance.
-    Core::Duration m_connectTimeout{350}; ///< To an endpoint; a lost first packet is sent again only after a second.
-    Core::Duration m_answerMargin{15}; ///< Kept from a request's time for the answer's way back.
-    Core::Duration m_minimumTimeLeft{20}; ///< A request with less time left is not sent any more.
-    Core::Duration m_retryAfter{300}; ///< Told to callers that are refused: a few times the interval at which a full engine takes requests.
+    std::string m_failureDomain; ///< Failure domain of this instance.
+    Core::Duration m_connectTimeout{350}; ///< To an endpoint. TCP retransmits a lost first packet only after a second.
+    Core::Duration m_answerMargin{15}; ///< Part of a request's time that is reserved for returning the answer.
+    Core::Duration m_minimumTimeLeft{20}; ///< A request with less time left is not sent.
+    Core::Duration m_retryAfter{300}; ///< Default Retry-After of refusals: a few times the interval at which a full engine accepts requests.
     Placement::AdmissionSettings m_admission;
     Placement::QueueSettings m_queue;
-    /// How long a request waits for the first configuration of a process that has just started.
+    /// Longest time that a request waits for the first configuration of a process that has just started.
     Core::Duration m_configurationWait{1000};
-    std::size_t m_successSampleInterval = 20; ///< One in so many successes gets a line in the log.
+    std::size_t m_successSampleInterval = 20; ///< One in this many successful requests is logged.
 
     bool operator==(const RelaySettings &) const = default;
 };
 
-/// What the relay works with. Everything outlives it.
+/// Objects that the relay uses. They must outlive it.
 struct RelayParts
 {
     Http::EventLoop &m_loop;
@@ -51,7 +51,7 @@
     Core::Random &m_random;
 };
 
-/// Counters of the relay, looked up once.
+/// Metrics of the relay, looked up once.
 struct RelayCounters
 {
     explicit RelayCounters(Telemetry::Metrics &metrics);
@@ -67,7 +67,7 @@
     Telemetry::Latency &m_completeAnswer;
 };
 
-/// Used on the loop's thread.
+/// Relays requests. Used on the loop's thread.
 class Relay
 {
 public:
@@ -77,23 +77,23 @@
     Relay(const Relay &) = delete;
     Relay &operator=(const Relay &) = delete;
 
-    /// Takes a request over; it is answered on its connection.
+    /// Relays a request and answers it on its connection.
     void handle(const std::shared_ptr<Http::ServerConnection> &connection, Http::ServerRequest request);
-    /// Called when the configuration has changed.
+    /// Must be called when the configuration has changed.
     void onConfigurationChanged();
-    /// Called when engines have reported: places may have become free.
+    /// Must be called when engines have reported, because slots may have become free.
     void onSlotsChanged();
-    /// Requests taken over since the start.
+    /// Returns the number of requests handled since the start.
     std::uint64_t requests() const
     {
         return m_counters.m_requests.value();
     }
-    /// Requests that wait for a place at an engine.
+    /// Returns the number of requests that wait for a slot at an engine.
     std::size_t waitingRequests() const
     {
         return m_waitingRequests.size();
     }
-    /// Requests that have no whole answer yet.
+    /// Returns the number of requests that have no complete answer yet.
     std::size_t openRequests() const
     {
         return m_openRequests.size();
@@ -102,7 +102,7 @@
 private:
     friend class RelayedRequest;
 
-    /// Engines of the service that take work by the list.
+    /// Returns the number of engines of the service that accept work according to the list of endpoints.
     std::size_t listedEngines(const std::string &service) const;
     Placement::QueueForecast forecast(const std::string &service) const;
 
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of a request's way through the relay.
+/// @file Implementation of the state machine of a relayed request.
 
 #include "LibRelay/RelayedRequest.h"
 
@@ -22,15 +22,15 @@
 constexpr int BadGateway = 502;
 constexpr int ServiceUnavailable = 503;
 constexpr int GatewayTimeout = 504;
-constexpr std::uint32_t MostUrgent = 0;
+constexpr std::uint32_t HighestPriority = 0;
 
-/// Bytes that wait for a slow caller before its endpoint is held up: some dozens of events.
-constexpr std::size_t MaximumPending = 64 << 10;
-constexpr Core::Duration ShortestPatience{400};
-constexpr Core::Duration LongestPatience{2000};
+/// Bytes that may be buffered for a slow caller before reading from its endpoint pauses: a few dozen events.
+constexpr std::size_t MaximumPendingBytes = 64 << 10;
+constexpr Core::Duration MinimumHeadTimeout{400};
+constexpr Core::Duration MaximumHeadTimeout{2000};
 
-/// Statuses that promise that the request has not run. They are passed on only together with the endpoint's own promise.
-bool promisesNotRun(int status)
+/// Returns whether the status guarantees that the request has not run. Such statuses are forwarded only together with the endpoint's own guarantee.
+bool guaranteesNotRun(int status)
 {
     return status == RequestTimeout || status == Misdirected || status == TooManyRequests || status == ServiceUnavailable;
 }
@@ -125,12 +125,12 @@
 
 void RelayedRequest::setDeadline()
 {
-    Core::Duration patience(m_route->m_timeoutMilliseconds);
-    if (m_facts.m_timeout && (*m_facts.m_timeout < patience || patience.count() == 0)) {
-        patience = *m_facts.m_timeout;
+    Core::Duration timeout(m_route->m_timeoutMilliseconds);
+    if (m_facts.m_timeout && (*m_facts.m_timeout < timeout || timeout.count() == 0)) {
+        timeout = *m_facts.m_timeout;
     }
-    m_deadline = m_arrivedAt + patience;
-    m_elapsedBeforeArrival = m_relay.m_parts.m_elapsedTimeEstimator.estimateElapsed(m_route->m_name, patience, m_arrivedAt);
+    m_deadline = m_arrivedAt + timeout;
+    m_elapsedBeforeArrival = m_relay.m_parts.m_elapsedTimeEstimator.estimateElapsed(m_route->m_name, timeout, m_arrivedAt);
     m_timer.expires_at(m_deadline);
     m_timer.async_wait([weak = weak_from_this()](const boost::system::error_code &error) {
         const std::shared_ptr<RelayedRequest> self = weak.lock();
@@ -146,10 +146,10 @@
     for (const Fleet::ServiceShare &share : m_route->m_services) {
         total += share.m_weight;
     }
-    double drawn = m_relay.m_parts.m_random.unit() * total;
+    double remaining = m_relay.m_parts.m_random.unit() * total;
     for (const Fleet::ServiceShare &share : m_route->m_services) {
-        drawn -= share.m_weight;
-        if (drawn < 0) {
+        remaining -= share.m_weight;
+        if (remaining < 0) {
             return m_configuration->service(share.m_service);
         }
     }
@@ -209,9 +209,9 @@
     send(choice);
 }
 
-void RelayedRequest::endWithoutEndpoint(Placement::NoChoiceReason noChoice)
+void RelayedRequest::endWithoutEndpoint(Placement::NoChoiceReason noChoiceReason)
 {
-    const std::string reason = std::string(Placement::noChoiceReasonName(noChoice)) + (m_lastFailure.empty() ? "" : " after: " + m_lastFailure);
+    const std::string reason = std::string(Placement::noChoiceReasonName(noChoiceReason)) + (m_lastFailure.empty() ? "" : " after: " + m_lastFailure);
     if (m_isHeadForwarded) {
         m_connection->abort();
         finish("failed", 0, "the answer broke off: " + reason);
@@ -221,7 +221,7 @@
         fail(BadGateway, reason);
         return;
     }
-    refuse(reason, retryAfter(noChoice));
+    refuse(reason, retryAfter(noChoiceReason));
 }
 
 Core::Duration RelayedRequest::elapsedSinceFirstTry() const
@@ -244,8 +244,8 @@
 
 Placement::AdmissionView RelayedRequest::admissionView() const
 {
-    const Placement::SlotTracker &ledger = m_relay.m_parts.m_slotTracker;
-    return Placement::AdmissionView{ledger.reportingEngines(Core::Clock::now()), ledger.share()};
+    const Placement::SlotTracker &slotTracker = m_relay.m_parts.m_slotTracker;
+    return Placement::AdmissionView{slotTracker.reportingEngines(Core::Clock::now()), slotTracker.share()};
 }
 
 AttemptFacts RelayedRequest::attemptFacts(const Placement::Choice &choice) const
@@ -259,12 +259,13 @@
         facts.m_priority = m_account->m_priority ? *m_account->m_priority : m_route->m_priority;
     }
     if (m_isHeadForwarded) {
-        // A caller is in the middle of this stream. Behind the requests that wait for their first event it would pause for longer than is on time.
-        facts.m_priority = MostUrgent;
+        // The caller is already reading this stream. Queued behind requests that wait for their first event, it would pause for longer
+        // than its objective allows.
+        facts.m_priority = HighestPriority;
     }
     const bool isBound = m_relay.m_parts.m_versionDeadlines.requiredVersion(m_facts.m_model, Core::Clock::now()).has_value();
     if (isBound && m_service->m_engine.m_slots > 0) {
-        // The engine compares for equality, so it is told the version that it was chosen with, which may be newer than the required one.
+        // The engine compares versions for equality, so the request names the version that the engine has, which may be newer than the required one.
         facts.m_expectedVersion = choice.m_version;
     }
     facts.m_resumeAfter = m_framer.lastId();
@@ -282,7 +283,7 @@
         return limits;
     }
     limits.m_headTimeout =
-        std::min(limits.m_headTimeout, std::clamp(scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals), ShortestPatience, LongestPatience));
+        std::min(limits.m_headTimeout, std::clamp(scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals), MinimumHeadTimeout, MaximumHeadTimeout));
     if (m_route->m_isResumable && m_route->m_gapGoalMilliseconds > 0) {
         limits.m_idleTimeout = std::min(limits.m_idleTimeout, scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps));
     }
@@ -333,7 +334,7 @@
         onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "the answer is not the endpoint's own");
         return false;
     }
-    if (promisesNotRun(head.m_status)) {
+    if (guaranteesNotRun(head.m_status)) {
         onAttemptFailed(Placement::EndpointFailure::BadAnswer, true, "status " + std::to_string(head.m_status) + " without a promise");
         return false;
     }
@@ -348,7 +349,7 @@
 {
     const AnswerFacts facts = m_relay.m_dialect.m_readAnswer(head.m_fields);
     const Core::Instant now = Core::Clock::now();
-    // Engines' loads come from the agents beside them, which also tell of loading; plain services have no agents.
+    // Agents report the load of engines, including whether they are loading weights. Plain services have no agents.
     if (facts.m_load && m_service->m_engine.m_slots == 0) {
         m_relay.m_parts.m_endpointTracker.recordLoad(m_attempt->m_endpoint, facts.m_load->m_running, facts.m_load->m_waiting, now);
     }
@@ -402,7 +403,7 @@
     } else {
         m_connection->sendBody(bytes);
     }
-    if (m_connection->pendingBytes() > MaximumPending) {
+    if (m_connection->pendingBytes() > MaximumPendingBytes) {
         m_attempt->m_call->pause();
     }
 }
@@ -462,8 +463,8 @@
     line.text("peer", m_attempt->m_endpoint.m_address.toString()).flag("may_have_run", mayHaveRun).text("detail", detail);
     m_relay.m_parts.m_log.write(line);
     endAttempt();
-    // Nothing of the request arrived where there was no connection, so that costs neither an attempt nor a part of the budget for repeats. When many
-    // endpoints die at once, each entry finds out for itself which.
+    // Without a connection nothing of the request was sent, so the failure uses up neither an attempt nor the retry budget. When many endpoints fail at once,
+    // each entry has to find out on its own which ones.
     const bool wasSent = failure != Placement::EndpointFailure::Unreachable;
     m_attempts -= wasSent ? 0 : 1;
     if (m_isHeadForwarded) {
@@ -554,14 +555,14 @@
 {
     fields.push_back(Http::HeaderField{"Content-Type", "text/plain"});
     m_connection->answer(status, std::move(fields), reason + "\n");
-    finish(promisesNotRun(status) ? "refused" : "failed", status, reason);
+    finish(guaranteesNotRun(status) ? "refused" : "failed", status, reason);
 }
 
 void RelayedRequest::logEnd(const std::string &outcome, int status, const std::string &reason)
 {
     const bool isSuccess = outcome == "answered";
-    const bool isPlain = isSuccess && m_attempts == 1;
-    if (isPlain && ++m_relay.m_successes % m_relay.m_settings.m_successSampleInterval != 0) {
+    const bool isFirstAttemptSuccess = isSuccess && m_attempts == 1;
+    if (isFirstAttemptSuccess && ++m_relay.m_successes % m_relay.m_settings.m_successSampleInterval != 0) {
         return;
     }
     Telemetry::LogLine line("request");
--- a/Libraries/LibRelay/RelayedRequest.h
+++ b/Libraries/LibRelay/RelayedRequest.h
@@ -8,17 +8,17 @@
 
 namespace Relay {
 
-/// What came of trying to send a request that waits.
+/// Result of trying to send a waiting request.
 enum class QueueSendResult {
-    Dequeued, ///< It does not wait any more.
-    NoSlot, ///< There is no place for it, nor for those behind it.
-    NoEndpoint, ///< No endpoint can take it; others may have better luck.
+    Dequeued, ///< The request was sent and no longer waits.
+    NoSlot, ///< There is no free slot for it, nor for the requests behind it.
+    NoEndpoint, ///< No endpoint can take this request; other requests may still be sent.
 };
 
 /**
- * The state machine of a request: checked, sent to an endpoint, answered; or sent again, where that is allowed; or given up.
+ * State machine of a request: it is checked, sent to an endpoint and answered; retried where that is allowed; or refused or failed.
  *
- * Whatever happens, the caller gets one final answer, or a cut connection if an answer broke off after its head had been passed on.
+ * The caller always gets exactly one final answer, or a closed connection if an answer was interrupted after its head had been forwarded.
  */
 class RelayedRequest : public std::enable_shared_from_this<RelayedRequest>
 {
@@ -26,26 +26,26 @@
     RelayedRequest(Relay &relay, std::shared_ptr<Http::ServerConnection> connection, Http::ServerRequest request);
 
     void start();
-    /// Called once the first configuration is known.
+    /// Continues the request once a configuration is known.
     void onConfigurationKnown();
-    /// Sends the request if there is a place for it now.
+    /// Sends the request if there is a free slot for it now.
     QueueSendResult trySendFromQueue();
-    /// Refuses it, since no place is expected in time. @p ahead: requests that go on waiting.
+    /// Removes the request from the queue and ends it, because no slot is expected in time. @p ahead: number of requests that keep waiting.
     void rejectFromQueue(const Placement::QueueForecast &forecast, std::size_t ahead);
 
 private:
-    /// What is known of an attempt that has not ended.
+    /// An attempt that has not ended.
     struct Attempt
     {
         Fleet::Endpoint m_endpoint;
         std::shared_ptr<Http::ClientCall> m_call;
         Core::Instant m_sentAt;
         double m_expectedMilliseconds = 0;
-        Placement::EndpointLoad m_load; ///< As the choice saw it.
+        Placement::EndpointLoad m_load; ///< Load of the endpoint when it was chosen.
         Core::Duration m_reportAge{0};
     };
 
-    /// Lets the request wait for the first configuration, or refuses it if too many wait for that already.
+    /// Lets the request wait for the first configuration, or refuses it if too many requests already wait for it.
     void awaitConfiguration();
     bool findRoute();
     bool findAccount();
@@ -53,33 +53,33 @@
     const Fleet::Service *chooseService();
     void tryEndpoint();
     Placement::ChoiceResult chooseEndpoint() const;
-    /// Places that this process's part must hold for it; empty once it is admitted, and where requests have no objective.
+    /// Returns the free slots that this process's share must hold for the request; empty once it is admitted and on routes without an objective.
     std::optional<double> neededSlots() const;
-    /// Whether the engines have places, but not enough for it: less work to find out than choose().
+    /// Returns whether the engines have slots, but not enough free ones for the request. This check is cheaper than chooseEndpoint().
     bool lacksSlots() const;
-    /// Sends the request to the endpoint that was chosen for it.
+    /// Marks the request as admitted and sends it to the chosen endpoint.
     void admitAndSend(const Placement::Choice &choice);
-    /// Goes behind the requests that wait already; false if it may not.
+    /// Adds the request to the requests that already wait and dispatches them; returns false if it may not wait.
     bool joinQueue();
-    /// Lets the request wait for a place; false if it may not.
+    /// Lets the request wait for a slot; returns false if it may not.
     bool enqueue();
-    /// Notes what the refusal of an engine service tells of its weights.
+    /// Records whether engines of the service have weights, according to the reason why none was chosen.
     void recordWeightAvailability(Placement::NoChoiceReason reason);
     bool isWaiting() const
     {
         return m_ticket.has_value();
     }
     void stopWaiting();
-    /// Until when it must be sent; without a ticket.
+    /// Returns the times by which the request must be sent; without a ticket.
     Placement::QueuedRequest sendDeadlines() const;
-    /// Time since the caller's first try.
+    /// Returns the time since the caller's first try.
     Core::Duration elapsedSinceFirstTry() const;
-    /// Its answer could still begin within the objective.
+    /// Returns whether the answer could still begin within the latency objective.
     bool canMeetObjective() const;
-    /// Ends the request, for which no endpoint was chosen, by what has become of it so far: a refusal, a failure or a cut connection.
-    void endWithoutEndpoint(Placement::NoChoiceReason noChoice);
+    /// Ends a request for which no endpoint was chosen with a refusal, a failure or a closed connection, depending on what has been sent so far.
+    void endWithoutEndpoint(Placement::NoChoiceReason noChoiceReason);
     Placement::AdmissionView admissionView() const;
-    /// When a caller that is refused should come back.
+    /// Returns the time after which a refused caller should retry.
     Core::Duration retryAfter(Placement::NoChoiceReason reason) const;
     void send(const Placement::Choice &choice);
     Http::ClientCallLimits callLimits() const;
@@ -92,22 +92,22 @@
     void onAttemptEnded(const Http::ClientCallEnd &end);
     void recordPause();
     void onAnswerComplete();
-    /// Ends the attempt under way after a failure and sends the request again, resumes its stream or gives it up.
+    /// Ends the current attempt after a failure, and retries the request, resumes its stream or ends it.
     void onAttemptFailed(Placement::EndpointFailure failure, bool mayHaveRun, const std::string &detail);
     bool mayRetry(bool mayHaveRun);
     bool resumeStream();
 
     void onDeadline();
     void onCallerDisconnected();
-    /// Answers with a refusal, which promises that the request has not run.
+    /// Answers with a refusal, which guarantees that the request has not run.
     void refuse(const std::string &reason, Core::Duration retryAfter);
-    /// Answers with a failure that promises nothing.
+    /// Answers with a failure, after which the request may have run.
     void fail(int status, const std::string &reason);
     void answerWithText(int status, Http::HeaderFields fields, const std::string &reason);
     void endAttempt();
     void finish(const std::string &outcome, int status, const std::string &reason);
     void logEnd(const std::string &outcome, int status, const std::string &reason);
-    /// Logs why no place is expected for the request.
+    /// Logs why no slot is expected for the request.
     void logNoSlotExpected(const Placement::QueueForecast &forecast, std::size_t ahead);
     Core::Duration timeLeft() const;
 
@@ -116,29 +116,29 @@
     Http::ServerRequest m_request;
     Http::Timer m_timer;
     RequestFacts m_facts;
-    std::shared_ptr<const Fleet::ConfigurationIndex> m_configuration; ///< Keeps what the pointers below point into.
+    std::shared_ptr<const Fleet::ConfigurationIndex> m_configuration; ///< Owns the objects that the pointers below refer to.
     const Fleet::Route *m_route = nullptr;
-    const Fleet::ClientAccount *m_account = nullptr; ///< Null on public routes and where callers need no keys.
+    const Fleet::ClientAccount *m_account = nullptr; ///< Null on public routes and if callers need no keys.
     const Fleet::Service *m_service = nullptr;
     Core::Instant m_arrivedAt;
     Core::Instant m_deadline;
-    Core::Duration m_elapsedBeforeArrival{0}; ///< Time since the caller's first try, as far as it can be told.
-    std::uint32_t m_attempts = 0; ///< Endpoints that the request was sent to; one that took no connection is none.
-    std::optional<std::uint64_t> m_ticket; ///< While it waits for a place.
+    Core::Duration m_elapsedBeforeArrival{0}; ///< Estimated time from the caller's first try to the arrival of this request.
+    std::uint32_t m_attempts = 0; ///< Endpoints that the request was sent to. Endpoints that accepted no connection do not count.
+    std::optional<std::uint64_t> m_ticket; ///< Set while the request waits for a slot.
     Core::Instant m_waitingSince;
-    Core::Duration m_totalWait{0}; ///< For places, in all.
-    bool m_isAdmitted = false; ///< An endpoint was chosen for it; what follows are further attempts.
+    Core::Duration m_totalWait{0}; ///< Total time spent waiting for slots.
+    bool m_isAdmitted = false; ///< An endpoint was chosen for the request before; later attempts need no admission.
     double m_firstByteMilliseconds = 0; ///< From arrival to the head of the answer; 0 before.
-    std::optional<Core::Instant> m_lastEventAt; ///< When events were last passed on.
-    Core::Duration m_longestPause{0}; ///< Between events of the stream so far.
-    bool m_mayHaveRun = false; ///< Some attempt may have begun; from then on nothing may say that the request did not run.
-    bool m_hasMetRestartedEngine = false; ///< An engine had started again since it was listed; it holds no weights yet, and so do others probably.
+    std::optional<Core::Instant> m_lastEventAt; ///< When events were last forwarded.
+    Core::Duration m_longestPause{0}; ///< Longest pause between events of the stream so far.
+    bool m_mayHaveRun = false; ///< Some attempt may have run. From then on no answer may state that the request did not run.
+    bool m_hasMetRestartedEngine = false; ///< An engine had restarted since it was listed. It holds no weights yet, and probably neither do others.
     bool m_isHeadForwarded = false;
     bool m_isEventStream = false;
     bool m_isFinished = false;
     std::optional<Attempt> m_attempt;
     EventFramer m_framer;
-    std::set<std::string> m_excluded; ///< Endpoints that have failed this request.
+    std::set<std::string> m_excluded; ///< Ids of the endpoints at which this request has failed.
     std::string m_lastFailure;
 };
 
--- a/Libraries/LibRelay/RelayedRequestQueueing.cpp
+++ b/Libraries/LibRelay/RelayedRequestQueueing.cpp
@@ -1,4 +1,4 @@
-/// @file The part of a request's way through the relay in which it waits: for the first configuration, or for a place at an engine.
+/// @file The part of a relayed request's implementation that waits for the first configuration or for a slot at an engine.
 
 #include "LibRelay/RelayedRequest.h"
 #include "LibRelay/RequestTimeouts.h"
@@ -9,14 +9,14 @@
 
 void RelayedRequest::awaitConfiguration()
 {
-    constexpr int patienceParts = 3; // Of the caller's time; the rest is left for another process and the answer.
+    constexpr int timeoutDivisor = 3; // At most this fraction of the caller's time; the rest is left for a retry at another process and for the answer.
     if (m_relay.m_awaitingConfiguration.size() >= m_relay.m_settings.m_queue.m_maximumRequests) {
         refuse("no configuration is known yet", m_relay.m_settings.m_retryAfter);
         return;
     }
     Core::Duration wait = m_relay.m_settings.m_configurationWait;
     if (m_facts.m_timeout) {
-        wait = std::min(wait, *m_facts.m_timeout / patienceParts);
+        wait = std::min(wait, *m_facts.m_timeout / timeoutDivisor);
     }
     std::erase_if(m_relay.m_awaitingConfiguration, [](const std::weak_ptr<RelayedRequest> &other) { return other.expired(); });
     m_relay.m_awaitingConfiguration.push_back(weak_from_this());
@@ -43,21 +43,21 @@
     const Fleet::EngineModel &engine = m_service->m_engine;
     const Placement::RequestSize size{m_facts.m_promptTokens, m_facts.m_answerTokens};
     const Core::Duration first(static_cast<std::int64_t>(Placement::firstEventMilliseconds(engine, Placement::EndpointLoad{engine.m_slots - 1}, size)));
-    const Core::Duration whole = first + Core::Duration(static_cast<std::int64_t>(Placement::answerMilliseconds(engine, size)));
-    Placement::QueuedRequest bounds;
-    bounds.m_objectiveSendDeadline = m_arrivedAt - m_elapsedBeforeArrival + Core::Duration(m_route->m_goalMilliseconds) - first;
-    bounds.m_sendDeadline = m_deadline - m_relay.m_settings.m_answerMargin - whole;
+    const Core::Duration complete = first + Core::Duration(static_cast<std::int64_t>(Placement::answerMilliseconds(engine, size)));
+    Placement::QueuedRequest deadlines;
+    deadlines.m_objectiveSendDeadline = m_arrivedAt - m_elapsedBeforeArrival + Core::Duration(m_route->m_goalMilliseconds) - first;
+    deadlines.m_sendDeadline = m_deadline - m_relay.m_settings.m_answerMargin - complete;
     if (m_route->m_gapGoalMilliseconds > 0) {
-        const Core::Duration silence =
+        const Core::Duration callerTimeout =
             std::max(scaled(m_route->m_gapGoalMilliseconds, CallerTimeoutInGaps), scaled(m_route->m_goalMilliseconds, HeadTimeoutInGoals));
-        bounds.m_sendDeadline = std::min(bounds.m_sendDeadline, m_arrivedAt + silence - first);
+        deadlines.m_sendDeadline = std::min(deadlines.m_sendDeadline, m_arrivedAt + callerTimeout - first);
     }
     if (m_lastEventAt) {
-        // Its caller is reading already, and leaves a stream that has paused for long.
-        bounds.m_objectiveSendDeadline = *m_lastEventAt + Core::Duration(m_route->m_gapGoalMilliseconds) - first;
-        bounds.m_sendDeadline = *m_lastEventAt + scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps) - first;
+        // The caller is already reading and leaves a stream that pauses for too long.
+        deadlines.m_objectiveSendDeadline = *m_lastEventAt + Core::Duration(m_route->m_gapGoalMilliseconds) - first;
+        deadlines.m_sendDeadline = *m_lastEventAt + scaled(m_route->m_gapGoalMilliseconds, PauseTimeoutInGaps) - first;
     }
-    return bounds;
+    return deadlines;
 }
 
 void RelayedRequest::recordWeightAvailability(Placement::NoChoiceReason reason)
@@ -72,7 +72,7 @@
     if (m_service->m_engine.m_slots == 0) {
         return false;
     }
-    // What failed it so far may have recovered by the time that it is sent; until then it is avoided.
+    // The endpoints at which it failed may have recovered when it is sent. Until then the endpoint tracker avoids them.
     m_excluded.clear();
     m_ticket = m_relay.m_waitingRequests.enqueue(m_service->m_name, sendDeadlines(), m_request.m_body.size(), weak_from_this());
     m_waitingSince = Core::Clock::now();
@@ -93,8 +93,8 @@
 {
     const std::optional<double> needed = neededSlots();
     const Core::Instant now = Core::Clock::now();
-    const Placement::SlotTracker &ledger = m_relay.m_parts.m_slotTracker;
-    return needed && ledger.enginesWithSlots(now) > 0 && ledger.totalFreeSlots(now).value_or(0) < *needed;
+    const Placement::SlotTracker &slotTracker = m_relay.m_parts.m_slotTracker;
+    return needed && slotTracker.enginesWithSlots(now) > 0 && slotTracker.totalFreeSlots(now).value_or(0) < *needed;
 }
 
 QueueSendResult RelayedRequest::trySendFromQueue()
@@ -129,19 +129,19 @@
         return m_relay.m_settings.m_retryAfter;
     }
     const Placement::QueueForecast forecast = m_relay.m_waitingRequests.forecast(m_service->m_name, Core::Clock::now());
-    const Core::Duration least = Placement::retryAfter(forecast, m_relay.m_waitingRequests.size(), m_relay.m_settings.m_admission);
-    // Spread over as long again, so that those who were refused together do not come back together.
-    return least + Core::Duration(m_relay.m_parts.m_random.below(static_cast<std::uint64_t>(least.count())));
+    const Core::Duration minimum = Placement::retryAfter(forecast, m_relay.m_waitingRequests.size(), m_relay.m_settings.m_admission);
+    // Adds a random delay of up to the same length to spread the retries of callers that were refused together.
+    return minimum + Core::Duration(m_relay.m_parts.m_random.below(static_cast<std::uint64_t>(minimum.count())));
 }
 
 void RelayedRequest::logNoSlotExpected(const Placement::QueueForecast &forecast, std::size_t ahead)
 {
     const Core::Instant now = Core::Clock::now();
-    const Placement::QueuedRequest bounds = sendDeadlines();
+    const Placement::QueuedRequest deadlines = sendDeadlines();
     Telemetry::LogLine line("no_place_expected");
     line.text("id", m_facts.m_attemptId).text("service", m_service->m_name).number("ahead", static_cast<std::int64_t>(ahead));
-    line.number("in_time_within_ms", Core::secondsBetween(now, bounds.m_objectiveSendDeadline) * MillisecondsPerSecond);
-    line.number("sent_within_ms", Core::secondsBetween(now, bounds.m_sendDeadline) * MillisecondsPerSecond);
+    line.number("in_time_within_ms", Core::secondsBetween(now, deadlines.m_objectiveSendDeadline) * MillisecondsPerSecond);
+    line.number("sent_within_ms", Core::secondsBetween(now, deadlines.m_sendDeadline) * MillisecondsPerSecond);
     line.number("weights_in_ms", static_cast<std::int64_t>(forecast.m_untilWeights.count())).number("free_places", forecast.m_freeSlots);
     line.number("places_per_s", forecast.m_finishedPerSecond).number("fresh_per_s", forecast.m_timelyArrivalsPerSecond);
     line.number("coming_places", forecast.m_expectedSlots);
--- a/Libraries/LibRelay/RequestTimeouts.h
+++ b/Libraries/LibRelay/RequestTimeouts.h
@@ -1,4 +1,4 @@
-/// @file How long endpoints and callers are waited for, in terms of a route's objectives.
+/// @file Time limits for endpoints and callers, as multiples of a route's objectives.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -8,11 +8,11 @@
 namespace Relay {
 
 inline constexpr double MillisecondsPerSecond = 1000;
-/// An endpoint that could be replaced by another is given up after this many times the latency objective without an answer.
+/// An attempt that may be retried at another endpoint ends after this many times the latency objective without an answer.
 inline constexpr double HeadTimeoutInGoals = 4;
-/// A stream that could be resumed elsewhere is given up after a pause of this many times the longest pause that is on time.
+/// An attempt whose stream may be resumed elsewhere ends after a pause of this many times the objective for pauses.
 inline constexpr double PauseTimeoutInGaps = 4;
-/// Callers leave a stream, also before its first event, that stays silent for this many times the longest pause that is on time.
+/// Callers leave a stream that stays silent for this many times the objective for pauses, also before its first event.
 inline constexpr double CallerTimeoutInGaps = 8;
 
 inline Core::Duration scaled(std::uint32_t milliseconds, double factor)
--- a/Libraries/LibRelay/WaitingRequests.cpp
+++ b/Libraries/LibRelay/WaitingRequests.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the waiting requests.
+/// @file Implementation of the queues of waiting requests.
 
 #include "LibRelay/WaitingRequests.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Core::Duration ServeInterval{25}; ///< A fraction of the interval at which a full engine finishes requests.
-constexpr Core::Duration LeastServePause{10}; ///< Between two reports that are acted upon: hundreds of engines report many times in between.
+constexpr Core::Duration DispatchInterval{25}; ///< A fraction of the interval at which a full engine finishes requests.
+constexpr Core::Duration MinimumDispatchPause{10}; ///< Between dispatches caused by reports: hundreds of engines report many times in this interval.
 
 }
 
@@ -44,26 +44,26 @@
 }
 
 std::optional<std::uint64_t>
-WaitingRequests::enqueue(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request)
+WaitingRequests::enqueue(const std::string &service, Placement::QueuedRequest deadlines, std::size_t bytes, std::weak_ptr<RelayedRequest> request)
 {
     if (m_requests.size() >= m_settings.m_maximumRequests || m_bytes + bytes > m_settings.m_maximumBytes) {
         return std::nullopt;
     }
-    bounds.m_ticket = ++m_lastTicket;
-    m_requests.emplace(bounds.m_ticket, Entry{service, bounds, bytes, std::move(request)});
+    deadlines.m_ticket = ++m_lastTicket;
+    m_requests.emplace(deadlines.m_ticket, Entry{service, deadlines, bytes, std::move(request)});
     m_bytes += bytes;
     scheduleDispatch();
-    return bounds.m_ticket;
+    return deadlines.m_ticket;
 }
 
 void WaitingRequests::remove(std::uint64_t ticket)
 {
-    const std::map<std::uint64_t, Entry>::iterator waiting = m_requests.find(ticket);
-    if (waiting == m_requests.end()) {
+    const std::map<std::uint64_t, Entry>::iterator entry = m_requests.find(ticket);
+    if (entry == m_requests.end()) {
         return;
     }
-    m_bytes -= waiting->second.m_bytes;
-    m_requests.erase(waiting);
+    m_bytes -= entry->second.m_bytes;
+    m_requests.erase(entry);
 }
 
 void WaitingRequests::scheduleDispatch()
@@ -72,7 +72,7 @@
         return;
     }
     m_isTimerSet = true;
-    m_timer.expires_after(ServeInterval);
+    m_timer.expires_after(DispatchInterval);
     m_timer.async_wait([this](const boost::system::error_code &error) {
         if (error) {
             return;
@@ -85,7 +85,7 @@
 
 void WaitingRequests::dispatch()
 {
-    // What a request does when it is sent or given up may lead back here.
+    // Sending or rejecting a request may call this function again.
     if (m_isDispatching) {
         return;
     }
@@ -96,14 +96,14 @@
         services.insert(entry.second.m_service);
     }
     for (const std::string &service : services) {
-        serve(service);
+        dispatch(service);
     }
     m_isDispatching = false;
 }
 
 void WaitingRequests::onSlotsChanged()
 {
-    if (Core::Clock::now() - m_dispatchedAt >= LeastServePause) {
+    if (Core::Clock::now() - m_dispatchedAt >= MinimumDispatchPause) {
         dispatch();
     }
 }
@@ -123,7 +123,7 @@
     return forecast;
 }
 
-void WaitingRequests::serve(const std::string &service)
+void WaitingRequests::dispatch(const std::string &service)
 {
     const Core::Instant now = Core::Clock::now();
     std::vector<Placement::QueuedRequest> queued;
@@ -148,15 +148,15 @@
     for (const std::uint64_t ticket : tickets) {
         const std::shared_ptr<RelayedRequest> request = find(ticket);
         if (request && request->trySendFromQueue() == QueueSendResult::NoSlot) {
-            return; // Those behind it need as much.
+            return; // The requests behind it need as many slots.
         }
     }
 }
 
 std::shared_ptr<RelayedRequest> WaitingRequests::find(std::uint64_t ticket) const
 {
-    const std::map<std::uint64_t, Entry>::const_iterator waiting = m_requests.find(ticket);
-    return waiting == m_requests.end() ? nullptr : waiting->second.m_request.lock();
+    const std::map<std::uint64_t, Entry>::const_iterator entry = m_requests.find(ticket);
+    return entry == m_requests.end() ? nullptr : entry->second.m_request.lock();
 }
 
 }
--- a/Libraries/LibRelay/WaitingRequests.h
+++ b/Libraries/LibRelay/WaitingRequests.h
@@ -1,4 +1,4 @@
-/// @file Requests that wait at this process until an engine has a place for them.
+/// @file Requests that wait at this process for a free slot at an engine.
 #pragma once
 
 #include "LibHttp/EventLoop.h"
@@ -16,38 +16,38 @@
 class RelayedRequest;
 
 /**
- * One queue for each service of engines.
+ * Keeps one queue for each service with engines.
  *
- * A place that is missing now is often there within the time that callers have: engines finish requests all the time, and weights arrive a few seconds
- * after a loss of power. A refusal would use up the one return that most callers have. Requests for which no place is expected in time are given up
- * at once. Used on the loop's thread.
+ * A slot often becomes free within the time that callers have: engines continuously finish requests, and weights arrive a few seconds after a power loss. A
+ * refusal would use up the only retry that most callers have. Requests for which no slot is expected in time are rejected at once. Used on the loop's thread.
  */
 class WaitingRequests
 {
 public:
-    /// The places of a service's engines; the rest of the forecast is filled in here.
+    /// Returns the slots of a service's engines. This class fills in the rest of the forecast.
     using Forecast = std::function<Placement::QueueForecast(const std::string &service)>;
 
     WaitingRequests(Http::EventLoop &loop, Forecast forecast, Placement::QueueSettings settings);
 
-    /// Notes that a request which can be answered within its objective came in for the service.
+    /// Records the arrival of a request for the service that can be answered within its objective.
     void recordTimelyArrival(const std::string &service, Core::Instant now);
-    /// Notes whether the service has engines with weights, as a request has just found.
+    /// Records whether a request has just found engines of the service that have weights.
     void recordWeightAvailability(const std::string &service, bool hasWeights, Core::Instant now);
 
-    /// What is expected of the service's engines, with the fresh requests that keep coming and the time until there are weights.
+    /// Returns the expected capacity of the service's engines, with the rate of timely arrivals and the time until engines have weights.
     Placement::QueueForecast forecast(const std::string &service, Core::Instant now) const;
     bool isEmpty(const std::string &service) const;
     std::size_t size() const
     {
         return m_requests.size();
     }
-    /// Returns a ticket for leave(); empty if too much waits already. @p bytes: of the request's body.
-    std::optional<std::uint64_t> enqueue(const std::string &service, Placement::QueuedRequest bounds, std::size_t bytes, std::weak_ptr<RelayedRequest> request);
+    /// Adds a request and returns its ticket for remove(); empty if the queue is full. @p bytes: size of the request's body.
+    std::optional<std::uint64_t>
+    enqueue(const std::string &service, Placement::QueuedRequest deadlines, std::size_t bytes, std::weak_ptr<RelayedRequest> request);
     void remove(std::uint64_t ticket);
-    /// Sends and gives up what can be decided now.
+    /// Sends the requests for which slots are free, and rejects those for which no slot is expected in time.
     void dispatch();
-    /// Serves, since places may have become free, unless the queue was served a moment ago.
+    /// Dispatches, because slots may have become free, unless that happened a moment ago.
     void onSlotsChanged();
 
 private:
@@ -55,7 +55,7 @@
     {
         std::string m_service;
         Placement::QueuedRequest m_deadlines;
-        std::size_t m_bytes = 0; ///< Of the request's body.
+        std::size_t m_bytes = 0; ///< Size of the request's body.
         std::weak_ptr<RelayedRequest> m_request;
     };
 
@@ -65,9 +65,9 @@
         std::optional<Core::Instant> m_withoutWeightsSince; ///< Empty while some engine has weights.
     };
 
-    void serve(const std::string &service);
+    void dispatch(const std::string &service);
     void sendInOrder(const std::vector<std::uint64_t> &tickets);
-    /// Null if the request does not wait any more.
+    /// Returns the request; null if it no longer waits.
     std::shared_ptr<RelayedRequest> find(std::uint64_t ticket) const;
     void scheduleDispatch();
 
@@ -79,7 +79,7 @@
     Core::Instant m_dispatchedAt;
     std::uint64_t m_lastTicket = 0;
     std::map<std::uint64_t, Entry> m_requests; ///< By ticket.
-    std::size_t m_bytes = 0; ///< Of the bodies of m_requests.
+    std::size_t m_bytes = 0; ///< Total size of the bodies of m_requests.
     std::map<std::string, ServiceState> m_services;
 };
 
--- a/Tests/LibRelay/TestEventFramer.cpp
+++ b/Tests/LibRelay/TestEventFramer.cpp
@@ -1,10 +1,10 @@
-/// @file Whole events, each once and in order, whatever pieces they come in.
+/// @file Tests that the framer returns complete events, each once, however the stream is split.
 
 #include "LibRelay/EventFramer.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("events are passed on whole, however they are cut")
+TEST_CASE("events are returned only when they are complete, wherever the stream is split")
 {
     const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\n:note\n\n";
     for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
@@ -16,9 +16,9 @@
     }
 }
 
-TEST_CASE("half an event is dropped before another engine goes on, and nothing comes twice")
+TEST_CASE("an incomplete event is discarded before another engine continues, and no event is returned twice")
 {
-    // An engine crashes in the middle of event 3. The next engine begins a little earlier than asked; the caller must see each event once.
+    // An engine crashes in the middle of event 3, and the next engine begins with an earlier event than requested. The caller must get each event once.
     Relay::EventFramer framer;
     CHECK(framer.feed("id: 1\n\nid: 2\n\nid: 3\nda") == "id: 1\n\nid: 2\n\n");
     framer.discardPartialEvent();
@@ -26,7 +26,7 @@
     CHECK_FALSE(framer.hasGap());
 }
 
-TEST_CASE("a missing event is noticed")
+TEST_CASE("a missing event is detected")
 {
     Relay::EventFramer framer(4);
     framer.feed("id: 6\n\n");
--- a/Tests/LibRelay/TestRelay.cpp
+++ b/Tests/LibRelay/TestRelay.cpp
@@ -1,4 +1,4 @@
-/// @file The relay between callers and endpoints that misbehave, over real sockets.
+/// @file Tests of the relay with faulty endpoints, over real sockets.
 
 #include "../Support/LoopbackPeer.h"
 #include "LibHttp/Listener.h"
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Field names of these tests.
+/// Header field names of these tests.
 Relay::Dialect testDialect()
 {
     Relay::Dialect dialect;
@@ -22,13 +22,13 @@
         Relay::RequestFacts facts;
         const std::string *attempt = Http::findField(fields, "Attempt");
         const std::string *key = Http::findField(fields, "Key");
-        const std::string *patience = Http::findField(fields, "Patience");
+        const std::string *timeout = Http::findField(fields, "Patience");
         const std::string *model = Http::findField(fields, "Model");
         facts.m_attemptId = attempt ? *attempt : "";
         facts.m_key = key ? *key : "";
         facts.m_model = model ? *model : "";
-        if (patience) {
-            facts.m_timeout = Core::Duration(static_cast<std::int64_t>(*Http::parseNumber(*patience)));
+        if (timeout) {
+            facts.m_timeout = Core::Duration(static_cast<std::int64_t>(*Http::parseNumber(*timeout)));
         }
         return facts;
     };
@@ -72,28 +72,29 @@
 
 constexpr const char *RequestOfModel = "GET /read/x HTTP/1.1\r\nHost: a\r\nAttempt: 1\r\nKey: k\r\nModel: m\r\nPatience: 3000\r\n\r\n";
 
-/// A relay before scripted endpoints.
+/// A relay with scripted endpoints.
 struct RelayFixture
 {
     Http::EventLoop m_loop;
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log{STDOUT_FILENO, "test", m_metrics, Telemetry::EventLogLimits{0, 0, 0}};
     Core::Random m_random{5};
-    Fleet::FleetState m_beliefs;
-    Placement::EndpointTracker m_book;
-    Placement::RetryBudgets m_budgets{Placement::RetryBudgetSettings{}};
-    Placement::VersionDeadlines m_versions{Core::Duration(6500)};
-    Placement::ElapsedTimeEstimator m_patience;
-    Placement::SlotTracker m_ledger;
+    Fleet::FleetState m_fleetState;
+    Placement::EndpointTracker m_endpointTracker;
+    Placement::RetryBudgets m_retryBudgets{Placement::RetryBudgetSettings{}};
+    Placement::VersionDeadlines m_versionDeadlines{Core::Duration(6500)};
+    Placement::ElapsedTimeEstimator m_elapsedTimeEstimator;
+    Placement::SlotTracker m_slotTracker;
     std::vector<std::unique_ptr<ScriptedServer>> m_servers;
-    std::vector<std::string> m_requests; ///< As endpoints got them.
+    std::vector<std::string> m_requests; ///< Requests as the endpoints received them.
     std::shared_ptr<Http::ServerContext> m_context = std::make_shared<Http::ServerContext>();
     std::unique_ptr<Relay::Relay> m_relay;
     std::unique_ptr<Http::Listener> m_listener;
 
     RelayFixture()
     {
-        Relay::RelayParts parts{m_loop, m_beliefs, m_book, m_budgets, m_versions, m_patience, m_ledger, m_metrics, m_log, m_random};
+        Relay::RelayParts parts{
+            m_loop, m_fleetState, m_endpointTracker, m_retryBudgets, m_versionDeadlines, m_elapsedTimeEstimator, m_slotTracker, m_metrics, m_log, m_random};
         m_relay = std::make_unique<Relay::Relay>(parts, Relay::RelaySettings{}, testDialect());
         m_context->m_onRequest = [this](const std::shared_ptr<Http::ServerConnection> &connection, Http::ServerRequest request) {
             m_relay->handle(connection, std::move(request));
@@ -114,17 +115,17 @@
         declarations.m_configuration->m_services.resize(1);
         declarations.m_configuration->m_services[0].m_name = "desk";
         declarations.m_configuration->m_accounts = {Fleet::ClientAccount{"buyer", {"k"}, std::nullopt}};
-        m_beliefs.apply(declarations);
+        m_fleetState.apply(declarations);
     }
 
-    /// The same with a service of engines, of which none has weights yet.
+    /// Sets a configuration like configure(), but with a service of engines. None of them has weights yet.
     void configureEngines()
     {
         configure();
         Fleet::Declarations declarations;
         declarations.m_end = 2;
         declarations.m_configurationOffset = 1;
-        declarations.m_configuration = m_beliefs.configuration()->configuration();
+        declarations.m_configuration = m_fleetState.configuration()->configuration();
         declarations.m_configuration->m_version = 1;
         Fleet::EngineModel &engine = declarations.m_configuration->m_services[0].m_engine;
         engine.m_slots = 4;
@@ -134,26 +135,26 @@
         engine.m_usualAnswerTokens = 100;
         engine.m_layers = 1;
         engine.m_models = {"m"};
-        m_beliefs.apply(declarations);
+        m_fleetState.apply(declarations);
     }
 
-    /// Sends a request for the model and returns once it waits for a place.
+    /// Sends a request for the model and returns once it waits for a slot.
     void letWait(RawCaller &caller)
     {
         caller.send(RequestOfModel);
         REQUIRE(runUntil(m_loop, [this] { return m_relay->waitingRequests() == 1; }));
     }
 
-    /// Every endpoint reports that it has the weights and nothing to do.
+    /// Records a report for each endpoint that it has the weights and is idle.
     void reportWeights()
     {
         const Core::Instant now = Core::Clock::now();
         Fleet::LoadedWeights loaded;
         loaded.m_model = "m";
         loaded.m_version = 1;
-        for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_beliefs.endpoints()) {
-            m_book.recordEngineReport(entry.second.m_endpoint, Placement::EngineReport{0, 0, 1, false, {loaded}}, now);
-            m_ledger.recordReport(entry.first, Placement::ReportedSlots{4, 4, 4}, now);
+        for (const std::pair<const std::string, Fleet::KnownEndpoint> &entry : m_fleetState.endpoints()) {
+            m_endpointTracker.recordEngineReport(entry.second.m_endpoint, Placement::EngineReport{0, 0, 1, false, {loaded}}, now);
+            m_slotTracker.recordReport(entry.first, Placement::ReportedSlots{4, 4, 4}, now);
         }
     }
 
@@ -169,15 +170,16 @@
     void addAddress(const Core::Address &address)
     {
         Fleet::Endpoint endpoint;
-        endpoint.m_id = "e" + std::to_string(m_beliefs.endpoints().size());
+        endpoint.m_id = "e" + std::to_string(m_fleetState.endpoints().size());
         endpoint.m_address = address;
         endpoint.m_service = "desk";
         endpoint.m_slots = 6;
-        const Fleet::Offset offset = m_beliefs.endpointsEnd() + 1;
-        m_beliefs.apply(Fleet::EndpointChanges{offset + 1, false, {Fleet::EndpointChange{endpoint.m_id, offset, endpoint}}}, std::nullopt, Core::Clock::now());
+        const Fleet::Offset offset = m_fleetState.endpointsEnd() + 1;
+        m_fleetState.apply(
+            Fleet::EndpointChanges{offset + 1, false, {Fleet::EndpointChange{endpoint.m_id, offset, endpoint}}}, std::nullopt, Core::Clock::now());
     }
 
-    /// Sends a request and returns all that comes until @p isDone, or until the connection closes.
+    /// Sends a request and returns what was received until @p isDone returns true or the connection closes.
     std::string ask(const std::string &path, const std::function<bool(const std::string &received)> &isDone, const std::string &fields = "Key: k\r\n")
     {
         RawCaller caller(m_loop, m_listener->port());
@@ -201,9 +203,9 @@
 
 }
 
-TEST_CASE("an entry that knows no configuration says that it is unavailable, not that a route or key is unknown")
+TEST_CASE("an entry without a configuration answers that it is unavailable, not that a route or key is unknown")
 {
-    // A process that has just started and answered 404 would make callers give up for good; after 503 they come back.
+    // If a process that has just started answered 404, callers would give up for good. After 503 they retry.
     RelayFixture fixture;
     CHECK(fixture.statusOf("/read/x") == "503");
 }
@@ -217,7 +219,7 @@
     CHECK(fixture.statusOf("/read/x") == "503");
 }
 
-TEST_CASE("the endpoint gets the account of the key, and the caller the endpoint's answer")
+TEST_CASE("the endpoint receives the account of the key, and the caller receives the endpoint's answer")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -229,9 +231,9 @@
     CHECK(fixture.m_requests[0].find("GET /book/x HTTP/1.1") == 0);
 }
 
-TEST_CASE("a request that may run once is never sent again after it may have run")
+TEST_CASE("a request that may run only once is not retried after it may have run")
 {
-    // The endpoint books and its answer is lost. Sent again, the crew would come twice; told "not run", the caller would book again itself.
+    // The endpoint runs a booking, but its answer is lost. A retry would book twice, and after a "not run" answer the caller would book again itself.
     RelayFixture fixture;
     fixture.configure();
     fixture.addEndpoint([](const std::shared_ptr<ScriptedConnection> &connection) { connection->reset(); });
@@ -240,7 +242,7 @@
     CHECK(fixture.m_requests.size() == 1);
 }
 
-TEST_CASE("a status that promises not to have run is not passed on without the endpoint's own promise")
+TEST_CASE("a status that implies that the request did not run is not forwarded without the endpoint's own guarantee")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -248,7 +250,7 @@
     CHECK(fixture.statusOf("/book/x") == "502");
 }
 
-TEST_CASE("a request that an endpoint did not run goes to another one")
+TEST_CASE("a request that an endpoint did not run is sent to another one")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -262,10 +264,10 @@
     CHECK(fixture.m_requests.size() == 2);
 }
 
-TEST_CASE("endpoints that take no connection cost a request none of its attempts")
+TEST_CASE("endpoints that accept no connection do not count as attempts")
 {
-    // Several endpoints have just died and still stand in the list. The request reaches none of them, and another one has room; a refusal would send the
-    // caller away for nothing.
+    // Several endpoints have just failed and are still listed. The request reaches none of them while another endpoint has free slots, so it must not be
+    // refused.
     RelayFixture fixture;
     fixture.configure();
     constexpr std::uint16_t nobodyListens = 1;
@@ -278,9 +280,9 @@
     }
 }
 
-TEST_CASE("answers of other requests, unsealed or encoded ones never reach the caller")
+TEST_CASE("answers to other requests, unsealed answers and encoded answers are not forwarded")
 {
-    // A faulty endpoint sends the answer of an earlier request, or bytes that only look like one. The caller would take another's draft for its own.
+    // A faulty endpoint sends the answer to an earlier request, or bytes that only look like an answer. The caller could receive another caller's draft.
     const std::string bad = GENERATE("HTTP/1.1 200 OK\r\nAttempt: 2\r\nSeal: s\r\nContent-Length: 4\r\n\r\nevil",
                                      "HTTP/1.1 200 OK\r\nAttempt: 1\r\nContent-Length: 4\r\n\r\nevil",
                                      "HTTP/1.1 200 OK\r\nAttempt: 1\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\nevil",
@@ -294,7 +296,7 @@
     CHECK(received.find("evil\n") == std::string::npos);
 }
 
-TEST_CASE("a stream that breaks off in an event goes on at another endpoint, each event once")
+TEST_CASE("a stream that is interrupted within an event continues at another endpoint, with each event once")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -317,7 +319,7 @@
     CHECK(events == "1234");
 }
 
-TEST_CASE("an answer that breaks off after its head cuts the caller's connection")
+TEST_CASE("the caller's connection is closed if an answer is interrupted after its head")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -329,7 +331,7 @@
     CHECK(received.ends_with("half"));
 }
 
-TEST_CASE("a caller that leaves cancels the endpoint's work")
+TEST_CASE("the attempt at the endpoint is cancelled when the caller disconnects")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -345,7 +347,7 @@
     CHECK(runUntil(fixture.m_loop, [&fixture] { return fixture.m_relay->openRequests() == 0; }));
 }
 
-TEST_CASE("a request is given up when the caller's patience ends")
+TEST_CASE("a request fails when the caller's timeout expires")
 {
     RelayFixture fixture;
     fixture.configure();
@@ -353,10 +355,10 @@
     CHECK(fixture.statusOf("/book/x", "Key: k\r\nPatience: 80\r\n") == "504");
 }
 
-TEST_CASE("a stream that moves to another endpoint goes before requests that have not begun")
+TEST_CASE("a stream that moves to another endpoint gets the highest priority")
 {
-    // The engine of a running stream loads other weights and cuts it. At the next engine it would wait behind a queue of new requests; its caller, who is
-    // reading already, would see a pause.
+    // An engine interrupts a running stream to load other weights. If the stream queued behind new requests at the next engine, its caller, which is already
+    // reading, would see a pause.
     RelayFixture fixture;
     fixture.configure();
     const ScriptedServer::Script cutting = [](const std::shared_ptr<ScriptedConnection> &connection) {
@@ -376,9 +378,9 @@
     CHECK(fixture.m_requests[1].find("Priority: 0") != std::string::npos);
 }
 
-TEST_CASE("a request that comes before the first configuration is answered once that is known")
+TEST_CASE("a request that arrives before the first configuration is answered once the configuration is known")
 {
-    // Guards against refusing callers in the moments after a restart, when the configuration is on its way.
+    // Guards against refusing callers in the moments after a restart before the configuration has arrived.
     RelayFixture fixture;
     fixture.addEndpoint(answering(Good));
     RawCaller caller(fixture.m_loop, fixture.m_listener->port());
@@ -392,7 +394,7 @@
 
 TEST_CASE("a request waits until an engine has the weights")
 {
-    // Guards against refusing callers in the seconds in which weights arrive after a loss of power.
+    // Guards against refusing callers in the seconds in which weights arrive after a power loss.
     RelayFixture fixture;
     fixture.configureEngines();
     fixture.addEndpoint(answering(Good));
@@ -406,9 +408,9 @@
     CHECK(fixture.m_relay->waitingRequests() == 0);
 }
 
-TEST_CASE("a caller that leaves while it waits gives up its place in the queue and reaches no engine")
+TEST_CASE("a waiting request is removed from the queue and sent to no engine when its caller disconnects")
 {
-    // Guards against work for callers who are gone.
+    // Guards against work for callers that have disconnected.
     RelayFixture fixture;
     fixture.configureEngines();
     fixture.addEndpoint(answering(Good));
@@ -424,9 +426,9 @@
     CHECK(fixture.m_requests.empty());
 }
 
-TEST_CASE("a request that has too little time for any engine is refused at once, as not run")
+TEST_CASE("a request with too little time for any engine is refused at once, as not run")
 {
-    // Guards against holding callers whose answer could not end within their time.
+    // Guards against keeping callers waiting whose answer could not end within their timeout.
     RelayFixture fixture;
     fixture.configureEngines();
     fixture.addEndpoint(answering(Good));
--- a/Tests/LibRelay/TestWaitingRequests.cpp
+++ b/Tests/LibRelay/TestWaitingRequests.cpp
@@ -1,13 +1,13 @@
-/// @file Bounds of the queue of requests that wait for a place.
+/// @file Tests of the limits of the queue of requests that wait for a slot.
 
 #include "LibRelay/RelayedRequest.h"
 #include "LibRelay/WaitingRequests.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("the queue takes no more requests and no more bytes than it may")
+TEST_CASE("the queue accepts requests only up to its limits on their number and bytes")
 {
-    // Guards against a process that runs out of memory while no engine takes anything.
+    // Guards against a process that runs out of memory while no engine accepts requests.
     Http::EventLoop loop;
     Placement::QueueSettings settings;
     settings.m_maximumRequests = 2;
@@ -26,25 +26,25 @@
     CHECK(queue.isEmpty("others"));
 }
 
-TEST_CASE("a burst of reports is acted upon once")
+TEST_CASE("a burst of reports causes one dispatch per minimum interval")
 {
-    // Guards against a process that does nothing but look at its queue again while hundreds of engines report.
+    // Guards against a process that spends all its time on dispatching its queue while hundreds of engines report.
     constexpr std::size_t reports = 300;
     Http::EventLoop loop;
-    std::size_t looks = 0;
+    std::size_t dispatches = 0;
     Relay::WaitingRequests queue(
         loop,
-        [&looks](const std::string &) {
-            ++looks;
+        [&dispatches](const std::string &) {
+            ++dispatches;
             return Placement::QueueForecast{};
         },
         Placement::QueueSettings{});
     REQUIRE(queue.enqueue("models", Placement::QueuedRequest{}, 0, {}));
-    const Core::Instant begun = Core::Clock::now();
+    const Core::Instant startedAt = Core::Clock::now();
     for (std::size_t report = 0; report < reports; ++report) {
         queue.onSlotsChanged();
     }
-    const std::int64_t spans = (Core::Clock::now() - begun) / Core::Duration(10);
-    CHECK(looks >= 1);
-    CHECK(looks <= static_cast<std::size_t>(spans) + 1);
+    const std::int64_t intervals = (Core::Clock::now() - startedAt) / Core::Duration(10);
+    CHECK(dispatches >= 1);
+    CHECK(dispatches <= static_cast<std::size_t>(intervals) + 1);
 }
