--- a/Libraries/LibFleet/Configuration.cpp
+++ b/Libraries/LibFleet/Configuration.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the look-ups over a configuration.
+/// @file Implementation of the configuration index.
 
 #include "LibFleet/Configuration.h"
 
--- a/Libraries/LibFleet/Endpoint.cpp
+++ b/Libraries/LibFleet/Endpoint.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the statements about endpoints.
+/// @file Implementation of the functions for endpoints.
 
 #include "LibFleet/Endpoint.h"
 
--- a/Libraries/LibFleet/Endpoint.h
+++ b/Libraries/LibFleet/Endpoint.h
@@ -1,4 +1,4 @@
-/// @file Endpoints as they register themselves: who, where, which weights, and whether they leave.
+/// @file Endpoints as they register themselves: identity, address, loaded weights and whether they are leaving.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -10,7 +10,7 @@
 
 namespace Fleet {
 
-/// Consecutive layers of a model.
+/// A range of consecutive layers of a model.
 struct LayerRange
 {
     std::uint32_t m_first = 0;
@@ -26,26 +26,26 @@
 {
     std::string m_model;
     std::uint64_t m_version = 0;
-    std::vector<LayerRange> m_layers; ///< Empty if the engine lists none; it has them all then.
+    std::vector<LayerRange> m_layers; ///< Empty if the engine lists no layers, which means that it has all of them.
 
     bool operator==(const LoadedWeights &) const = default;
 
     MSGPACK_DEFINE_ARRAY(m_model, m_version, m_layers);
 };
 
-/// Whether every one of the model's @p layers is loaded. An engine with fewer cannot answer alone.
+/// Returns whether all @p layers layers of the model are loaded. An engine with fewer cannot answer alone.
 bool holdsEveryLayer(const LoadedWeights &weights, std::uint32_t layers);
 
-/// One start of an endpoint. An id may come back with a later start, which knows nothing of the one before.
+/// One incarnation of an endpoint. A later incarnation may have the same id and keeps no state of the earlier one.
 struct Endpoint
 {
     std::string m_id;
-    std::uint64_t m_startedMilliseconds = 0; ///< Unix time of its start; tells incarnations of one id apart.
+    std::uint64_t m_startedMilliseconds = 0; ///< Unix time of its start; distinguishes the incarnations of one id.
     Core::Address m_address;
     std::string m_failureDomain;
     std::string m_service;
-    std::uint32_t m_slots = 0; ///< Requests that run at once.
-    bool m_isLeaving = false; ///< It takes no new work. Stays true for an incarnation.
+    std::uint32_t m_slots = 0; ///< Maximum number of requests that run at the same time.
+    bool m_isLeaving = false; ///< The endpoint accepts no new work. Stays true for the rest of the incarnation.
     std::vector<LoadedWeights> m_weights; ///< Empty for plain services, and for engines that hold no model.
 
     bool operator==(const Endpoint &) const = default;
--- a/Libraries/LibFleet/EndpointIndex.cpp
+++ b/Libraries/LibFleet/EndpointIndex.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the index of endpoints.
+/// @file Implementation of the endpoint index.
 
 #include "LibFleet/EndpointIndex.h"
 
--- a/Libraries/LibFleet/EndpointIndex.h
+++ b/Libraries/LibFleet/EndpointIndex.h
@@ -1,4 +1,4 @@
-/// @file Endpoints by the address at which they listen.
+/// @file Index of endpoints by the address at which they listen.
 #pragma once
 
 #include "LibFleet/FleetState.h"
@@ -9,14 +9,14 @@
 
 namespace Fleet {
 
-/// Finds the endpoints that a report is about. Used by one thread.
+/// Finds the endpoints that a report refers to. Used by one thread.
 class EndpointIndex
 {
 public:
-    /// Replaces the index, since endpoints have come, gone or changed.
+    /// Rebuilds the index after endpoints were added, removed or changed.
     void rebuild(const std::map<std::string, KnownEndpoint> &endpoints);
 
-    /// Ids of the endpoints at the address: more than one while the entry of an earlier start still stands.
+    /// Returns the ids of the endpoints at the address. There is more than one while the entry of an earlier incarnation still exists.
     const std::vector<std::string> &idsAt(const Core::Address &address) const;
 
 private:
--- a/Libraries/LibFleet/FleetState.cpp
+++ b/Libraries/LibFleet/FleetState.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the beliefs.
+/// @file Implementation of the fleet state.
 
 #include "LibFleet/FleetState.h"
 
@@ -37,8 +37,10 @@
 namespace {
 
 /**
- * An engine that was killed leaves its entry behind for three heartbeats, while its successor at the same address has entered itself. Requests for the old
- * one are turned away by the new one, and for as long much of what callers send is refused.
+ * Returns whether @p later is a restart of @p earlier: an endpoint of the same service that has started later at the same address under another id.
+ *
+ * The entry of a killed engine expires only after three heartbeats, while its successor at the same address has already registered. The successor refuses
+ * requests for the old id, so until then many requests of callers would be refused.
  */
 bool replaces(const Endpoint &later, const Endpoint &earlier)
 {
@@ -60,7 +62,7 @@
     std::erase_if(m_endpoints, [&endpoint](const std::pair<const std::string, KnownEndpoint> &entry) { return replaces(endpoint, entry.second.m_endpoint); });
 }
 
-bool FleetState::applyChange(const EndpointChange &change, std::optional<Core::Instant> regainedAt)
+bool FleetState::applyChange(const EndpointChange &change, std::optional<Core::Instant> recoveredAt)
 {
     const std::map<std::string, KnownEndpoint>::iterator known = m_endpoints.find(change.m_id);
     if (known != m_endpoints.end() && change.m_offset <= known->second.m_offset) {
@@ -70,13 +72,13 @@
         if (known == m_endpoints.end()) {
             return false;
         }
-        if (!regainedAt) {
+        if (!recoveredAt) {
             m_endpoints.erase(known);
             return true;
         }
         known->second.m_offset = change.m_offset;
         const bool isNew = !known->second.m_missingSince;
-        known->second.m_missingSince = isNew ? *regainedAt : *known->second.m_missingSince;
+        known->second.m_missingSince = isNew ? *recoveredAt : *known->second.m_missingSince;
         return isNew;
     }
     if (known == m_endpoints.end()) {
@@ -92,29 +94,29 @@
     if (next.m_startedMilliseconds < before.m_startedMilliseconds) {
         return false;
     }
-    // A late heartbeat from before the leaving must not bring the endpoint back.
+    // A late heartbeat that was sent before the endpoint began to leave must not make it available again.
     next.m_isLeaving = next.m_isLeaving || (before.m_isLeaving && before.m_startedMilliseconds == next.m_startedMilliseconds);
     const bool isChanged = next != before || known->second.m_missingSince;
     known->second = KnownEndpoint{std::move(next), change.m_offset, std::nullopt};
     return isChanged;
 }
 
-bool FleetState::removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt)
+bool FleetState::removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> recoveredAt)
 {
-    std::set<std::string> named;
+    std::set<std::string> listedIds;
     for (const EndpointChange &change : changes.m_changes) {
-        named.insert(change.m_id);
+        listedIds.insert(change.m_id);
     }
     bool isChanged = false;
     for (std::map<std::string, KnownEndpoint>::iterator it = m_endpoints.begin(); it != m_endpoints.end();) {
         const bool isNewer = it->second.m_offset >= changes.m_end;
-        if (isNewer || named.contains(it->first)) {
+        if (isNewer || listedIds.contains(it->first)) {
             ++it;
             continue;
         }
-        if (regainedAt) {
+        if (recoveredAt) {
             if (!it->second.m_missingSince) {
-                it->second.m_missingSince = regainedAt;
+                it->second.m_missingSince = recoveredAt;
                 isChanged = true;
             }
             ++it;
@@ -136,21 +138,21 @@
     return true;
 }
 
-FleetStateUpdate FleetState::apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now)
+FleetStateUpdate FleetState::apply(const EndpointChanges &changes, std::optional<Core::Instant> recoveredAt, Core::Instant now)
 {
     FleetStateUpdate update;
-    if (changes.m_isSnapshot && changes.m_end >= m_endpointsEnd && removeUnlisted(changes, regainedAt)) {
+    if (changes.m_isSnapshot && changes.m_end >= m_endpointsEnd && removeUnlisted(changes, recoveredAt)) {
         update.m_endpoints = true;
         m_endpointsRevisionOffset = std::max(m_endpointsRevisionOffset, changes.m_revisionOffset > 0 ? changes.m_revisionOffset : changes.m_end);
     }
     for (const EndpointChange &change : changes.m_changes) {
-        // Records before the end were taken already, so one about an endpoint that is not here is about one that has gone.
+        // Records before the end have already been applied, so an old record of an unknown endpoint is about one that was removed.
         const bool isOld = change.m_offset < m_endpointsEnd && !m_endpoints.contains(change.m_id);
         if (isOld) {
             continue;
         }
-        const bool isChanged = applyChange(change, regainedAt);
-        if (markMissing(change, regainedAt.value_or(now)) || isChanged) {
+        const bool isChanged = applyChange(change, recoveredAt);
+        if (markMissing(change, recoveredAt.value_or(now)) || isChanged) {
             update.m_endpoints = true;
             m_endpointsRevisionOffset = std::max(m_endpointsRevisionOffset, changes.m_revisionOffset > 0 ? changes.m_revisionOffset : change.m_offset + 1);
         }
--- a/Libraries/LibFleet/FleetState.h
+++ b/Libraries/LibFleet/FleetState.h
@@ -1,4 +1,4 @@
-/// @file What a process believes about the fleet, and the one rule by which it changes: only towards newer records.
+/// @file The state of the fleet as known to one process. A record is applied only if it is newer than the known one.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -15,32 +15,33 @@
 
 namespace Fleet {
 
-/// Position in the log of declarations or of endpoints. Never repeats and never falls.
+/// Position in the log of declarations or of endpoints. Strictly increases with each record.
 using Offset = std::uint64_t;
 
-/// A version of a model's weights that the operators want on every engine.
+/// A version of a model's weights that operators have declared for every engine.
 struct DeclaredWeights
 {
     std::string m_model;
     std::uint64_t m_version = 0;
-    Offset m_offset = 0; ///< Of its record, which serves as the fencing token of orders.
+    Offset m_offset = 0; ///< Offset of its record, which serves as the fencing token of orders.
 
     bool operator==(const DeclaredWeights &) const = default;
 
     MSGPACK_DEFINE_ARRAY(m_model, m_version, m_offset);
 };
 
-/// What the operators have declared up to an offset.
+/// The operators' declarations up to an offset.
 struct Declarations
 {
-    Offset m_end = 0; ///< Every record before this offset is reflected here; 0 if nothing was ever read.
+    Offset m_end = 0; ///< All records before this offset have been applied; 0 if nothing was ever read.
     std::optional<Configuration> m_configuration;
     Offset m_configurationOffset = 0;
-    std::vector<DeclaredWeights> m_weights; ///< One for each model.
+    std::vector<DeclaredWeights> m_weights; ///< One element for each model.
 
     bool operator==(const Declarations &) const = default;
 
-    /// Grows with each newer configuration, and is 0 only if there is none: the first record of a log has offset 0.
+    /// Returns the offset after the configuration's record, or 0 if there is none. It increases with each newer configuration. The record's own offset would
+    /// not do, because the first record of a log has offset 0.
     std::uint64_t configurationRevisionOffset() const
     {
         return m_configuration ? m_configurationOffset + 1 : 0;
@@ -55,7 +56,7 @@
     std::string m_id;
     Offset m_offset = 0;
     std::optional<Endpoint> m_endpoint; ///< Empty if the entry was removed.
-    bool m_isMissing = false; ///< A peer knows the endpoint, but its entry is gone for an unclear reason.
+    bool m_isMissing = false; ///< From a peer: the endpoint is known, but its entry is gone, possibly only because of a log outage.
 
     bool operator==(const EndpointChange &) const = default;
 
@@ -65,11 +66,11 @@
 /// Records of the list of endpoints, in order.
 struct EndpointChanges
 {
-    Offset m_end = 0; ///< Where the next read begins.
-    bool m_isSnapshot = false; ///< The newest record of every endpoint; one that is not named is gone.
+    Offset m_end = 0; ///< Offset at which the next read begins.
+    bool m_isSnapshot = false; ///< The changes hold the newest record of every endpoint. Endpoints that are not named have been removed.
     std::vector<EndpointChange> m_changes;
-    Offset m_revisionOffset = 0; ///< From a peer: see Beliefs::endpointsMark().
-    /// From a peer: the time for which the list has been within its reach again, if entries may still be missing since then although their endpoints live.
+    Offset m_revisionOffset = 0; ///< From a peer: see FleetState::endpointsRevisionOffset().
+    /// From a peer: the time since it could read the list again after an outage, as long as entries of live endpoints may still be missing because of it.
     std::optional<std::uint64_t> m_millisecondsSinceRecovery;
 
     bool operator==(const EndpointChanges &) const = default;
@@ -77,7 +78,7 @@
     MSGPACK_DEFINE_ARRAY(m_end, m_isSnapshot, m_changes, m_revisionOffset, m_millisecondsSinceRecovery);
 };
 
-/// Which parts of the beliefs a record changed.
+/// The parts of the fleet state that an update has changed.
 struct FleetStateUpdate
 {
     bool m_configuration = false;
@@ -90,34 +91,34 @@
     }
 };
 
-/// An endpoint together with what is known of its entry in the list.
+/// An endpoint together with the state of its entry in the list.
 struct KnownEndpoint
 {
     Endpoint m_endpoint;
-    Offset m_offset = 0; ///< Of the newest record about it.
-    /// Its entry is gone, for a reason that may be the list's own outage: when the list came back, from which on the entry should have done so too.
+    Offset m_offset = 0; ///< Offset of the newest record about it.
+    /// Set if its entry is gone, possibly only because of an outage of the list: the time from which on the grace period for its return counts.
     std::optional<Core::Instant> m_missingSince;
 };
 
 /**
- * The beliefs of one process. Used by one thread.
+ * The state of the fleet as known to one process. Used by one thread.
  *
- * Every record carries an offset, and an older one never replaces a newer one, whichever way it came. Without this rule an instance that was
- * cut off would bring its peers back to a configuration that the operators have replaced; callers would notice revoked keys that work again.
+ * Every record carries an offset, and an older record never replaces a newer one, whether it was read from the log or received from a peer. Without this
+ * rule an instance that was partitioned could return its peers to a configuration that the operators have replaced, and revoked keys would work again.
  */
 class FleetState
 {
 public:
-    /// Takes declarations read from the log or told by a peer.
+    /// Applies declarations that were read from the log or received from a peer.
     FleetStateUpdate apply(const Declarations &declarations);
 
     /**
-     * Takes records of the list of endpoints. @p regainedAt: when the list came within reach again, if that is so short ago that entries may have
-     * lapsed although their endpoints live; their time to come back counts from then.
+     * Applies records of the list of endpoints. @p recoveredAt: when the list became reachable again after an outage, if entries of live endpoints may still be
+     * missing because of it. The grace period for their return counts from then.
      */
-    FleetStateUpdate apply(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt, Core::Instant now);
+    FleetStateUpdate apply(const EndpointChanges &changes, std::optional<Core::Instant> recoveredAt, Core::Instant now);
 
-    /// Lets go of endpoints whose entries have not come back within @p grace.
+    /// Removes endpoints whose entries have been missing for longer than @p grace.
     FleetStateUpdate removeMissing(Core::Duration grace, Core::Instant now);
 
     const Declarations &declarations() const
@@ -133,28 +134,30 @@
     {
         return m_endpoints;
     }
+    /// Returns the offset at which the next read of the list of endpoints begins.
     Offset endpointsEnd() const
     {
         return m_endpointsEnd;
     }
     /**
-     * End of the newest record that changed more than the time of an endpoint's last sign of life. Who knows the list up to the same mark knows all
-     * that matters of it, though the list grows by many records a second.
+     * Returns the offset after the newest record that changed more than the time of an endpoint's last heartbeat. Two processes with the same value know the
+     * same endpoints, although heartbeats add many records per second to the list.
      */
     Offset endpointsRevisionOffset() const
     {
         return m_endpointsRevisionOffset;
     }
-    /// All endpoints as changes that a peer can apply.
+    /// Returns all endpoints as changes that a peer can apply.
     EndpointChanges endpointSnapshot() const;
+    /// Returns the declared version of the model; null if there is none.
     const DeclaredWeights *declaredWeights(const std::string &model) const;
 
 private:
-    bool applyChange(const EndpointChange &change, std::optional<Core::Instant> regainedAt);
-    /// Whether another endpoint of the service has started later at the same address: this one is no more, though its entry still stands.
+    bool applyChange(const EndpointChange &change, std::optional<Core::Instant> recoveredAt);
+    /// Returns whether another endpoint of the service has started later at the same address, so that this one has ended although its entry still exists.
     bool isReplaced(const Endpoint &endpoint) const;
     void removeReplacedBy(const Endpoint &endpoint);
-    bool removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> regainedAt);
+    bool removeUnlisted(const EndpointChanges &changes, std::optional<Core::Instant> recoveredAt);
 
     Declarations m_declarations;
     std::shared_ptr<const ConfigurationIndex> m_configurationIndex;
--- a/Tests/LibFleet/TestConfiguration.cpp
+++ b/Tests/LibFleet/TestConfiguration.cpp
@@ -1,4 +1,4 @@
-/// @file Look-ups of routes, accounts and services.
+/// @file Tests of the lookup of routes and accounts, and of the derived service properties.
 
 #include "LibFleet/Configuration.h"
 
@@ -19,7 +19,7 @@
 
 }
 
-TEST_CASE("the longest prefix of the host wins")
+TEST_CASE("the route with the longest matching prefix of the host is chosen")
 {
     Fleet::Configuration configuration;
     configuration.m_routes = {route("short", "/a/"), route("long", "/a/b/")};
@@ -30,7 +30,7 @@
     CHECK(index.route("other.example", "/a/x") == nullptr);
 }
 
-TEST_CASE("a key names its account and nobody else's")
+TEST_CASE("a key is found only for the account that holds it")
 {
     Fleet::Configuration configuration;
     configuration.m_accounts = {Fleet::ClientAccount{"one", {"k1", "k2"}, 0}, Fleet::ClientAccount{"two", {"k3"}, std::nullopt}};
@@ -40,7 +40,7 @@
     CHECK(index.accountOfKey("k4") == nullptr);
 }
 
-TEST_CASE("requests of a service may move only if every route to it allows that")
+TEST_CASE("requests of a service may move only if every route to it allows it")
 {
     Fleet::Configuration configuration;
     Fleet::Route stream = route("stream", "/a/", Fleet::RequestKind::Stream);
--- a/Tests/LibFleet/TestEndpointIndex.cpp
+++ b/Tests/LibFleet/TestEndpointIndex.cpp
@@ -1,4 +1,4 @@
-/// @file Endpoints are found by the address at which they listen.
+/// @file Tests of the lookup of endpoints by address.
 
 #include "LibFleet/EndpointIndex.h"
 
@@ -16,7 +16,7 @@
 
 }
 
-TEST_CASE("every endpoint at an address is found, also the one that started there before")
+TEST_CASE("all endpoints at an address are found, including one of an earlier start")
 {
     Fleet::EndpointIndex index;
     index.rebuild({{"a", listening("a", 1)}, {"b", listening("b", 1)}, {"c", listening("c", 2)}});
@@ -25,9 +25,9 @@
     CHECK(index.idsAt(Core::Address{"127.0.0.2", 1}).empty());
 }
 
-TEST_CASE("an endpoint that has gone or moved is not found where it was")
+TEST_CASE("an endpoint that was removed or has moved is not found at its old address")
 {
-    // Guards against reports that are booked on an endpoint which has left the address.
+    // Guards against reports that are recorded for an endpoint that has left the address.
     Fleet::EndpointIndex index;
     index.rebuild({{"a", listening("a", 1)}, {"b", listening("b", 2)}});
     index.rebuild({{"b", listening("b", 3)}});
--- a/Tests/LibFleet/TestFleetState.cpp
+++ b/Tests/LibFleet/TestFleetState.cpp
@@ -1,4 +1,4 @@
-/// @file Beliefs only move towards newer records, whatever order they come in.
+/// @file Tests that the fleet state applies only newer records, in whatever order they arrive.
 
 #include "LibFleet/FleetState.h"
 
@@ -41,131 +41,131 @@
 
 }
 
-TEST_CASE("the first record of a log counts as a configuration")
+TEST_CASE("a configuration in the first record of a log is recognized")
 {
-    // A log numbers its records from 0. A process that took mark 0 for "none known" told nobody of a configuration at offset 0, so processes beside
-    // engines never learned what to load and joining engines stayed empty.
-    Fleet::FleetState beliefs;
-    CHECK(beliefs.declarations().configurationRevisionOffset() == 0);
-    CHECK(beliefs.apply(configurationAt(0, 3)).m_configuration);
-    CHECK(beliefs.declarations().configurationRevisionOffset() == 1);
+    // Guards against treating offset 0, which the first record of a log has, as "no configuration". Such a configuration would not be passed on to agents,
+    // so they would never learn which weights to load and joining engines would stay empty.
+    Fleet::FleetState state;
+    CHECK(state.declarations().configurationRevisionOffset() == 0);
+    CHECK(state.apply(configurationAt(0, 3)).m_configuration);
+    CHECK(state.declarations().configurationRevisionOffset() == 1);
 }
 
 TEST_CASE("an older configuration never replaces a newer one")
 {
-    // A peer that was cut off comes back and hands out what it knew. Callers would see a revoked key work again.
-    Fleet::FleetState beliefs;
-    beliefs.apply(configurationAt(7, 30));
-    CHECK_FALSE(beliefs.apply(configurationAt(5, 20)).any());
-    CHECK(beliefs.configuration()->configuration().m_version == 30);
-    CHECK(beliefs.apply(configurationAt(9, 40)).m_configuration);
+    // Guards against a peer that was partitioned and then sends its outdated configuration. Revoked keys would work again.
+    Fleet::FleetState state;
+    state.apply(configurationAt(7, 30));
+    CHECK_FALSE(state.apply(configurationAt(5, 20)).any());
+    CHECK(state.configuration()->configuration().m_version == 30);
+    CHECK(state.apply(configurationAt(9, 40)).m_configuration);
 }
 
-TEST_CASE("declared weights only rise")
+TEST_CASE("an older declared version never replaces a newer one")
 {
-    Fleet::FleetState beliefs;
+    Fleet::FleetState state;
     Fleet::Declarations declarations;
     declarations.m_weights = {Fleet::DeclaredWeights{"draft", 3, 9}};
-    CHECK(beliefs.apply(declarations).m_weights);
+    CHECK(state.apply(declarations).m_weights);
     declarations.m_weights = {Fleet::DeclaredWeights{"draft", 2, 8}};
-    CHECK_FALSE(beliefs.apply(declarations).any());
-    CHECK(beliefs.declaredWeights("draft")->m_version == 3);
-    CHECK(beliefs.declaredWeights("other") == nullptr);
+    CHECK_FALSE(state.apply(declarations).any());
+    CHECK(state.declaredWeights("draft")->m_version == 3);
+    CHECK(state.declaredWeights("other") == nullptr);
 }
 
-TEST_CASE("an endpoint that leaves stays leaving for its incarnation")
+TEST_CASE("a leaving endpoint stays leaving for the rest of its incarnation")
 {
-    // A heartbeat that was under way when the endpoint announced its leaving arrives later. New requests would go to an endpoint that exits.
-    Fleet::FleetState beliefs;
+    // Guards against a heartbeat that was sent before the endpoint began to leave and arrives later. New requests would go to an endpoint that exits.
+    Fleet::FleetState state;
     Fleet::Endpoint leaving = endpoint("a");
     leaving.m_isLeaving = true;
-    beliefs.apply(entry(leaving, 4), std::nullopt, Start);
-    beliefs.apply(entry(endpoint("a"), 5), std::nullopt, Start);
-    CHECK(beliefs.endpoints().at("a").m_endpoint.m_isLeaving);
+    state.apply(entry(leaving, 4), std::nullopt, Start);
+    state.apply(entry(endpoint("a"), 5), std::nullopt, Start);
+    CHECK(state.endpoints().at("a").m_endpoint.m_isLeaving);
 
-    beliefs.apply(entry(endpoint("a", 2), 6), std::nullopt, Start);
-    CHECK_FALSE(beliefs.endpoints().at("a").m_endpoint.m_isLeaving);
+    state.apply(entry(endpoint("a", 2), 6), std::nullopt, Start);
+    CHECK_FALSE(state.endpoints().at("a").m_endpoint.m_isLeaving);
 }
 
 TEST_CASE("a record of an earlier incarnation is ignored")
 {
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a", 9), 4), std::nullopt, Start);
-    CHECK_FALSE(beliefs.apply(entry(endpoint("a", 8), 5), std::nullopt, Start).any());
-    CHECK(beliefs.endpoints().at("a").m_endpoint.m_startedMilliseconds == 9);
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a", 9), 4), std::nullopt, Start);
+    CHECK_FALSE(state.apply(entry(endpoint("a", 8), 5), std::nullopt, Start).any());
+    CHECK(state.endpoints().at("a").m_endpoint.m_startedMilliseconds == 9);
 }
 
-TEST_CASE("an entry that lapses while the list is away is kept until it is still missing after its return")
+TEST_CASE("an endpoint whose entry expires during a log outage is removed only if the entry is still missing after the grace period")
 {
-    // While the log is down engines cannot renew their entries, which lapse together. Taken for dead, the whole fleet would be refused to callers
-    // at the moment at which the log comes back.
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
-    beliefs.apply(entry(endpoint("b"), 2), std::nullopt, Start);
-    beliefs.apply(removal("a", 3), Start, Start);
-    beliefs.apply(removal("b", 4), Start, Start);
-    CHECK(beliefs.endpoints().size() == 2);
+    // While the log is down engines cannot renew their entries, so all entries expire together. If the endpoints were removed at once, all requests would be
+    // refused when the log becomes reachable again.
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a"), 1), std::nullopt, Start);
+    state.apply(entry(endpoint("b"), 2), std::nullopt, Start);
+    state.apply(removal("a", 3), Start, Start);
+    state.apply(removal("b", 4), Start, Start);
+    CHECK(state.endpoints().size() == 2);
 
-    beliefs.apply(entry(endpoint("a"), 5), std::nullopt, Start + Core::Duration(1500));
-    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
-    CHECK(beliefs.endpoints().contains("a"));
-    CHECK_FALSE(beliefs.endpoints().contains("b"));
+    state.apply(entry(endpoint("a"), 5), std::nullopt, Start + Core::Duration(1500));
+    state.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
+    CHECK(state.endpoints().contains("a"));
+    CHECK_FALSE(state.endpoints().contains("b"));
 }
 
-TEST_CASE("an entry that is removed shortly after an outage has no more time to come back than those that lapsed in it")
+TEST_CASE("the grace period of an entry that is removed shortly after an outage counts from the end of the outage")
 {
-    // Guards against requests to an engine that left without a notice once the list was back: entries that live are back two seconds after that.
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
+    // Guards against requests to an engine that left without notice after the outage. Entries of live engines are back two seconds after its end.
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     const Core::Instant removedAt = Start + Core::Duration(2000);
-    beliefs.apply(removal("a", 2), Start, removedAt);
-    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2400));
-    CHECK(beliefs.endpoints().contains("a"));
-    beliefs.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
-    CHECK_FALSE(beliefs.endpoints().contains("a"));
+    state.apply(removal("a", 2), Start, removedAt);
+    state.removeMissing(Core::Duration(2500), Start + Core::Duration(2400));
+    CHECK(state.endpoints().contains("a"));
+    state.removeMissing(Core::Duration(2500), Start + Core::Duration(2600));
+    CHECK_FALSE(state.endpoints().contains("a"));
 }
 
-TEST_CASE("an entry that is removed while the list is well is gone at once")
+TEST_CASE("an endpoint whose entry is removed without an outage is removed at once")
 {
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
-    CHECK(beliefs.apply(removal("a", 2), std::nullopt, Start).m_endpoints);
-    CHECK(beliefs.endpoints().empty());
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a"), 1), std::nullopt, Start);
+    CHECK(state.apply(removal("a", 2), std::nullopt, Start).m_endpoints);
+    CHECK(state.endpoints().empty());
 }
 
-TEST_CASE("a snapshot drops what it does not name, but nothing that is newer")
+TEST_CASE("a snapshot removes the endpoints that it does not name unless they are newer")
 {
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("old"), 1), std::nullopt, Start);
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("old"), 1), std::nullopt, Start);
     Fleet::EndpointChanges snapshot = entry(endpoint("kept"), 5);
     snapshot.m_isSnapshot = true;
-    beliefs.apply(snapshot, std::nullopt, Start);
-    CHECK_FALSE(beliefs.endpoints().contains("old"));
-    CHECK(beliefs.endpoints().contains("kept"));
+    state.apply(snapshot, std::nullopt, Start);
+    CHECK_FALSE(state.endpoints().contains("old"));
+    CHECK(state.endpoints().contains("kept"));
 
-    beliefs.apply(entry(endpoint("new"), 9), std::nullopt, Start);
+    state.apply(entry(endpoint("new"), 9), std::nullopt, Start);
     Fleet::EndpointChanges late = entry(endpoint("kept"), 5);
     late.m_isSnapshot = true;
-    beliefs.apply(late, std::nullopt, Start);
-    CHECK(beliefs.endpoints().contains("new"));
+    state.apply(late, std::nullopt, Start);
+    CHECK(state.endpoints().contains("new"));
 }
 
-TEST_CASE("a peer's snapshot does not bring an endpoint back that has gone")
+TEST_CASE("a peer's snapshot does not restore an endpoint that was removed")
 {
     Fleet::FleetState source;
     source.apply(entry(endpoint("a"), 1), std::nullopt, Start);
-    const Fleet::EndpointChanges told = source.endpointSnapshot();
+    const Fleet::EndpointChanges snapshot = source.endpointSnapshot();
 
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a"), 1), std::nullopt, Start);
-    beliefs.apply(removal("a", 2), std::nullopt, Start);
-    beliefs.apply(told, std::nullopt, Start);
-    CHECK(beliefs.endpoints().empty());
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a"), 1), std::nullopt, Start);
+    state.apply(removal("a", 2), std::nullopt, Start);
+    state.apply(snapshot, std::nullopt, Start);
+    CHECK(state.endpoints().empty());
 }
 
-TEST_CASE("the mark of the list grows with what matters, and equally for everybody")
+TEST_CASE("the revision offset of the list ignores heartbeats and is the same at every peer")
 {
-    // The list grows by a record for each sign of life. If a peer's further reading counted as news, everybody would ask everybody for it all the time.
+    // Each heartbeat adds a record to the list. If these records counted as updates, all processes would constantly request the list from each other.
     Fleet::FleetState reader;
     reader.apply(entry(endpoint("a"), 1), std::nullopt, Start);
     CHECK(reader.endpointsRevisionOffset() == 2);
@@ -182,9 +182,9 @@
     CHECK(peer.endpoints().at("a").m_endpoint.m_isLeaving);
 }
 
-TEST_CASE("a peer hands on that an endpoint is missing from the list")
+TEST_CASE("a snapshot from a peer says which endpoints are missing from the list")
 {
-    // An engine leaves without a notice while the log is away. An entry that has its list from a peer must pass it over just as the peer does.
+    // An engine leaves without notice while the log is down. An entry that receives the list from a peer must avoid the engine as the peer does.
     Fleet::FleetState reader;
     Fleet::FleetState peer;
     reader.apply(entry(endpoint("a"), 1), std::nullopt, Start);
@@ -197,30 +197,30 @@
     CHECK(peer.endpointsRevisionOffset() == reader.endpointsRevisionOffset());
 }
 
-TEST_CASE("an engine that started again at its address replaces the one before, whichever entry is read first")
+TEST_CASE("an engine that restarts at its address replaces the earlier one, whichever record is read first")
 {
-    // All machines lose power. The engines are back under new ids within a second, but their old entries stand until they lapse; many requests went
-    // to engines that are no more and were refused.
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("old", 100), 1), std::nullopt, Start);
-    beliefs.apply(entry(endpoint("new", 200), 2), std::nullopt, Start);
-    CHECK_FALSE(beliefs.endpoints().contains("old"));
-    CHECK(beliefs.endpoints().contains("new"));
-    // A late sign of life of the old one, and a list that names it last.
-    beliefs.apply(entry(endpoint("old", 100), 3), std::nullopt, Start);
-    CHECK_FALSE(beliefs.endpoints().contains("old"));
+    // After a power loss of all instances the engines return under new ids within a second, while their old entries exist until they expire. Guards against
+    // sending requests to the old ids, which would be refused.
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("old", 100), 1), std::nullopt, Start);
+    state.apply(entry(endpoint("new", 200), 2), std::nullopt, Start);
+    CHECK_FALSE(state.endpoints().contains("old"));
+    CHECK(state.endpoints().contains("new"));
+    // A late heartbeat of the old engine, as in a list that names it last.
+    state.apply(entry(endpoint("old", 100), 3), std::nullopt, Start);
+    CHECK_FALSE(state.endpoints().contains("old"));
 
-    // Another service may get the address of an engine that has gone; the two are told apart by their ids.
+    // An endpoint of another service may get the address of an engine that has ended; their ids distinguish them.
     Fleet::Endpoint other = endpoint("other", 300);
     other.m_service = "portal";
-    beliefs.apply(entry(other, 4), std::nullopt, Start);
-    CHECK(beliefs.endpoints().contains("new"));
+    state.apply(entry(other, 4), std::nullopt, Start);
+    CHECK(state.endpoints().contains("new"));
 }
 
-TEST_CASE("endpoints that state no time of their start replace nobody")
+TEST_CASE("endpoints without a start time do not replace others")
 {
-    Fleet::FleetState beliefs;
-    beliefs.apply(entry(endpoint("a", 0), 1), std::nullopt, Start);
-    beliefs.apply(entry(endpoint("b", 0), 2), std::nullopt, Start);
-    CHECK(beliefs.endpoints().size() == 2);
+    Fleet::FleetState state;
+    state.apply(entry(endpoint("a", 0), 1), std::nullopt, Start);
+    state.apply(entry(endpoint("b", 0), 2), std::nullopt, Start);
+    CHECK(state.endpoints().size() == 2);
 }
