--- a/Libraries/LibStaging/AgentProcess.cpp
+++ b/Libraries/LibStaging/AgentProcess.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Core::Duration TickInterval{250}; ///< Logs are flushed so often.
-constexpr std::size_t AdminConnections = 16;
-constexpr Core::Duration UnusedBound{8000}; ///< Agents route nothing; they only pass on how old declarations are.
+constexpr Core::Duration TickInterval{250}; ///< Interval at which buffered log lines are flushed.
+constexpr std::size_t MaximumAdminConnections = 16;
+constexpr Core::Duration UnusedVersionBound{8000}; ///< Never applied: agents route no requests and only pass on the age of declarations.
 
 Follow::FollowerSettings followerSettings()
 {
@@ -45,19 +45,19 @@
     , m_adapter(std::move(adapter))
     , m_log(STDOUT_FILENO, m_settings.m_instance, m_metrics)
     , m_random(Core::freshSeed(m_settings.m_instance))
-    , m_versions(UnusedBound)
+    , m_versions(UnusedVersionBound)
     , m_node(Gossip::nodeSettings(m_settings.m_peers), m_metrics)
-    , m_gossip(Gossip::GossipParts{m_loop, m_node, m_beliefs, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
-    , m_follower(Follow::FollowerParts{m_loop, m_beliefs, m_versions, m_metrics, m_log, m_random},
+    , m_gossip(Gossip::GossipParts{m_loop, m_node, m_fleetState, m_versions, m_metrics, m_log, m_random}, m_settings.m_gossip, makeSelf())
+    , m_follower(Follow::FollowerParts{m_loop, m_fleetState, m_versions, m_metrics, m_log, m_random},
                  followerSettings(),
                  m_adapter.m_makeRecordSource(m_loop, m_settings.m_log, m_metrics))
     , m_transfer(transferParts(m_settings, m_adapter, m_node, m_metrics))
     , m_engine(m_adapter.m_makeEngineControl(m_loop, m_settings.m_engine))
     , m_manifests(m_loop, m_node, m_engine.m_fetchManifest)
-    , m_weightsManager(WeightsManagerParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, m_settings.m_weightsManager, engineControl())
+    , m_weightsManager(WeightsManagerParts{m_loop, m_fleetState, m_versions, m_transfer, m_metrics, m_log}, m_settings.m_weightsManager, engineControl())
     , m_admin(m_settings.m_admin, m_metrics)
     , m_adminContext(std::make_shared<Http::ServerContext>())
-    , m_adminListener(m_loop, m_settings.m_admin, m_adminContext, AdminConnections)
+    , m_adminListener(m_loop, m_settings.m_admin, m_adminContext, MaximumAdminConnections)
     , m_signals(m_loop)
     , m_tickTimer(m_loop)
     , m_startedAt(Core::Clock::now())
@@ -122,7 +122,7 @@
     m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
     m_gossip.onMembersChanged([this] { onMembersChanged(); });
     m_follower.onUpdate([this](const Fleet::FleetStateUpdate &) { m_weightsManager.onFleetStateChanged(); });
-    m_weightsManager.onStatus([this](const EngineStatus &status, bool isAway, bool isChange) { onEngineStatus(status, isAway, isChange); });
+    m_weightsManager.onStatus([this](const EngineStatus &status, bool isUnavailable, bool isChange) { onEngineStatus(status, isUnavailable, isChange); });
     BOOST_OUTCOME_TRYV(m_node.start());
     m_transfer.start();
     BOOST_OUTCOME_TRYV(m_gossip.start());
@@ -165,19 +165,19 @@
     m_loop.stop();
 }
 
-void AgentProcess::onEngineStatus(const EngineStatus &status, bool isAway, bool isChange)
+void AgentProcess::onEngineStatus(const EngineStatus &status, bool isUnavailable, bool isChange)
 {
-    Gossip::EngineUpdate news;
-    news.m_address = m_settings.m_engine;
-    news.m_startedMilliseconds = status.m_startedMilliseconds;
-    news.m_report.m_running = status.m_running;
-    news.m_report.m_waiting = status.m_waiting;
-    news.m_report.m_pace = status.m_pace;
-    news.m_report.m_isLoading = status.m_isBusy || isAway;
-    news.m_report.m_weights = status.m_weights;
-    // Entries admit requests by these reports.
-    const Gossip::ReportUrgency usual = m_weightsManager.isNearlyFull() ? Gossip::ReportUrgency::Prompt : Gossip::ReportUrgency::Regular;
-    m_gossip.setEngineUpdate(std::move(news), isChange ? Gossip::ReportUrgency::Critical : usual);
+    Gossip::EngineUpdate update;
+    update.m_address = m_settings.m_engine;
+    update.m_startedMilliseconds = status.m_startedMilliseconds;
+    update.m_report.m_running = status.m_running;
+    update.m_report.m_waiting = status.m_waiting;
+    update.m_report.m_pace = status.m_pace;
+    update.m_report.m_isLoading = status.m_isBusy || isUnavailable;
+    update.m_report.m_weights = status.m_weights;
+    // Entries decide on admission by these reports, so a nearly full engine is reported sooner.
+    const Gossip::ReportUrgency urgency = m_weightsManager.isNearlyFull() ? Gossip::ReportUrgency::Prompt : Gossip::ReportUrgency::Regular;
+    m_gossip.setEngineUpdate(std::move(update), isChange ? Gossip::ReportUrgency::Critical : urgency);
 }
 
 void AgentProcess::onMembersChanged()
@@ -191,9 +191,9 @@
 void AgentProcess::tick()
 {
     const std::optional<Core::Duration> silence = m_gossip.timeSinceEntryHeartbeat();
-    const Core::Duration alone = silence ? *silence : std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_startedAt);
-    if (alone > m_settings.m_entrySilenceLimit && !m_follower.isStarted()) {
-        m_log.write(Telemetry::LogLine("no_entry_heard").number("for_ms", static_cast<std::int64_t>(alone.count())));
+    const Core::Duration entrySilence = silence ? *silence : std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_startedAt);
+    if (entrySilence > m_settings.m_entrySilenceLimit && !m_follower.isStarted()) {
+        m_log.write(Telemetry::LogLine("no_entry_heard").number("for_ms", static_cast<std::int64_t>(entrySilence.count())));
         m_follower.start();
     }
     m_log.flush();
--- a/Libraries/LibStaging/AgentProcess.h
+++ b/Libraries/LibStaging/AgentProcess.h
@@ -1,4 +1,4 @@
-/// @file The process beside an engine: weights, orders and reports.
+/// @file The agent process: loads weights into the engine beside it and reports the engine's state.
 #pragma once
 
 #include "LibFollow/Follower.h"
@@ -12,7 +12,7 @@
 
 namespace Staging {
 
-/// What an adapter supplies for the place where the agent runs.
+/// Functions supplied by the adapter for the platform on which the agent runs.
 struct AgentAdapter
 {
     std::function<Follow::RecordSource(Http::EventLoop &loop, const Core::Address &log, Telemetry::Metrics &metrics)> m_makeRecordSource;
@@ -20,15 +20,15 @@
     Transfer::OriginDialect m_originDialect;
 };
 
-/// Runs on the thread that calls run(), and on those of the node and the transfer.
+/// Runs on the thread that calls run(); the node and the transfer manager have threads of their own.
 class AgentProcess
 {
 public:
     AgentProcess(AgentSettings settings, AgentAdapter adapter);
 
-    /// Runs until the process has been told to end. 0 if all went well.
+    /// Runs until the process receives SIGTERM or SIGINT. Returns 0 on success.
     int run();
-    /// Called with SIGHUP: reads the settings again.
+    /// Sets the callback that reads the settings again. It is called on SIGHUP.
     void onReload(std::function<std::optional<AgentSettings>()> reload);
 
 private:
@@ -36,11 +36,11 @@
     void awaitSignals();
     void reload();
     void stop();
-    void onEngineStatus(const EngineStatus &status, bool isAway, bool isChange);
+    void onEngineStatus(const EngineStatus &status, bool isUnavailable, bool isChange);
     void onMembersChanged();
     void tick();
     Gossip::Member makeSelf() const;
-    /// The engine as the keeper sees it: manifests may come from other agents.
+    /// Returns the engine's control for the weights manager. Manifests may be fetched from other agents instead of the origin.
     EngineControl engineControl();
 
     const AgentSettings m_settings;
@@ -49,7 +49,7 @@
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log;
     Core::Random m_random;
-    Fleet::FleetState m_beliefs;
+    Fleet::FleetState m_fleetState;
     Placement::VersionDeadlines m_versions;
     Wire::Node m_node;
     Gossip::GossipService m_gossip;
--- a/Libraries/LibStaging/AgentSettings.cpp
+++ b/Libraries/LibStaging/AgentSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the agent's settings.
+/// @file Reads the agent's settings.
 
 #include "LibStaging/AgentSettings.h"
 
@@ -8,17 +8,18 @@
 
 constexpr double BytesPerMegabit = 1e6 / 8;
 /**
- * Parts of the instance's link that weights may use, and how much of them may be under way. The engine's answers leave over the same link: an event
- * that waits behind a chunk of 48 KiB is 42 ms late on 9.4 Mbit/s, and behind a few of them its stream is late.
+ * Shares of the instance's link that weight transfers may use, and the number of bytes that they may send in one burst. The engine's answers use the same link:
+ * an event that waits behind a chunk of 48 KiB is 42 ms late at 9.4 Mbit/s, and behind several chunks its stream is late.
  */
 constexpr double UploadShare = 0.9;
 constexpr double DownloadShare = 0.95;
 constexpr std::uint64_t BurstBytes = 16 << 10;
-/// Chunks that are asked for ahead: enough to keep the link busy while a request waits at an uploader, few enough that answers are not held up.
-constexpr std::uint32_t ChunksAhead = 5;
+/// Chunks requested from peers concurrently: enough to keep the link busy while a request is queued at an uploader, few enough not to delay the engine's
+/// answers.
+constexpr std::uint32_t ConcurrentPeerRequests = 5;
 /**
- * Requests that wait at an uploader of one slot; it refuses more, and who asked goes elsewhere. At 46 ms a chunk the last of twelve waits for half a second
- * (worked out), while other uploaders are idle. The last of 99 replicas was whole after 3.22 s or more with twelve, after 2.85 and 3.01 s with four.
+ * Requests queued at an uploader with one slot. Further requests are refused, and the requester asks another peer. At 46 ms a chunk, the last of twelve queued
+ * requests would wait for half a second while other uploaders are idle.
  */
 constexpr std::uint32_t QueuedUploads = 4;
 
@@ -36,7 +37,7 @@
     settings.m_transfer.m_uploadBytesPerSecond = static_cast<std::uint64_t>(megabits * BytesPerMegabit * UploadShare);
     settings.m_transfer.m_downloadBytesPerSecond = static_cast<std::uint64_t>(megabits * BytesPerMegabit * DownloadShare);
     settings.m_transfer.m_burstBytes = BurstBytes;
-    settings.m_transfer.m_concurrentPeerRequests = ChunksAhead;
+    settings.m_transfer.m_concurrentPeerRequests = ConcurrentPeerRequests;
     settings.m_transfer.m_uploadSlots = 1;
     settings.m_transfer.m_queuedUploads = QueuedUploads;
     settings.m_transfer.m_memoryMebibytes = static_cast<std::uint32_t>(section.integer("weights_mebibytes", 1, 1 << 20, 48));
--- a/Libraries/LibStaging/AgentSettings.h
+++ b/Libraries/LibStaging/AgentSettings.h
@@ -10,14 +10,14 @@
 
 struct AgentSettings
 {
-    std::string m_instance; ///< Name of the instance.
+    std::string m_instance; ///< Identifier of the instance.
     std::string m_region;
     std::string m_failureDomain;
-    Core::Address m_peers; ///< Where other processes of the system are answered.
-    Core::Address m_admin; ///< Metrics, state dump and health.
-    Core::Address m_log; ///< The platform's log.
-    Core::Address m_engine; ///< The engine on this instance.
-    Core::Duration m_entrySilenceLimit{5000}; ///< Without a word from any entry for so long the log is read directly.
+    Core::Address m_peers; ///< Listening address for other processes of the system.
+    Core::Address m_admin; ///< Listening address for metrics, state dump and health checks.
+    Core::Address m_log; ///< Address of the platform's log.
+    Core::Address m_engine; ///< Address of the engine on this instance.
+    Core::Duration m_entrySilenceLimit{5000}; ///< After this long without a message from any entry, the agent reads the log directly.
     WeightsManagerSettings m_weightsManager;
     Gossip::GossipSettings m_gossip;
     Transfer::TransferSettings m_transfer;
--- a/Libraries/LibStaging/ChunkIteration.cpp
+++ b/Libraries/LibStaging/ChunkIteration.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the sweep over chunks.
+/// @file Implementation of the iteration over chunks.
 
 #include "LibStaging/ChunkIteration.h"
 
@@ -9,49 +9,49 @@
 
 namespace {
 
-/// Lives as long as a step that has not ended refers to it.
-struct Sweep : std::enable_shared_from_this<Sweep>
+/// State of one iteration. Kept alive by the callbacks of steps that have not ended.
+struct Iteration : std::enable_shared_from_this<Iteration>
 {
     std::vector<Weights::ChunkIndex> m_chunks;
-    std::size_t m_begun = 0; ///< At most the number of chunks.
-    std::size_t m_ended = 0; ///< At most m_begun.
+    std::size_t m_startedCount = 0; ///< At most the number of chunks.
+    std::size_t m_endedCount = 0; ///< At most m_startedCount.
     ChunkStep m_step;
-    std::function<void()> m_finished;
+    std::function<void()> m_onFinished;
 
-    void beginNext()
+    void startNext()
     {
-        if (m_begun == m_chunks.size()) {
+        if (m_startedCount == m_chunks.size()) {
             return;
         }
-        const Weights::ChunkIndex chunk = m_chunks[m_begun++];
-        m_step(chunk, [self = shared_from_this()] { self->stepEnded(); });
+        const Weights::ChunkIndex chunk = m_chunks[m_startedCount++];
+        m_step(chunk, [self = shared_from_this()] { self->onStepEnded(); });
     }
 
-    void stepEnded()
+    void onStepEnded()
     {
-        if (++m_ended == m_chunks.size()) {
-            m_finished();
+        if (++m_endedCount == m_chunks.size()) {
+            m_onFinished();
             return;
         }
-        beginNext();
+        startNext();
     }
 };
 
 }
 
-void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished)
+void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t maximumConcurrent, ChunkStep step, std::function<void()> finished)
 {
     if (chunks.empty()) {
         finished();
         return;
     }
-    const std::shared_ptr<Sweep> sweep = std::make_shared<Sweep>();
-    sweep->m_chunks = std::move(chunks);
-    sweep->m_step = std::move(step);
-    sweep->m_finished = std::move(finished);
-    const std::size_t first = std::min(std::max<std::size_t>(atOnce, 1), sweep->m_chunks.size());
+    const std::shared_ptr<Iteration> iteration = std::make_shared<Iteration>();
+    iteration->m_chunks = std::move(chunks);
+    iteration->m_step = std::move(step);
+    iteration->m_onFinished = std::move(finished);
+    const std::size_t first = std::min(std::max<std::size_t>(maximumConcurrent, 1), iteration->m_chunks.size());
     for (std::size_t count = 0; count < first; ++count) {
-        sweep->beginNext();
+        iteration->startNext();
     }
 }
 
--- a/Libraries/LibStaging/ChunkIteration.h
+++ b/Libraries/LibStaging/ChunkIteration.h
@@ -1,4 +1,4 @@
-/// @file One asynchronous step for each of several chunks, a few at a time.
+/// @file Runs an asynchronous step for each of several chunks with bounded concurrency.
 #pragma once
 
 #include "LibWeights/Manifest.h"
@@ -8,14 +8,15 @@
 
 namespace Staging {
 
-/// Begins the step for one chunk; calls @p done once when it has ended, or never if the whole sweep is to be dropped.
+/// Starts the step for one chunk. Must call @p done exactly once when the step has ended, or never to abandon the whole iteration.
 using ChunkStep = std::function<void(Weights::ChunkIndex chunk, const std::function<void()> &done)>;
 
 /**
- * Calls @p step for every chunk, at most @p atOnce of them at the same time, and @p finished after the last one has ended.
+ * Calls @p step for every chunk, with at most @p maximumConcurrent steps in progress, and calls @p finished after the last step has ended.
  *
- * Each call to an engine opens a connection, which takes longer than the bytes. One after the other 48 chunks took 0.14 s, in which the engine is away.
+ * Each call to an engine opens a connection, which takes longer than transferring the bytes. Processing 48 chunks sequentially takes 0.14 s, during which the
+ * engine is unavailable.
  */
-void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t atOnce, ChunkStep step, std::function<void()> finished);
+void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t maximumConcurrent, ChunkStep step, std::function<void()> finished);
 
 }
--- a/Libraries/LibStaging/EngineControl.h
+++ b/Libraries/LibStaging/EngineControl.h
@@ -1,4 +1,4 @@
-/// @file What the agent needs of the engine beside it. Supplied by the adapter of the place where the agent runs.
+/// @file The operations that the agent needs of its engine. The platform's adapter supplies them.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -10,34 +10,34 @@
 
 namespace Staging {
 
-/// An engine as it reports itself.
+/// State of an engine, as reported by the engine.
 struct EngineStatus
 {
-    std::uint64_t m_startedMilliseconds = 0; ///< Incarnation of the engine.
+    std::uint64_t m_startedMilliseconds = 0; ///< Start time of the engine in milliseconds; identifies its incarnation. 0 if the engine does not report it.
     std::vector<Fleet::LoadedWeights> m_weights;
-    bool m_isBusy = false; ///< An order is under way.
-    std::uint64_t m_acceptedOrders = 0; ///< Orders that it has accepted since its start.
+    bool m_isBusy = false; ///< The engine is executing a load order.
+    std::uint64_t m_acceptedOrders = 0; ///< Number of load orders that the engine has accepted since its start.
     std::uint32_t m_running = 0;
     std::uint32_t m_waiting = 0;
-    double m_pace = 1; ///< Over 1 means slower than stated.
+    double m_pace = 1; ///< Slowdown factor: 1 is the stated speed, larger values are slower.
 
     bool operator==(const EngineStatus &) const = default;
 };
 
-/// What becomes of the requests that an engine is running when it is told to load.
+/// How an engine treats its running requests when it receives a load order.
 enum class RunningRequestPolicy {
-    Finish, ///< They end first; the engine takes nothing new meanwhile.
-    Abort, ///< They break off, and the engine loads at once.
+    Finish, ///< Running requests finish first; meanwhile the engine accepts no new requests.
+    Abort, ///< Running requests are aborted, and the engine loads immediately.
 };
 
-/// Tells the engine to load what is staged.
+/// Orders the engine to load the staged weights.
 struct LoadOrder
 {
     std::string m_model;
     std::uint64_t m_version = 0;
-    RunningRequests m_runningRequestPolicy = RunningRequests::Finish;
-    std::uint64_t m_fence = 0; ///< Offset of the declaration; engines that check refuse lower ones than seen.
-    std::uint64_t m_expectedAcceptedOrders = 0; ///< The order counts only if the engine has accepted as many before.
+    RunningRequestPolicy m_runningRequestPolicy = RunningRequestPolicy::Finish;
+    std::uint64_t m_fence = 0; ///< Log offset of the declaration. Engines that check it refuse an offset lower than the highest one seen.
+    std::uint64_t m_expectedAcceptedOrders = 0; ///< The engine accepts the order only if it has accepted exactly this many orders before.
 
     bool operator==(const LoadOrder &) const = default;
 };
@@ -46,8 +46,8 @@
 using Done = std::function<void(Core::Result<T>)>;
 
 /**
- * Asynchronous; each call back comes exactly once, on the loop's thread. Errors of load(): Conflict if the order does not fit the engine's state
- * or a newer one was given, Ambiguous if it may have been accepted.
+ * Asynchronous operations. Each callback is called exactly once, on the event loop's thread. m_load fails with Conflict if the order does not match the
+ * engine's state or a newer order was accepted, and with Ambiguous if the order may have been accepted.
  */
 struct EngineControl
 {
@@ -56,7 +56,7 @@
     std::function<void(const std::string &model, Weights::ChunkIndex chunk, Done<std::string>)> m_readStagedChunk;
     std::function<void(const std::string &model, Weights::ChunkIndex chunk, const std::string &bytes, Done<void>)> m_stageChunk;
     std::function<void(const LoadOrder &order, Done<void>)> m_load;
-    /// Asks the origin for the manifest of a version.
+    /// Reads the manifest of a version from the origin.
     std::function<void(const Core::Address &origin, const std::string &model, std::uint64_t version, Done<Weights::Manifest>)> m_fetchManifest;
 };
 
--- a/Libraries/LibStaging/LoadSchedule.cpp
+++ b/Libraries/LibStaging/LoadSchedule.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the turns.
+/// @file Implementation of the load schedule.
 
 #include "LibStaging/LoadSchedule.h"
 
@@ -11,14 +11,14 @@
 std::size_t loadRank(const std::string &self, const std::vector<std::string> &others, std::uint64_t version)
 {
     const std::string key = std::to_string(version);
-    const std::uint64_t own = Core::rendezvousWeight(key, self);
+    const std::uint64_t ownWeight = Core::rendezvousWeight(key, self);
     return static_cast<std::size_t>(
-        std::count_if(others.begin(), others.end(), [&key, own](const std::string &other) { return Core::rendezvousWeight(key, other) > own; }));
+        std::count_if(others.begin(), others.end(), [&key, ownWeight](const std::string &other) { return Core::rendezvousWeight(key, other) > ownWeight; }));
 }
 
-Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration head, const LoadScheduleSettings &settings)
+Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration lead, const LoadScheduleSettings &settings)
 {
-    const Core::Duration last = std::max(Core::Duration(0), settings.m_lastDelay - head);
+    const Core::Duration last = std::max(Core::Duration(0), settings.m_lastDelay - lead);
     const Core::Duration first = std::min(settings.m_firstDelay, last);
     if (count < 2) {
         return first;
--- a/Libraries/LibStaging/LoadSchedule.h
+++ b/Libraries/LibStaging/LoadSchedule.h
@@ -1,4 +1,4 @@
-/// @file When each engine of a service changes to a new version: computed by every agent alike, with nothing to agree on.
+/// @file The schedule by which the engines of a service load a new version. Every agent computes it independently; no coordination is needed.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -10,25 +10,31 @@
 namespace Staging {
 
 /**
- * An engine that changes versions takes nothing new until its running requests have ended and the new weights are loaded. If all changed at once
- * the service would stop for that time, and callers would be refused; one after the other, only a share is away at any time.
+ * Load times of the first and the last engine, as delays after the declaration of a version.
+ *
+ * An engine that changes versions accepts no new requests until its running requests have ended and the new weights are loaded. If all engines did so at the
+ * same time, the service would be unavailable and callers would be refused. With staggered load times only a share of the engines is unavailable at any time.
  */
 struct LoadScheduleSettings
 {
-    /// After the declaration: shortly before most agents hold a whole version. Those whose turn is earlier would all change as soon as theirs is whole.
+    /// Delay of the first engine: shortly before most agents hold a complete version. With a shorter delay, the engines scheduled earlier would all load as
+    /// soon as their version is complete.
     Core::Duration m_firstDelay{2900};
-    Core::Duration m_lastDelay{6300}; ///< The same for the last: from its order on an engine begins nothing on the old version, for which the bound is 8 s.
+    /// Delay of the last engine. Once its load order is sent, an engine starts no request on the old version; the deadline for this is 8 s.
+    Core::Duration m_lastDelay{6300};
 
     bool operator==(const LoadScheduleSettings &) const = default;
 };
 
-/// Place of @p self among the agents of its service, in an order that depends on the version.
+/// Returns the rank of @p self among the agents of its service. The order depends on the version.
 std::size_t loadRank(const std::string &self, const std::vector<std::string> &others, std::uint64_t version);
 
 /**
- * Time from a version's acceptance until the turn of the agent at @p rank of @p count. @p head: how much earlier the oldest version was accepted that
- * the engine has not reached either; that one's bound comes first, so the turns move closer together.
+ * Returns the time from a version's acceptance until the load time of the agent at rank @p rank of @p count.
+ *
+ * @p lead: how much earlier the oldest version that the engine has not loaded either was accepted. The deadline of that version comes first, so the load times
+ * move closer together.
  */
-Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration head, const LoadScheduleSettings &settings);
+Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration lead, const LoadScheduleSettings &settings);
 
 }
--- a/Libraries/LibStaging/ManifestSharing.cpp
+++ b/Libraries/LibStaging/ManifestSharing.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the sharing of manifests.
+/// @file Implementation of manifest sharing.
 
 #include "LibStaging/ManifestSharing.h"
 
@@ -22,23 +22,23 @@
 }
 
 std::optional<Core::Address>
-manifestSource(const std::string &self, const std::vector<Gossip::Member> &others, const ModelVersion &version, std::size_t originAskers)
+manifestSource(const std::string &self, const std::vector<Gossip::Member> &others, const ModelVersion &version, std::size_t originFetchers)
 {
     const std::string key = version.m_model + "/" + std::to_string(version.m_version);
-    const std::uint64_t own = Core::rendezvousWeight(key, self);
-    std::vector<std::pair<std::uint64_t, const Gossip::Member *>> before;
+    const std::uint64_t ownWeight = Core::rendezvousWeight(key, self);
+    std::vector<std::pair<std::uint64_t, const Gossip::Member *>> rankedBefore;
     for (const Gossip::Member &other : others) {
         const std::uint64_t weight = Core::rendezvousWeight(key, other.m_id);
-        if (weight > own) {
-            before.emplace_back(weight, &other);
+        if (weight > ownWeight) {
+            rankedBefore.emplace_back(weight, &other);
         }
     }
-    if (before.size() < originAskers) {
+    if (rankedBefore.size() < originFetchers) {
         return std::nullopt;
     }
-    const std::ptrdiff_t asked = static_cast<std::ptrdiff_t>(before.size() % originAskers);
-    std::nth_element(before.begin(), before.begin() + asked, before.end(), std::greater<>());
-    return before[static_cast<std::size_t>(asked)].second->m_peers;
+    const std::ptrdiff_t sourceRank = static_cast<std::ptrdiff_t>(rankedBefore.size() % originFetchers);
+    std::nth_element(rankedBefore.begin(), rankedBefore.begin() + sourceRank, rankedBefore.end(), std::greater<>());
+    return rankedBefore[static_cast<std::size_t>(sourceRank)].second->m_peers;
 }
 
 ManifestSharing::ManifestSharing(Http::EventLoop &loop, Wire::Node &node, OriginFetch askOrigin, ManifestSharingSettings settings)
@@ -63,9 +63,9 @@
             call.m_responder.fail(version.error());
             return;
         }
-        boost::asio::post(m_loop, [this, alive, asked = version.value(), responder = call.m_responder] {
+        boost::asio::post(m_loop, [this, alive, requested = version.value(), responder = call.m_responder] {
             if (*alive) {
-                handleRequest(asked, responder);
+                handleRequest(requested, responder);
             }
         });
     });
@@ -78,7 +78,7 @@
         responder.reply(known->second);
         return;
     }
-    // Agents learn of a version at slightly different times.
+    // Agents learn of a version at slightly different times, so a version that is unknown now may become known soon.
     std::erase_if(m_waiters, [](const Waiter &waiter) { return waiter.m_responder.isCancelled(); });
     if (m_waiters.size() >= m_settings.m_maximumWaiters) {
         responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "give manifest", "", "too many wait"));
--- a/Libraries/LibStaging/ManifestSharing.h
+++ b/Libraries/LibStaging/ManifestSharing.h
@@ -1,4 +1,4 @@
-/// @file How the agents of a service get the manifest of a version without all of them asking the origin.
+/// @file Distributes manifests among the agents of a service, so that only a few agents read them from the origin.
 #pragma once
 
 #include "LibGossip/Membership.h"
@@ -15,15 +15,15 @@
 
 struct ManifestSharingSettings
 {
-    std::size_t m_originFetchers = 16; ///< Agents that ask the origin at once; it takes some dozens of connections from the whole fleet.
-    Core::Duration m_peerTimeout{400}; ///< After it an agent that asked a peer asks the origin: many times what an answer takes.
-    std::size_t m_maximumWaiters = 1024; ///< Peers that wait for manifests which are not known here yet.
-    std::uint64_t m_keptVersionsPerModel = 4; ///< Of each model.
+    std::size_t m_originFetchers = 16; ///< Agents that read from the origin concurrently. The origin accepts only a few dozen connections from the whole fleet.
+    Core::Duration m_peerTimeout{400}; ///< After this time an agent that asked a peer reads from the origin instead. Many times the usual response time.
+    std::size_t m_maximumWaiters = 1024; ///< Limit on requests from peers that wait for manifests not yet known here.
+    std::uint64_t m_keptVersionsPerModel = 4; ///< Number of versions kept for each model.
 
     bool operator==(const ManifestSharingSettings &) const = default;
 };
 
-/// A version of a model.
+/// Identifies a version of a model.
 struct ModelVersion
 {
     std::string m_model;
@@ -35,18 +35,20 @@
 };
 
 /**
- * The agent that @p self asks for the manifest of a version; empty if it asks the origin. @p others: the other agents of the service. All agents rank each
- * other alike: the first ones ask the origin, and the rest are dealt out among these.
+ * Returns the agent from which @p self requests the manifest of a version, or nothing if @p self reads it from the origin. @p others: the other agents of the
+ * service.
+ *
+ * Every agent computes the same ranking. The first @p originFetchers agents read from the origin; the others are distributed evenly among them.
  */
 std::optional<Core::Address>
-manifestSource(const std::string &self, const std::vector<Gossip::Member> &others, const ModelVersion &version, std::size_t originAskers);
+manifestSource(const std::string &self, const std::vector<Gossip::Member> &others, const ModelVersion &version, std::size_t originFetchers);
 
 /**
- * Fetches manifests from the origin or from another agent, and hands them on.
+ * Fetches manifests from the origin or from another agent, and serves them to other agents.
  *
- * The chunks of a version leave the origin about once, but if each agent of a large service asked for the manifest itself, their connections alone would
- * shut the draws out. A peer is asked once for each version: one that has no answer may be cut off, and what it gave may be spoilt. Used on the loop's
- * thread, but for the node's handler.
+ * Each chunk of a version is read from the origin about once. If every agent of a large service also read the manifest from the origin, these connections alone
+ * would block the chunk downloads. A peer is asked only once for each version: if it does not respond it may be unreachable, and the manifest that it sent may
+ * be corrupt. All methods must be called on the event loop's thread; the node's handler may run on another thread.
  */
 class ManifestSharing
 {
@@ -59,10 +61,11 @@
     ManifestSharing(const ManifestSharing &) = delete;
     ManifestSharing &operator=(const ManifestSharing &) = delete;
 
-    /// Registers the method staging.manifest; before the node is started.
+    /// Registers the method staging.manifest. Must be called before the node is started.
     void registerMethod();
-    /// Tells who the other agents of the service are.
+    /// Sets the other agents of the service.
     void setAgents(const std::string &self, std::vector<Gossip::Member> others);
+    /// Fetches a manifest and calls @p done with it, or with the error of the origin. The first fetch of a version may ask a peer.
     void fetch(const Core::Address &origin, const ModelVersion &version, Done<Weights::Manifest> done);
 
 private:
@@ -83,9 +86,9 @@
     const ManifestSharingSettings m_settings;
     std::string m_self;
     std::vector<Gossip::Member> m_otherAgents;
-    std::map<ModelVersion, std::string> m_manifests; ///< Those asked for here, with the encoded manifest; empty until it is known.
-    std::vector<Waiter> m_waiters; ///< At most m_mostWaiting.
-    std::shared_ptr<bool> m_isAlive; ///< False once the object is gone; answers can outlive it.
+    std::map<ModelVersion, std::string> m_manifests; ///< Encoded manifests of the versions requested here; empty until the manifest is known.
+    std::vector<Waiter> m_waiters; ///< At most m_maximumWaiters elements.
+    std::shared_ptr<bool> m_isAlive; ///< Set to false by the destructor. Callbacks can outlive the object.
 };
 
 }
--- a/Libraries/LibStaging/WeightsManager.cpp
+++ b/Libraries/LibStaging/WeightsManager.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the keeper.
+/// @file Implementation of the weights manager.
 
 #include "LibStaging/WeightsManager.h"
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr Core::Duration TransferLook{25}; ///< Between looks at a transfer: a fraction of a chunk's time on the slowest link.
-constexpr Core::Duration OrderSettles{600}; ///< Several looks: a report that was under way when the order was given says nothing about it.
-constexpr std::uint64_t FirstVersion = 1; ///< Of a model for which nothing has been declared.
+constexpr Core::Duration TransferPollInterval{25}; ///< Poll interval of a transfer: a fraction of the time that a chunk takes on the slowest link.
+constexpr Core::Duration OrderSettleTime{600}; ///< Several polls. A status requested before the order was sent does not reflect the order.
+constexpr std::uint64_t FirstVersion = 1; ///< Version of a model for which no version has been declared.
 
 std::string stepName(int step)
 {
@@ -64,7 +64,7 @@
 
 void WeightsManager::onFleetStateChanged()
 {
-    const Fleet::Service *origin = m_parts.m_beliefs.configuration() ? m_parts.m_beliefs.configuration()->origin() : nullptr;
+    const Fleet::Service *origin = m_parts.m_fleetState.configuration() ? m_parts.m_fleetState.configuration()->origin() : nullptr;
     if (origin) {
         m_parts.m_transfer.setOrigin(*origin->m_origin);
     }
@@ -94,9 +94,9 @@
 
 bool WeightsManager::isNearlyFull() const
 {
-    constexpr double nearlyFull = 0.75; // Of the slots: from here on a burst of a few requests queues.
-    const Fleet::Service *own = ownService();
-    return m_status && own && m_status->m_running + m_status->m_waiting >= own->m_engine.m_slots * nearlyFull;
+    constexpr double nearlyFullShare = 0.75; // Share of the slots. Above it a burst of a few requests is queued.
+    const Fleet::Service *service = ownService();
+    return m_status && service && m_status->m_running + m_status->m_waiting >= service->m_engine.m_slots * nearlyFullShare;
 }
 
 Core::Duration WeightsManager::statusPollInterval() const
@@ -133,7 +133,7 @@
         m_parts.m_log.write(line);
     }
     if (isOtherEngine) {
-        // A new engine knows nothing of orders, and what was read from the stage may be gone.
+        // A new engine has accepted no orders, and the chunks found in the old engine's staging area may be gone.
         ++m_run;
         preserveManifest();
         m_target.reset();
@@ -146,7 +146,7 @@
     advance();
 }
 
-/// The manifest is the same for the engine that comes next. The origin may be away by then, while every chunk is here or at other agents.
+/// Keeps the manifest of the target for the next engine. By then the origin may be unreachable, although every chunk is held here or by other agents.
 void WeightsManager::preserveManifest()
 {
     if (m_target && m_manifest && !m_nextTarget) {
@@ -157,24 +157,24 @@
 
 const Fleet::Service *WeightsManager::ownService() const
 {
-    return m_parts.m_beliefs.configuration() ? m_parts.m_beliefs.configuration()->service(m_settings.m_service) : nullptr;
+    return m_parts.m_fleetState.configuration() ? m_parts.m_fleetState.configuration()->service(m_settings.m_service) : nullptr;
 }
 
 std::optional<TargetVersion> WeightsManager::wantedTarget() const
 {
-    const Fleet::Service *own = ownService();
-    if (!own || own->m_engine.m_models.empty()) {
+    const Fleet::Service *service = ownService();
+    if (!service || service->m_engine.m_models.empty()) {
         return std::nullopt;
     }
-    const std::string &model = own->m_engine.m_models.front();
-    const Fleet::DeclaredWeights *declared = m_parts.m_beliefs.declaredWeights(model);
+    const std::string &model = service->m_engine.m_models.front();
+    const Fleet::DeclaredWeights *declared = m_parts.m_fleetState.declaredWeights(model);
     return declared ? TargetVersion{model, declared->m_version, declared->m_offset} : TargetVersion{model, FirstVersion, 0};
 }
 
 bool WeightsManager::hasLoadedTarget() const
 {
-    const Fleet::Service *own = ownService();
-    const std::uint32_t layers = own ? own->m_engine.m_layers : 0;
+    const Fleet::Service *service = ownService();
+    const std::uint32_t layers = service ? service->m_engine.m_layers : 0;
     return m_status && m_target && std::any_of(m_status->m_weights.begin(), m_status->m_weights.end(), [this, layers](const Fleet::LoadedWeights &loaded) {
                return loaded.m_model == m_target->m_model && loaded.m_version >= m_target->m_version && Fleet::holdsEveryLayer(loaded, layers);
            });
@@ -199,9 +199,9 @@
 void WeightsManager::runAfter(Core::Duration pause, std::uint64_t run, std::function<void()> action)
 {
     const std::shared_ptr<Http::Timer> timer = std::make_shared<Http::Timer>(m_parts.m_loop, pause);
-    timer->async_wait([this, alive = m_isAlive, run, timer, act = std::move(action)](const boost::system::error_code &error) {
+    timer->async_wait([this, alive = m_isAlive, run, timer, callback = std::move(action)](const boost::system::error_code &error) {
         if (*alive && !error && isCurrentRun(run)) {
-            act();
+            callback();
         }
     });
 }
@@ -225,7 +225,7 @@
         return;
     }
     if (m_step == Step::Idle && m_target && !hasLoadedTarget()) {
-        // It restarted between two looks and holds nothing; an engine that states no time of its start shows it by this alone.
+        // The engine restarted between two polls and holds no weights. If it does not report its start time, only the missing weights reveal this.
         beginTarget(TargetVersion(*m_target));
         return;
     }
@@ -233,8 +233,8 @@
         enterStep(Step::Idle);
         return;
     }
-    if (m_step == Step::Loading && !m_status->m_isBusy && Core::Clock::now() - m_orderSentAt > OrderSettles) {
-        // The order was accepted, or its answer lost, and the engine neither loads nor has the version: start over from the stage.
+    if (m_step == Step::Loading && !m_status->m_isBusy && Core::Clock::now() - m_orderSentAt > OrderSettleTime) {
+        // The order was accepted or its response was lost, but the engine neither loads nor has the version. Start again with the staged chunks.
         ++m_run;
         m_stagedChunks.clear();
         listStagedChunks();
@@ -264,8 +264,9 @@
 }
 
 /**
- * A version that is staged whole is loaded in its turn though a newer one has been declared. If it were dropped, its bound would make every
- * engine that has not had its turn change to the newer version at one moment, as soon as that is staged, and callers would be refused meanwhile.
+ * Returns whether the target is completely staged and not yet loaded. Such a version is loaded at its scheduled time even if a newer one has been declared. If
+ * it were abandoned, its deadline would make every engine that has not loaded it change to the newer version at the same moment, as soon as that one is staged,
+ * and callers would be refused meanwhile.
  */
 bool WeightsManager::isReadyToLoad() const
 {
@@ -273,8 +274,8 @@
 }
 
 /**
- * A version whose draw has begun is finished before a newer one is drawn. The origin may go away before the newer one has left it, and then an engine
- * that had dropped the older one would have neither when its bound comes.
+ * Returns whether the target should be finished before a newer version is downloaded. This is so if its download has begun. The origin may become unreachable
+ * before the newer version has been downloaded; an engine that had abandoned the older version would then have neither of them at the deadline.
  */
 bool WeightsManager::shouldFinishTarget() const
 {
@@ -285,7 +286,7 @@
     return age && *age < m_settings.m_finishAgeLimit;
 }
 
-/// Of the target's chunks, from 0 to 1.
+/// Returns the share of the target's chunks that are held, from 0 to 1.
 double WeightsManager::heldChunkShare() const
 {
     for (const Protocol::TransferProgress &progress : m_parts.m_transfer.progress()) {
@@ -297,8 +298,8 @@
 }
 
 /**
- * Draws a version before its own run begins: while an older one is staged or loaded, or before the engine has answered. An engine that starts with its
- * instance answers about a second after the agent, and would have its weights so much later.
+ * Downloads a version before its own run begins: while an older version is staged or loaded, or before the engine has responded. An engine that starts together
+ * with its instance responds about a second after the agent; without prefetching, its weights would arrive that much later.
  */
 void WeightsManager::prefetch(const TargetVersion &target)
 {
@@ -312,7 +313,7 @@
 
 void WeightsManager::fetchNextManifest(const TargetVersion &target)
 {
-    const Fleet::Service *origin = m_parts.m_beliefs.configuration()->origin();
+    const Fleet::Service *origin = m_parts.m_fleetState.configuration()->origin();
     if (!origin || m_nextTarget != target) {
         return;
     }
@@ -344,7 +345,7 @@
 {
     enterStep(Step::FetchManifest);
     const std::uint64_t run = m_run;
-    const Fleet::Service *origin = m_parts.m_beliefs.configuration()->origin();
+    const Fleet::Service *origin = m_parts.m_fleetState.configuration()->origin();
     if (!origin) {
         runAfter(m_settings.m_retryDelay, run, [this] { fetchManifest(); });
         return;
@@ -393,7 +394,7 @@
 {
     std::vector<Control::Deployment> wanted;
     const bool isNextKnown = m_nextManifest && m_nextTarget;
-    // Once the target is staged, to hold both versions in memory would double the agent's peak.
+    // Once the target is staged, holding both versions in memory would double the agent's peak usage.
     if (m_manifest && m_target && !(isNextKnown && isReadyToLoad())) {
         wanted.push_back(makeDeployment(*m_target, *m_manifest));
     }
@@ -466,7 +467,7 @@
         fetchManifest();
         return;
     }
-    runAfter(TransferLook, run, [this] { awaitTransfer(); });
+    runAfter(TransferPollInterval, run, [this] { awaitTransfer(); });
 }
 
 void WeightsManager::stageMissingChunks(std::uint64_t run)
@@ -475,7 +476,7 @@
     const std::shared_ptr<const Weights::HeldVersion> held = m_parts.m_transfer.heldVersion(m_manifestDigest);
     if (!held) {
         if (m_nextTarget) {
-            beginTarget(TargetVersion(*m_nextTarget)); // A chunk was spoilt whose version is not drawn any more.
+            beginTarget(TargetVersion(*m_nextTarget)); // A chunk is corrupt and its version is no longer downloaded.
             return;
         }
         awaitTransfer();
@@ -511,7 +512,7 @@
 bool WeightsManager::hasReachedLoadTime() const
 {
     if (m_status && m_status->m_weights.empty()) {
-        return true; // It serves nothing that a load could interrupt.
+        return true; // The engine serves no version that a load could interrupt.
     }
     const Core::Instant now = Core::Clock::now();
     const std::optional<Core::Duration> age = m_parts.m_versions.knownAge(m_target->m_model, m_target->m_version, now);
@@ -536,7 +537,7 @@
     enterStep(Step::AwaitLoadTime);
     const std::uint64_t run = m_run;
     if (!m_status || m_status->m_isBusy || !hasReachedLoadTime()) {
-        runAfter(TransferLook, run, [this] { awaitLoadTime(); });
+        runAfter(TransferPollInterval, run, [this] { awaitLoadTime(); });
         return;
     }
     drainEngine();
@@ -552,12 +553,12 @@
     enterStep(Step::Drain);
     const std::uint64_t run = m_run;
     if (m_onStatus) {
-        // Entries must hear of the pause before the engine begins to refuse.
+        // Entries must learn of the drain before the engine begins to refuse requests.
         m_onStatus(*m_status, true, true);
     }
     const bool isServing = !m_status->m_weights.empty() && m_status->m_running > 0;
-    const bool willCut = runningRequestPolicy() == RunningRequests::Abort;
-    runAfter(isServing && willCut ? m_settings.m_drainTime : Core::Duration(0), run, [this, run] {
+    const bool willAbort = runningRequestPolicy() == RunningRequestPolicy::Abort;
+    runAfter(isServing && willAbort ? m_settings.m_drainTime : Core::Duration(0), run, [this, run] {
         enterStep(Step::Verify);
         verifyStagedChunks(run);
     });
@@ -590,13 +591,14 @@
 }
 
 /**
- * Streams that another engine may continue are cut. To wait for the longest of them keeps an engine idle for about two seconds, which for a whole
- * fleet within the bound of a version takes over a quarter of its capacity; a stream that moves pauses for the reading of its prompt.
+ * Returns how the engine should treat its running requests. Streams that another engine can continue are aborted. Waiting for the longest stream keeps an
+ * engine idle for about two seconds; for a whole fleet within the deadline of a version, this takes more than a quarter of its capacity. A moved stream only
+ * pauses while the other engine processes its prompt.
  */
-RunningRequests WeightsManager::runningRequestPolicy() const
+RunningRequestPolicy WeightsManager::runningRequestPolicy() const
 {
-    const Fleet::Service *own = ownService();
-    return own && own->m_mayMoveRequests ? RunningRequests::Abort : RunningRequests::Finish;
+    const Fleet::Service *service = ownService();
+    return service && service->m_mayMoveRequests ? RunningRequestPolicy::Abort : RunningRequestPolicy::Finish;
 }
 
 void WeightsManager::sendLoadOrder(std::uint64_t run)
@@ -608,8 +610,8 @@
     }
     m_ordersSent.add();
     m_orderSentAt = Core::Clock::now();
-    const RunningRequests running = runningRequestPolicy();
-    const LoadOrder order{m_target->m_model, m_target->m_version, running, m_target->m_fence, m_status->m_acceptedOrders};
+    const RunningRequestPolicy policy = runningRequestPolicy();
+    const LoadOrder order{m_target->m_model, m_target->m_version, policy, m_target->m_fence, m_status->m_acceptedOrders};
     m_engine.m_load(order, [this, alive = m_isAlive, run](const Core::Result<void> &result) {
         if (*alive && isCurrentRun(run)) {
             handleOrderResult(run, result);
--- a/Libraries/LibStaging/WeightsManager.h
+++ b/Libraries/LibStaging/WeightsManager.h
@@ -1,4 +1,4 @@
-/// @file Brings the engine beside the agent to the declared version of its model: draws, stages, verifies, orders.
+/// @file Brings the engine beside the agent to the declared version of its model: downloads, stages, verifies and loads the weights.
 #pragma once
 
 #include "LibCore/Random.h"
@@ -19,43 +19,45 @@
 
 struct WeightsManagerSettings
 {
-    std::string m_service; ///< Of the engine.
-    /// The whole site starts, and engines may hold their first version: nothing is drawn before the engine has said what it holds.
+    std::string m_service; ///< Name of the engine's service.
+    /// Set if the whole fleet is starting and engines may already hold their first version. Nothing is downloaded until the engine has reported what it holds.
     bool m_mayHoldWeights = false;
-    Core::Duration m_statusInterval{250}; ///< Between looks at the engine: half of the interval at which its load is passed on.
-    Core::Duration m_loadingStatusInterval{60}; ///< The same while it loads, so that it is used again at once.
-    /// The same while it is nearly full, when each look is passed on: half a second is several requests then.
+    Core::Duration m_statusInterval{250}; ///< Time between polls of the engine's status: half of the interval at which its load is reported.
+    Core::Duration m_loadingStatusInterval{60}; ///< Poll interval while the engine loads. Short, so that the engine gets requests again as soon as it is ready.
+    /// Poll interval while the engine is nearly full. Each status is then reported immediately, since several requests can arrive within half a second.
     Core::Duration m_nearlyFullStatusInterval{180};
-    Core::Duration m_unreachableStatusInterval{100}; ///< The same while it does not answer, as after a start: a fraction of the time that its weights take.
-    Core::Duration m_retryDelay{200}; ///< After a failed step.
-    std::size_t m_concurrentChunks = 4; ///< Calls to the engine under way while chunks are staged or read back.
-    Core::Duration m_manifestLifetime{6000}; ///< A manifest whose chunks do not come within it may itself be spoilt and is asked for again.
+    /// Poll interval while the engine does not respond, such as after a start: a fraction of the time that its weights take to arrive.
+    Core::Duration m_unreachableStatusInterval{100};
+    Core::Duration m_retryDelay{200}; ///< Delay before a failed step is retried.
+    std::size_t m_concurrentChunks = 4; ///< Concurrent calls to the engine while chunks are staged or read back.
+    Core::Duration m_manifestLifetime{6000}; ///< If the chunks do not arrive within this time, the manifest itself may be corrupt and is fetched again.
     /**
-     * From telling the entries until the order, if running streams will be cut. About half of them end within it. Without it more streams move and
-     * pause; to wait for the last one keeps the engine away for seconds.
+     * Time between announcing the drain to the entries and sending the load order, if running streams will be aborted. About half of the streams end within it.
+     * Without it more streams are moved and interrupted; waiting for the last stream would make the engine unavailable for seconds.
      */
     Core::Duration m_drainTime{500};
-    /// Share of the chunks that must be here for a superseded version to be finished. After an outage of the log two versions are read at once; to load both
-    /// takes the engines away twice, and the first delays the second by 4 s.
+    /// Share of the chunks that must be held for a superseded version to be finished. After an outage of the log, two versions become known at the same time.
+    /// Loading both makes each engine unavailable twice, and the first load delays the second by 4 s.
     double m_minimumShareToFinish = 0.25;
-    Core::Duration m_finishAgeLimit{6000}; ///< A superseded version that is not staged so long after its declaration is dropped: its last turn is near.
+    /// A superseded version that is not staged within this time after its declaration is abandoned, because its last load time is near.
+    Core::Duration m_finishAgeLimit{6000};
     LoadScheduleSettings m_loadSchedule;
 
     bool operator==(const WeightsManagerSettings &) const = default;
 };
 
-/// What the keeper works with. Everything outlives it.
+/// Dependencies of the weights manager. All of them must outlive it.
 struct WeightsManagerParts
 {
     Http::EventLoop &m_loop;
-    Fleet::FleetState &m_beliefs;
+    Fleet::FleetState &m_fleetState;
     Placement::VersionDeadlines &m_versions;
     Transfer::TransferManager &m_transfer;
     Telemetry::Metrics &m_metrics;
     Telemetry::EventLog &m_log;
 };
 
-/// A version that the engine is to have.
+/// A version that the engine should load.
 struct TargetVersion
 {
     std::string m_model;
@@ -66,12 +68,14 @@
 };
 
 /**
- * One step after the other, for one target version. A version that is superseded before its draw has begun is dropped at once; one whose draw has begun
- * is finished first (isWorthFinishing()), and one that is staged whole is loaded in its turn while the newer one is drawn (isNearOrder()).
+ * Processes one target version at a time, in consecutive steps.
  *
- * The engine loads whatever lies in its stage, unchecked. A chunk that is missing, spoilt or of another version there would be served to callers
- * as a model that nobody published; therefore every chunk is read back and compared with its digest right before the order. Used on the loop's
- * thread.
+ * A version that is superseded before its download has begun is abandoned immediately. If the download has begun, the version is finished first
+ * (shouldFinishTarget()). A version that is completely staged is loaded at its scheduled time while the newer one is downloaded (isReadyToLoad()).
+ *
+ * The engine loads the content of its staging area without checking it. A chunk that is missing, corrupt or of another version would be served to callers as a
+ * model that nobody published. Therefore every chunk is read back and compared with its digest immediately before the load order. All methods must be called on
+ * the event loop's thread.
  */
 class WeightsManager
 {
@@ -82,34 +86,35 @@
     WeightsManager(const WeightsManager &) = delete;
     WeightsManager &operator=(const WeightsManager &) = delete;
 
-    /// Called with each report of the engine. @p isAway: it should get nothing new. @p isChange: the report differs in more than its load.
-    void onStatus(std::function<void(const EngineStatus &status, bool isAway, bool isChange)> callback);
+    /// Sets the callback for each status of the engine. @p isUnavailable: the engine should get no new requests. @p isChange: the status differs from the
+    /// previous one in more than its load.
+    void onStatus(std::function<void(const EngineStatus &status, bool isUnavailable, bool isChange)> callback);
     void start();
-    /// Tells who the other agents of the service are.
+    /// Sets the other agents of the service.
     void setAgents(std::vector<Gossip::Member> agents, const Gossip::Member &self);
-    /// Looks again at once, since the beliefs have changed.
+    /// Checks for a new target immediately. Called when the known state of the fleet has changed.
     void onFleetStateChanged();
 
-    /// The engine has its target, or there is none.
+    /// Returns whether the engine has loaded its target or has no target.
     bool isSettled() const
     {
         return m_step == Step::Idle;
     }
-    /// The engine's slots are nearly all taken, by its last report.
+    /// Returns whether nearly all slots of the engine are occupied, according to its last status.
     bool isNearlyFull() const;
 
 private:
     enum class Step {
-        Idle, ///< The engine has the target, or there is none.
-        FetchManifest, ///< The manifest is awaited.
-        ReadStage, ///< What is staged is read, to be used and passed on.
-        AwaitTransfer, ///< Chunks are awaited.
-        StageChunks, ///< Chunks are staged.
-        AwaitLoadTime, ///< Everything is staged; the turn is awaited.
-        Drain, ///< Entries have been told to send nothing new; some of what runs ends.
-        Verify, ///< What is staged is read back.
-        SendOrder, ///< The order is under way.
-        Loading, ///< The engine has the order.
+        Idle, ///< The engine has loaded the target, or there is no target.
+        FetchManifest, ///< Waits for the manifest.
+        ReadStage, ///< Reads the staged chunks, to reuse them and to serve them to peers.
+        AwaitTransfer, ///< Waits for chunks to be downloaded.
+        StageChunks, ///< Writes chunks to the staging area.
+        AwaitLoadTime, ///< All chunks are staged; waits for the scheduled load time.
+        Drain, ///< Entries have been asked to send no new requests; some running requests end.
+        Verify, ///< Reads the staged chunks back and verifies them.
+        SendOrder, ///< The load order has been sent.
+        Loading, ///< The engine has accepted the load order.
     };
 
     void pollStatus();
@@ -140,7 +145,7 @@
     void drainEngine();
     bool isEngineUnavailable() const;
     void verifyStagedChunks(std::uint64_t run);
-    RunningRequests runningRequestPolicy() const;
+    RunningRequestPolicy runningRequestPolicy() const;
     void sendLoadOrder(std::uint64_t run);
     void handleOrderResult(std::uint64_t run, const Core::Result<void> &result);
     void enterStep(Step step);
@@ -153,23 +158,23 @@
     std::function<void(const EngineStatus &, bool, bool)> m_onStatus;
     std::optional<EngineStatus> m_status;
     std::optional<TargetVersion> m_target;
-    std::optional<Weights::Manifest> m_manifest; ///< Of the target.
+    std::optional<Weights::Manifest> m_manifest; ///< Manifest of the target.
     std::string m_manifestDigest;
-    std::optional<TargetVersion> m_nextTarget; ///< Newer than the target; its chunks are drawn while the target is staged and loaded.
-    std::optional<Weights::Manifest> m_nextManifest; ///< Of the next target, once known.
+    std::optional<TargetVersion> m_nextTarget; ///< Newer than the target. Its chunks are downloaded while the target is staged and loaded.
+    std::optional<Weights::Manifest> m_nextManifest; ///< Manifest of the next target, once known.
     Core::Instant m_manifestReceivedAt;
-    Core::Instant m_orderSentAt; ///< When the engine was last given an order.
-    std::set<Weights::ChunkIndex> m_stagedChunks; ///< Chunks of the target that were seen in the stage, whole.
+    Core::Instant m_orderSentAt; ///< When the last load order was sent.
+    std::set<Weights::ChunkIndex> m_stagedChunks; ///< Chunks of the target that are in the staging area.
     Step m_step = Step::Idle;
-    std::uint64_t m_run = 0; ///< Grows with each new target or engine; what belongs to an earlier one is dropped.
+    std::uint64_t m_run = 0; ///< Incremented for each new target or engine. Callbacks of earlier runs are ignored.
     std::vector<Gossip::Member> m_agents;
     Gossip::Member m_self;
     Http::Timer m_statusTimer;
     bool m_isStatusPending = false;
-    bool m_isEngineUnreachable = false; ///< It did not answer the last look.
+    bool m_isEngineUnreachable = false; ///< The engine did not respond to the last poll.
     Telemetry::Counter &m_ordersSent;
     Telemetry::Counter &m_corruptStagedChunks;
-    std::shared_ptr<bool> m_isAlive; ///< False once the keeper is gone; answers can outlive it.
+    std::shared_ptr<bool> m_isAlive; ///< Set to false by the destructor. Callbacks can outlive the object.
 };
 
 }
--- a/Tests/LibStaging/TestChunkIteration.cpp
+++ b/Tests/LibStaging/TestChunkIteration.cpp
@@ -1,10 +1,10 @@
-/// @file The sweep over chunks: each once, a few at a time.
+/// @file Tests of the iteration over chunks: each chunk once, with bounded concurrency.
 
 #include "LibStaging/ChunkIteration.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("every chunk gets its step once, and never more than the stated number at a time")
+TEST_CASE("Each chunk is processed once, with no more than the given number of steps in progress")
 {
     std::vector<Weights::ChunkIndex> begun;
     std::vector<std::function<void()>> open;
@@ -28,7 +28,7 @@
     CHECK(ended == 5);
 }
 
-TEST_CASE("a sweep over nothing is finished at once")
+TEST_CASE("An iteration over no chunks finishes immediately")
 {
     bool isFinished = false;
     Staging::forEachChunk({}, 4, {}, [&isFinished] { isFinished = true; });
--- a/Tests/LibStaging/TestManifestSharing.cpp
+++ b/Tests/LibStaging/TestManifestSharing.cpp
@@ -1,4 +1,4 @@
-/// @file Manifests that few agents ask the origin for, and the others those.
+/// @file Tests of manifest sharing: few agents read a manifest from the origin, and the others request it from them.
 
 #include "../Support/LoopbackPeer.h"
 #include "LibStaging/ManifestSharing.h"
@@ -36,13 +36,13 @@
     return Core::Address{"127.0.0.1", socket.address().port()};
 }
 
-/// An agent with a node of its own, whose origin is counted.
+/// An agent with its own node. Counts its requests to the origin.
 struct TestAgent
 {
     Core::Address m_address = freeAddress();
     Telemetry::Metrics m_metrics;
     Wire::Node m_node;
-    std::size_t m_originAsked = 0;
+    std::size_t m_originRequests = 0;
     Staging::ManifestSharing m_sharing;
     std::optional<Weights::Manifest> m_manifest;
 
@@ -52,7 +52,7 @@
               loop,
               m_node,
               [this, &loop](const Core::Address &, const std::string &, std::uint64_t version, const Staging::Done<Weights::Manifest> &done) {
-                  ++m_originAsked;
+                  ++m_originRequests;
                   boost::asio::post(loop, [version, done] { done(manifestOf(version)); });
               },
               Staging::ManifestSharingSettings{1})
@@ -82,7 +82,7 @@
     }
 };
 
-/// Two agents, of which only the first asks the origin.
+/// Two agents, of which only the first reads from the origin.
 struct TwoAgents
 {
     Http::EventLoop m_loop;
@@ -99,30 +99,30 @@
 
 }
 
-TEST_CASE("of a large service few agents ask the origin, and the others are dealt out among them")
+TEST_CASE("In a large service few agents read from the origin, and the other agents are distributed evenly among them")
 {
-    // Guards against agents whose questions for the manifest take all connections of the origin, so that no chunk leaves it.
+    // Guards against agents whose manifest requests use up all connections of the origin, so that no chunk can be downloaded.
     const Staging::ManifestSharingSettings settings;
     const std::vector<Gossip::Member> all = agents(156);
-    std::size_t askers = 0;
-    std::map<Core::Address, std::size_t> asked;
+    std::size_t originFetchers = 0;
+    std::map<Core::Address, std::size_t> requestsByPeer;
     for (const Gossip::Member &agent : all) {
         std::vector<Gossip::Member> others = all;
         std::erase(others, agent);
         const std::optional<Core::Address> source = Staging::manifestSource(agent.m_id, others, Version, settings.m_originFetchers);
-        askers += source ? 0 : 1;
+        originFetchers += source ? 0 : 1;
         if (source) {
-            ++asked[*source];
+            ++requestsByPeer[*source];
         }
     }
-    CHECK(askers == settings.m_originFetchers);
-    CHECK(asked.size() == settings.m_originFetchers);
-    for (const std::pair<const Core::Address, std::size_t> &peer : asked) {
+    CHECK(originFetchers == settings.m_originFetchers);
+    CHECK(requestsByPeer.size() == settings.m_originFetchers);
+    for (const std::pair<const Core::Address, std::size_t> &peer : requestsByPeer) {
         CHECK(peer.second <= all.size() / settings.m_originFetchers + 1);
     }
 }
 
-TEST_CASE("in a small service every agent asks the origin")
+TEST_CASE("In a small service every agent reads from the origin")
 {
     const std::vector<Gossip::Member> all = agents(16);
     for (const Gossip::Member &agent : all) {
@@ -132,7 +132,7 @@
     }
 }
 
-TEST_CASE("a manifest comes from the agent that asked the origin, also if that one asks later")
+TEST_CASE("An agent gets the manifest from the agent that reads from the origin, even if that agent starts later")
 {
     TwoAgents fixture;
     REQUIRE(fixture.m_first.m_node.start());
@@ -141,23 +141,23 @@
     fixture.m_first.fetch();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_first.m_manifest && fixture.m_second.m_manifest; }));
     CHECK(*fixture.m_second.m_manifest == manifestOf(Version.m_version));
-    CHECK(fixture.m_first.m_originAsked == 1);
-    CHECK(fixture.m_second.m_originAsked == 0);
+    CHECK(fixture.m_first.m_originRequests == 1);
+    CHECK(fixture.m_second.m_originRequests == 0);
 }
 
-TEST_CASE("an agent whose peer is gone asks the origin")
+TEST_CASE("An agent whose peer is unreachable reads from the origin")
 {
-    // Guards against agents that wait for a manifest from one that has died.
+    // Guards against agents that wait for a manifest from a dead agent.
     TwoAgents fixture;
     REQUIRE(fixture.m_second.m_node.start());
     fixture.m_second.fetch();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_second.m_manifest.has_value(); }));
-    CHECK(fixture.m_second.m_originAsked == 1);
+    CHECK(fixture.m_second.m_originRequests == 1);
 }
 
-TEST_CASE("a manifest that is asked for again comes from the origin")
+TEST_CASE("A manifest that is requested again is read from the origin")
 {
-    // Guards against a spoilt manifest that an agent gets from the same peer for ever.
+    // Guards against an agent that gets a corrupt manifest from the same peer on every attempt.
     TwoAgents fixture;
     REQUIRE(fixture.m_first.m_node.start());
     REQUIRE(fixture.m_second.m_node.start());
@@ -166,5 +166,5 @@
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_second.m_manifest.has_value(); }));
     fixture.m_second.fetch();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_second.m_manifest.has_value(); }));
-    CHECK(fixture.m_second.m_originAsked == 1);
+    CHECK(fixture.m_second.m_originRequests == 1);
 }
--- a/Tests/LibStaging/TestWeightsManager.cpp
+++ b/Tests/LibStaging/TestWeightsManager.cpp
@@ -1,4 +1,4 @@
-/// @file How an agent brings its engine to a version, with an engine and an origin that misbehave.
+/// @file Tests of how an agent brings its engine to a version, with failing engines and origins.
 
 #include "../Support/LoopbackPeer.h"
 #include "LibStaging/WeightsManager.h"
@@ -29,17 +29,17 @@
     return Weights::buildManifest(Model, std::to_string(version), content, ChunkBytes).value();
 }
 
-/// An engine in memory, which loads whatever lies in its stage.
+/// An in-memory engine that loads whatever is in its staging area.
 struct FakeEngine
 {
     Staging::EngineStatus m_status;
     std::map<Weights::ChunkIndex, std::string> m_stage;
     std::vector<Staging::LoadOrder> m_orders;
-    std::vector<std::map<Weights::ChunkIndex, std::string>> m_loaded; ///< The stage as it was at each order.
+    std::vector<std::map<Weights::ChunkIndex, std::string>> m_loaded; ///< Content of the staging area at each order.
     std::size_t m_reads = 0;
-    bool m_isAbsent = false; ///< It does not answer.
-    bool m_isOriginAway = false; ///< No manifest is to be had.
-    std::size_t m_spoilAtRead = 0; ///< Number of the read before which chunk 1 turns bad; 0 for never.
+    bool m_isUnreachable = false; ///< The engine does not respond.
+    bool m_isOriginUnreachable = false; ///< Reading a manifest fails.
+    std::size_t m_corruptAtRead = 0; ///< Number of the read before which chunk 1 is corrupted; 0 for never.
 
     void fill(std::uint64_t version)
     {
@@ -51,67 +51,67 @@
 
 Staging::EngineControl control(Http::EventLoop &loop, FakeEngine &engine)
 {
-    Staging::EngineControl made;
-    made.m_readStatus = [&loop, &engine](Staging::Done<Staging::EngineStatus> done) {
+    Staging::EngineControl result;
+    result.m_readStatus = [&loop, &engine](Staging::Done<Staging::EngineStatus> done) {
         boost::asio::post(loop, [&engine, done] {
-            if (engine.m_isAbsent) {
+            if (engine.m_isUnreachable) {
                 done(Core::makeError(Core::ErrorCode::Unavailable, "read report", "engine", "refused"));
             } else {
                 done(engine.m_status);
             }
         });
     };
-    made.m_listStagedChunks = [&loop, &engine](const std::string &, Staging::Done<std::vector<Weights::ChunkIndex>> done) {
+    result.m_listStagedChunks = [&loop, &engine](const std::string &, Staging::Done<std::vector<Weights::ChunkIndex>> done) {
         std::vector<Weights::ChunkIndex> held;
         for (const std::pair<const Weights::ChunkIndex, std::string> &entry : engine.m_stage) {
             held.push_back(entry.first);
         }
         boost::asio::post(loop, [held, done] { done(held); });
     };
-    made.m_readStagedChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, Staging::Done<std::string> done) {
-        if (++engine.m_reads == engine.m_spoilAtRead) {
+    result.m_readStagedChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, Staging::Done<std::string> done) {
+        if (++engine.m_reads == engine.m_corruptAtRead) {
             engine.m_stage[1] = "spoilt";
         }
         boost::asio::post(loop, [&engine, chunk, done] { done(engine.m_stage[chunk]); });
     };
-    made.m_stageChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, const std::string &bytes, Staging::Done<void> done) {
+    result.m_stageChunk = [&loop, &engine](const std::string &, Weights::ChunkIndex chunk, const std::string &bytes, Staging::Done<void> done) {
         engine.m_stage[chunk] = bytes;
         boost::asio::post(loop, [done] { done(Core::success()); });
     };
-    made.m_load = [&loop, &engine](const Staging::LoadOrder &order, Staging::Done<void> done) {
+    result.m_load = [&loop, &engine](const Staging::LoadOrder &order, Staging::Done<void> done) {
         engine.m_orders.push_back(order);
         engine.m_loaded.push_back(engine.m_stage);
         ++engine.m_status.m_acceptedOrders;
         engine.m_status.m_weights = {Fleet::LoadedWeights{order.m_model, order.m_version, {}}};
         boost::asio::post(loop, [done] { done(Core::success()); });
     };
-    made.m_fetchManifest = [&loop, &engine](const Core::Address &, const std::string &, std::uint64_t version, Staging::Done<Weights::Manifest> done) {
+    result.m_fetchManifest = [&loop, &engine](const Core::Address &, const std::string &, std::uint64_t version, Staging::Done<Weights::Manifest> done) {
         boost::asio::post(loop, [&engine, version, done] {
-            if (engine.m_isOriginAway) {
+            if (engine.m_isOriginUnreachable) {
                 done(Core::makeError(Core::ErrorCode::Unavailable, "read manifest", "origin", "refused"));
             } else {
                 done(manifestOf(version));
             }
         });
     };
-    return made;
+    return result;
 }
 
-/// A keeper beside the engine, without other agents and with an origin that nobody serves.
-struct KeeperFixture
+/// A weights manager beside an engine, without other agents and with an unreachable origin.
+struct WeightsManagerFixture
 {
     Http::EventLoop m_loop;
     Telemetry::Metrics m_metrics;
     Telemetry::EventLog m_log{STDOUT_FILENO, "test", m_metrics, Telemetry::EventLogLimits{0, 0, 0}};
-    Fleet::FleetState m_beliefs;
+    Fleet::FleetState m_fleetState;
     Placement::VersionDeadlines m_versions{Core::Duration(8000)};
     Wire::Node m_node{Wire::NodeSettings{}, m_metrics};
     Transfer::TransferManager m_transfer{transferParts()};
     FakeEngine m_engine;
-    Staging::WeightsManager m_keeper{
-        Staging::WeightsManagerParts{m_loop, m_beliefs, m_versions, m_transfer, m_metrics, m_log}, settings(), control(m_loop, m_engine)};
+    Staging::WeightsManager m_manager{
+        Staging::WeightsManagerParts{m_loop, m_fleetState, m_versions, m_transfer, m_metrics, m_log}, settings(), control(m_loop, m_engine)};
 
-    KeeperFixture()
+    WeightsManagerFixture()
     {
         Fleet::Declarations declarations;
         declarations.m_end = 1;
@@ -122,15 +122,15 @@
         declarations.m_configuration->m_services[0].m_engine.m_models = {Model};
         declarations.m_configuration->m_services[1].m_name = "origin";
         declarations.m_configuration->m_services[1].m_origin = Core::Address{"127.0.0.1", 9};
-        m_beliefs.apply(declarations);
+        m_fleetState.apply(declarations);
         Gossip::Member self;
         self.m_id = "self";
-        m_keeper.setAgents({}, self);
+        m_manager.setAgents({}, self);
         REQUIRE(m_node.start());
         m_transfer.start();
     }
 
-    ~KeeperFixture()
+    ~WeightsManagerFixture()
     {
         m_transfer.stop();
         m_node.stop();
@@ -147,11 +147,11 @@
 
     static Staging::WeightsManagerSettings settings()
     {
-        Staging::WeightsManagerSettings made;
-        made.m_service = "drafts";
-        made.m_statusInterval = Core::Duration(5);
-        made.m_loadSchedule = Staging::LoadScheduleSettings{Core::Duration(0), Core::Duration(0)};
-        return made;
+        Staging::WeightsManagerSettings result;
+        result.m_service = "drafts";
+        result.m_statusInterval = Core::Duration(5);
+        result.m_loadSchedule = Staging::LoadScheduleSettings{Core::Duration(0), Core::Duration(0)};
+        return result;
     }
 
     void declare(std::uint64_t version)
@@ -159,8 +159,8 @@
         Fleet::Declarations declarations;
         declarations.m_weights = {Fleet::DeclaredWeights{Model, version, 10 + version}};
         m_versions.recordDeclared(Model, version, Core::Duration(0), Core::Clock::now());
-        m_beliefs.apply(declarations);
-        m_keeper.onFleetStateChanged();
+        m_fleetState.apply(declarations);
+        m_manager.onFleetStateChanged();
     }
 
     bool awaitOrders(std::size_t count)
@@ -171,42 +171,43 @@
 
 }
 
-TEST_CASE("an engine that crashed is loaded from what its stage still holds")
+TEST_CASE("An engine that restarted is loaded from the chunks still in its staging area")
 {
-    KeeperFixture fixture;
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
-    fixture.m_keeper.start();
+    fixture.m_manager.start();
     REQUIRE(fixture.awaitOrders(1));
     CHECK(fixture.m_engine.m_orders[0].m_version == 1);
     CHECK(fixture.m_metrics.counter("transfer_bytes_from_origin_total").value() == 0);
 }
 
-TEST_CASE("weights are drawn before the engine answers")
+TEST_CASE("Weights are downloaded before the engine responds")
 {
-    // An instance joins, and its engine takes longer to start than the agent. If the agent waited for the engine, its weights would come that much later.
-    KeeperFixture fixture;
-    fixture.m_engine.m_isAbsent = true;
-    fixture.m_keeper.start();
-    fixture.m_keeper.onFleetStateChanged();
+    // An instance joins, and its engine takes longer to start than the agent. Guards against an agent that waits for the engine before it downloads, which
+    // would delay the engine's weights.
+    WeightsManagerFixture fixture;
+    fixture.m_engine.m_isUnreachable = true;
+    fixture.m_manager.start();
+    fixture.m_manager.onFleetStateChanged();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return !fixture.m_transfer.progress().empty(); }));
     CHECK(fixture.m_transfer.progress().front().m_digest == Weights::manifestDigest(Weights::encodeManifest(manifestOf(1))));
     for (Weights::ChunkIndex chunk = 0; chunk < Chunks; ++chunk) {
         fixture.m_transfer.offerChunk(fixture.m_transfer.progress().front().m_digest, chunk, chunkOf(1, chunk));
     }
-    fixture.m_engine.m_isAbsent = false;
+    fixture.m_engine.m_isUnreachable = false;
     REQUIRE(fixture.awaitOrders(1));
     CHECK(fixture.m_engine.m_loaded[0][0] == chunkOf(1, 0));
 }
 
-TEST_CASE("an engine that starts again gets its weights although the origin is away")
+TEST_CASE("An engine that restarts while the origin is unreachable gets its weights")
 {
-    // An engine crashes while the origin is down. Every chunk is at its agent; without the manifest of before, the agent could not tell so.
-    KeeperFixture fixture;
+    // An engine crashes while the origin is down. Its agent holds every chunk, but needs the earlier manifest to recognize them.
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
-    fixture.m_keeper.start();
+    fixture.m_manager.start();
     REQUIRE(fixture.awaitOrders(1));
-    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_keeper.isSettled(); }));
-    fixture.m_engine.m_isOriginAway = true;
+    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_manager.isSettled(); }));
+    fixture.m_engine.m_isOriginUnreachable = true;
     fixture.m_engine.m_stage.clear();
     fixture.m_engine.m_status = Staging::EngineStatus{};
     fixture.m_engine.m_status.m_startedMilliseconds = 7;
@@ -214,13 +215,13 @@
     CHECK(fixture.m_engine.m_loaded[1][3] == chunkOf(1, 3));
 }
 
-TEST_CASE("a chunk that rots in the stage is staged anew before the order")
+TEST_CASE("A chunk that is corrupted in the staging area is staged again before the load order")
 {
-    // The engine loads its stage unchecked. A chunk that turned bad after it had been staged would be served to callers as part of the model.
-    KeeperFixture fixture;
+    // The engine loads its staging area without checking it. A chunk that was corrupted after staging would be served to callers as part of the model.
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
-    fixture.m_engine.m_spoilAtRead = Chunks + 1;
-    fixture.m_keeper.start();
+    fixture.m_engine.m_corruptAtRead = Chunks + 1;
+    fixture.m_manager.start();
     REQUIRE(fixture.awaitOrders(1));
     CHECK(fixture.m_metrics.counter("staging_chunks_spoilt_total").value() == 1);
     for (Weights::ChunkIndex chunk = 0; chunk < Chunks; ++chunk) {
@@ -228,16 +229,16 @@
     }
 }
 
-TEST_CASE("a version whose draw has begun is finished although a newer one is declared")
+TEST_CASE("A version whose download has begun is finished even if a newer one is declared")
 {
-    // The newer version is declared while three of four chunks are here, and then the origin goes away. An agent that had dropped the older version
-    // would reach neither before its bound, and requests would begin on weights that two declarations have replaced.
-    KeeperFixture fixture;
+    // The newer version is declared when three of four chunks are held, and then the origin becomes unreachable. An agent that abandoned the older version
+    // would load neither before its deadline, and requests would start on weights that two declarations have replaced.
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(2);
     fixture.m_engine.m_stage.erase(3);
     fixture.m_engine.m_status.m_weights = {Fleet::LoadedWeights{Model, 1, {}}};
     fixture.declare(2);
-    fixture.m_keeper.start();
+    fixture.m_manager.start();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] {
         const std::vector<Protocol::TransferProgress> progress = fixture.m_transfer.progress();
         return progress.size() == 1 && progress.front().m_chunksHeld == Chunks - 1;
@@ -249,15 +250,15 @@
     CHECK(fixture.m_engine.m_orders[0].m_fence == 12);
 }
 
-TEST_CASE("of two versions that are learned of together only the newer one is loaded")
+TEST_CASE("Of two versions that become known together only the newer one is loaded")
 {
-    // The log was away while both were declared, and its return tells of both within a few milliseconds. To load one after the other would take every engine
-    // away twice, and callers would be refused for want of engines.
-    KeeperFixture fixture;
+    // The log was unreachable while both versions were declared, and afterwards both become known within a few milliseconds. Loading both would make every
+    // engine unavailable twice, and callers would be refused for lack of engines.
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
     fixture.m_engine.m_status.m_weights = {Fleet::LoadedWeights{Model, 1, {}}};
-    fixture.m_keeper.start();
-    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_keeper.isSettled() && fixture.m_engine.m_reads >= Chunks; }));
+    fixture.m_manager.start();
+    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_manager.isSettled() && fixture.m_engine.m_reads >= Chunks; }));
     fixture.declare(2);
     fixture.declare(3);
     const std::string newest = Weights::manifestDigest(Weights::encodeManifest(manifestOf(3)));
@@ -272,26 +273,26 @@
     CHECK(fixture.m_engine.m_orders[0].m_version == 3);
 }
 
-TEST_CASE("an engine that has the version gets no order")
+TEST_CASE("An engine that already has the version gets no load order")
 {
-    KeeperFixture fixture;
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
     fixture.m_engine.m_status.m_weights = {Fleet::LoadedWeights{Model, 1, {}}};
-    fixture.m_keeper.start();
+    fixture.m_manager.start();
     REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_engine.m_reads == Chunks; }));
     runUntil(
         fixture.m_loop, [] { return false; }, std::chrono::milliseconds(50));
     CHECK(fixture.m_engine.m_orders.empty());
 }
 
-TEST_CASE("an engine that restarts between two looks is loaded again")
+TEST_CASE("An engine that restarts between two polls is loaded again")
 {
-    // The engine states no time of its start, and it was back before the agent's next look. It answers nobody until it is given its weights again.
-    KeeperFixture fixture;
+    // The engine reports no start time and is running again before the agent's next poll. It serves no requests until its weights are loaded again.
+    WeightsManagerFixture fixture;
     fixture.m_engine.fill(1);
-    fixture.m_keeper.start();
+    fixture.m_manager.start();
     REQUIRE(fixture.awaitOrders(1));
-    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_keeper.isSettled(); }));
+    REQUIRE(runUntil(fixture.m_loop, [&fixture] { return fixture.m_manager.isSettled(); }));
     fixture.m_engine.m_status.m_weights.clear();
     CHECK(fixture.awaitOrders(2));
 }
