--- a/Libraries/LibTransfer/ChunkSelection.cpp
+++ b/Libraries/LibTransfer/ChunkSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the picker.
+/// @file Implementation of chunk and peer selection.
 
 #include "LibTransfer/ChunkSelection.h"
 
@@ -6,47 +6,47 @@
 
 namespace {
 
-struct Holders
+struct HolderSummary
 {
-    std::uint32_t m_near = 0; ///< Peers of the own region that hold the chunk, usable or not.
-    bool m_isAvailable = false; ///< Some usable peer may be asked for it.
+    std::uint32_t m_sameRegionCount = 0; ///< Peers of the own region that hold the chunk, usable or not.
+    bool m_isAvailable = false; ///< The chunk can be requested from at least one usable peer.
 };
 
-Holders countHolders(const WantedChunk &chunk, const std::vector<SourcePeer> &peers)
+HolderSummary summarizeHolders(const WantedChunk &chunk, const std::vector<SourcePeer> &peers)
 {
-    Holders holders;
-    bool farAvailable = false;
+    HolderSummary holders;
+    bool isAvailableElsewhere = false;
     for (const SourcePeer &peer : peers) {
         if (!(*peer.m_holds)[chunk.m_chunk]) {
             continue;
         }
         if (peer.m_isSameRegion) {
-            ++holders.m_near;
+            ++holders.m_sameRegionCount;
             holders.m_isAvailable = holders.m_isAvailable || peer.m_isUsable;
         } else {
-            farAvailable = farAvailable || peer.m_isUsable;
+            isAvailableElsewhere = isAvailableElsewhere || peer.m_isUsable;
         }
     }
-    const bool mayImport = chunk.m_mayImport && holders.m_near == 0;
-    holders.m_isAvailable = holders.m_isAvailable || (mayImport && farAvailable);
+    const bool mayImport = chunk.m_mayImport && holders.m_sameRegionCount == 0;
+    holders.m_isAvailable = holders.m_isAvailable || (mayImport && isAvailableElsewhere);
     return holders;
 }
 
-/// Keeps one of several equals with equal chances.
-class TieBreak
+/// Selects one of several equivalent elements with equal probability.
+class RandomTieBreaker
 {
 public:
-    explicit TieBreak(Core::Random &random)
+    explicit RandomTieBreaker(Core::Random &random)
         : m_random(random)
     {
     }
 
-    void restart()
+    void reset()
     {
         m_seen = 1;
     }
 
-    bool takesNext()
+    bool acceptsNext()
     {
         return m_random.below(++m_seen) == 0;
     }
@@ -60,18 +60,18 @@
 
 std::optional<PeerIndex> selectPeer(const WantedChunk &chunk, const std::vector<SourcePeer> &peers, Core::Random &random)
 {
-    const bool fromFar = chunk.m_mayImport && countHolders(chunk, peers).m_near == 0;
+    const bool fromOtherRegion = chunk.m_mayImport && summarizeHolders(chunk, peers).m_sameRegionCount == 0;
     const SourcePeer *best = nullptr;
-    TieBreak tie(random);
+    RandomTieBreaker tieBreaker(random);
     for (const SourcePeer &peer : peers) {
-        const bool eligible = peer.m_isUsable && peer.m_isSameRegion != fromFar && (*peer.m_holds)[chunk.m_chunk];
-        if (!eligible) {
+        const bool isEligible = peer.m_isUsable && peer.m_isSameRegion != fromOtherRegion && (*peer.m_holds)[chunk.m_chunk];
+        if (!isEligible) {
             continue;
         }
         if (!best || peer.m_load < best->m_load) {
             best = &peer;
-            tie.restart();
-        } else if (peer.m_load == best->m_load && tie.takesNext()) {
+            tieBreaker.reset();
+        } else if (peer.m_load == best->m_load && tieBreaker.acceptsNext()) {
             best = &peer;
         }
     }
@@ -82,21 +82,21 @@
 {
     std::optional<ChunkSelection> best;
     std::pair<std::uint32_t, std::uint32_t> bestKey;
-    TieBreak tie(random);
+    RandomTieBreaker tieBreaker(random);
     for (const WantedChunk &chunk : wanted) {
-        const Holders holders = countHolders(chunk, peers);
+        const HolderSummary holders = summarizeHolders(chunk, peers);
         if (!holders.m_isAvailable) {
             continue;
         }
         const std::optional<PeerIndex> index = selectPeer(chunk, peers, random);
         const std::vector<SourcePeer>::const_iterator peer =
             std::find_if(peers.begin(), peers.end(), [&index](const SourcePeer &candidate) { return candidate.m_peer == *index; });
-        const std::pair<std::uint32_t, std::uint32_t> key(holders.m_near == 0 ? 0 : peer->m_load, holders.m_near);
+        const std::pair<std::uint32_t, std::uint32_t> key(holders.m_sameRegionCount == 0 ? 0 : peer->m_load, holders.m_sameRegionCount);
         if (!best || key < bestKey) {
             best = ChunkSelection{chunk.m_chunk, *index};
             bestKey = key;
-            tie.restart();
-        } else if (key == bestKey && tie.takesNext()) {
+            tieBreaker.reset();
+        } else if (key == bestKey && tieBreaker.acceptsNext()) {
             best = ChunkSelection{chunk.m_chunk, *index};
         }
     }
--- a/Libraries/LibTransfer/Coordinator.cpp
+++ b/Libraries/LibTransfer/Coordinator.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the coordinator: its thread, the wanted versions, what is told to others.
+/// @file Implementation of the coordinator: its thread, the wanted versions and the updates sent to followers.
 
 #include "LibTransfer/Coordinator.h"
 
@@ -11,16 +11,17 @@
 namespace {
 
 constexpr std::size_t EventCapacity = 16384;
-constexpr std::size_t EventsPerTurn = 512;
-constexpr Core::Duration BusyPatience{5};
-constexpr Core::Duration IdlePatience{100};
-constexpr Core::Duration TurnInterval{4}; ///< Decisions cost more than events; most events change none.
-constexpr Core::Duration AnnouncementInterval{5}; ///< A fraction of a chunk's time on a link: each hop of a chunk waits for it.
-constexpr Core::Duration SignOfLifeInterval{500};
+constexpr std::size_t EventsPerIteration = 512;
+constexpr Core::Duration BusyWaitLimit{5};
+constexpr Core::Duration IdleWaitLimit{100};
+constexpr Core::Duration DecisionInterval{4}; ///< Making decisions costs more than handling an event, and most events change no decision.
+constexpr Core::Duration AnnouncementInterval{5}; ///< A fraction of a chunk's transfer time on a link. Each hop of a chunk waits for this interval.
+constexpr Core::Duration HeartbeatInterval{500};
 constexpr std::uint64_t BytesPerMebibyte = 1 << 20;
-constexpr std::uint64_t MaximumCopies = 64;
+constexpr std::uint64_t MaximumOriginCopies = 64;
 
-/// Half a second's worth: asking is bounded by the requests ahead, so a larger bucket only makes up for moments without anything to ask for.
+/// Returns the burst size of the download pacer: at least half a second's worth. The number of concurrent requests already limits the download, so a larger
+/// bucket only makes up for moments in which there was nothing to request.
 std::uint64_t downloadBurst(const TransferSettings &settings)
 {
     return std::max(settings.m_burstBytes, settings.m_downloadBytesPerSecond / 2);
@@ -31,7 +32,7 @@
     if (deployment.m_policy == Control::BurstPolicy::OriginBytes || deployment.m_originCopies < 1) {
         return 1;
     }
-    return static_cast<std::uint32_t>(std::min<double>(deployment.m_originCopies, MaximumCopies));
+    return static_cast<std::uint32_t>(std::min<double>(deployment.m_originCopies, MaximumOriginCopies));
 }
 
 }
@@ -156,10 +157,10 @@
 
 void Coordinator::run()
 {
-    Core::Instant nextTurn;
+    Core::Instant nextDecision;
     while (m_running) {
-        std::optional<Event> event = m_events->pop(isBusy() ? BusyPatience : IdlePatience);
-        for (std::size_t count = 0; event && count < EventsPerTurn; ++count) {
+        std::optional<Event> event = m_events->pop(isBusy() ? BusyWaitLimit : IdleWaitLimit);
+        for (std::size_t count = 0; event && count < EventsPerIteration; ++count) {
             std::visit([this](const auto &concrete) { handle(concrete); }, *event);
             event = m_events->pop(Core::Duration(0));
         }
@@ -168,9 +169,9 @@
         }
         applyPendingChanges();
         const Core::Instant now = Core::Clock::now();
-        if (now >= nextTurn) {
+        if (now >= nextDecision) {
             makeDecisions(now);
-            nextTurn = now + TurnInterval;
+            nextDecision = now + DecisionInterval;
         }
         if (m_hasUnpublishedChanges) {
             m_hasUnpublishedChanges = false;
@@ -318,13 +319,14 @@
     return first;
 }
 
-/// Draws of a later version wait until those of the first are due: side by side, each would take twice as long on the origin's link.
-Effort Coordinator::transferModeFor(const Version &version, const Version *first, Core::Instant now) const
+/// Downloads of a later version from the origin wait until those of the first version are due. If both ran concurrently, each would take twice as long on the
+/// origin's link.
+TransferMode Coordinator::transferModeFor(const Version &version, const Version *first, Core::Instant now) const
 {
     if (!version.m_isWanted || !first || version.m_priority <= first->m_priority) {
-        return Effort::Full;
+        return TransferMode::Full;
     }
-    return first->m_exchange && first->m_exchange->areDownloadsDue(now) ? Effort::OwnDownloadsOnly : Effort::MonitorOnly;
+    return first->m_exchange && first->m_exchange->areDownloadsDue(now) ? TransferMode::OwnDownloadsOnly : TransferMode::MonitorOnly;
 }
 
 std::uint64_t Coordinator::memoryUsed() const
@@ -334,7 +336,7 @@
         const Weights::ChunkBytes chunk = entry.second.lock();
         bytes += chunk ? chunk->size() : 0;
     }
-    // Transfers that have begun will need their missing chunks too.
+    // Transfers in progress will also need memory for their missing chunks.
     for (const std::pair<const std::string, Version> &entry : m_versions) {
         const Version &version = entry.second;
         for (Weights::ChunkIndex chunk = 0; version.m_exchange && chunk < version.m_chunks.size(); ++chunk) {
@@ -348,14 +350,14 @@
 {
     std::uint64_t needed = 0;
     for (Weights::ChunkIndex chunk = 0; chunk < version.m_manifest->chunkCount(); ++chunk) {
-        const std::map<std::string, std::weak_ptr<const std::string>>::const_iterator known = m_chunkStore.find(version.m_manifest->m_chunkDigests[chunk]);
-        const bool isHere = known != m_chunkStore.end() && !known->second.expired();
-        needed += isHere ? 0 : version.m_manifest->chunkLength(chunk);
+        const std::map<std::string, std::weak_ptr<const std::string>>::const_iterator stored = m_chunkStore.find(version.m_manifest->m_chunkDigests[chunk]);
+        const bool isHeld = stored != m_chunkStore.end() && !stored->second.expired();
+        needed += isHeld ? 0 : version.m_manifest->chunkLength(chunk);
     }
     const bool fits = memoryUsed() + needed <= m_parts.m_settings.m_memoryMebibytes * BytesPerMebibyte;
     if (version.m_isWaitingForMemory == fits) {
         version.m_isWaitingForMemory = !fits;
-        LOG(INFO) << "transfer of digest " << version.m_deployment.m_digest << (fits ? " goes on" : " waits for memory: release a version first");
+        LOG(INFO) << "transfer of digest " << version.m_deployment.m_digest << (fits ? " resumes" : " waits until a release of another version frees memory");
         m_hasUnpublishedChanges = true;
     }
     if (!fits) {
@@ -376,8 +378,8 @@
 void Coordinator::reuseChunks(Version &version, Core::Instant now)
 {
     for (Weights::ChunkIndex chunk = 0; chunk < version.m_manifest->chunkCount(); ++chunk) {
-        const std::map<std::string, std::weak_ptr<const std::string>>::const_iterator known = m_chunkStore.find(version.m_manifest->m_chunkDigests[chunk]);
-        Weights::ChunkBytes bytes = known == m_chunkStore.end() ? nullptr : known->second.lock();
+        const std::map<std::string, std::weak_ptr<const std::string>>::const_iterator stored = m_chunkStore.find(version.m_manifest->m_chunkDigests[chunk]);
+        Weights::ChunkBytes bytes = stored == m_chunkStore.end() ? nullptr : stored->second.lock();
         if (bytes) {
             m_bytesReused.add(bytes->size());
             storeChunk(version, chunk, std::move(bytes), now);
@@ -388,13 +390,13 @@
 void Coordinator::completeVersion(Version &version)
 {
     const std::string &digest = version.m_deployment.m_digest;
-    const Core::Result<std::shared_ptr<const Weights::HeldVersion>> whole = Weights::assembleVersion(digest, *version.m_manifest, version.m_chunks);
-    if (!whole) {
-        // Every chunk matched the manifest, so the manifest contradicts itself; nothing that is fetched can ever make it whole.
-        LOG_EVERY_N(ERROR, 1000) << whole.error();
+    const Core::Result<std::shared_ptr<const Weights::HeldVersion>> assembled = Weights::assembleVersion(digest, *version.m_manifest, version.m_chunks);
+    if (!assembled) {
+        // Every chunk matched the manifest, so the manifest contradicts itself. No further download can complete this version.
+        LOG_EVERY_N(ERROR, 1000) << assembled.error();
         return;
     }
-    version.m_held = whole.value();
+    version.m_held = assembled.value();
     LOG(INFO) << "transfer of " << version.m_deployment.m_model << " " << version.m_deployment.m_version << " complete, digest " << digest;
     publish();
     if (m_onVersionComplete) {
@@ -421,18 +423,18 @@
         return;
     }
     m_nextAnnouncement = now + AnnouncementInterval;
-    const bool isSignOfLife = now >= m_nextHeartbeat;
-    if (isSignOfLife) {
-        m_nextHeartbeat = now + SignOfLifeInterval;
+    const bool isHeartbeat = now >= m_nextHeartbeat;
+    if (isHeartbeat) {
+        m_nextHeartbeat = now + HeartbeatInterval;
         m_hasUnpublishedChanges = true;
-        std::erase_if(m_unknownVersionFollowers, [](const Waiter &stranger) { return stranger.m_responder.isCancelled(); });
-        for (const Waiter &stranger : m_unknownVersionFollowers) {
-            stranger.m_responder.send(Wire::pack(HaveUpdate{}));
+        std::erase_if(m_unknownVersionFollowers, [](const Waiter &follower) { return follower.m_responder.isCancelled(); });
+        for (const Waiter &follower : m_unknownVersionFollowers) {
+            follower.m_responder.send(Wire::pack(HaveUpdate{}));
         }
     }
     for (std::pair<const std::string, Version> &entry : m_versions) {
         Version &version = entry.second;
-        if (version.m_unannouncedChunks.empty() && !isSignOfLife) {
+        if (version.m_unannouncedChunks.empty() && !isHeartbeat) {
             continue;
         }
         HaveUpdate update;
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -1,4 +1,4 @@
-/// @file The duty that owns every version's state, acts upon the exchanges' decisions and answers peers.
+/// @file The worker that owns the state of every version, performs the actions of the exchanges and answers peers.
 #pragma once
 
 #include "LibTransfer/Events.h"
@@ -15,10 +15,10 @@
 
 namespace Transfer {
 
-/// What other threads may read, as of the coordinator's last turn.
+/// State that other threads may read, as of the coordinator's last iteration.
 struct PublishedState
 {
-    std::map<std::string, std::shared_ptr<const Weights::HeldVersion>> m_held; ///< By manifest digest; none is null.
+    std::map<std::string, std::shared_ptr<const Weights::HeldVersion>> m_held; ///< By manifest digest; never null.
     std::vector<KnownVersion> m_known;
     std::vector<Protocol::TransferProgress> m_progress;
     Poco::JSON::Object::Ptr m_dump;
@@ -44,7 +44,7 @@
     PublishedState published() const;
 
 private:
-    /// A peer that waits for something of a version.
+    /// A peer that waits for the manifest or the holdings of a version.
     struct Waiter
     {
         std::string m_digest;
@@ -72,9 +72,9 @@
     void handle(const ChunkRequested &event);
 
     void makeDecisions(Core::Instant now);
-    /// The most urgent wanted version that is not whole; null if there is none.
+    /// Returns the most urgent wanted version that is incomplete, or null.
     const Version *firstIncomplete() const;
-    Effort transferModeFor(const Version &version, const Version *first, Core::Instant now) const;
+    TransferMode transferModeFor(const Version &version, const Version *first, Core::Instant now) const;
     void fetchManifest(Version &version, Core::Instant now);
     std::optional<Core::Address> manifestSource(const Version &version);
     void adoptManifest(Version &version, const std::string &encoded, const Weights::Manifest &manifest);
@@ -99,30 +99,30 @@
     const std::shared_ptr<EventQueue> m_events;
     OriginWorker m_originWorker;
     UploadWorker m_uploadWorker;
-    std::function<void(const std::string &)> m_onManifestVerified; ///< Fixed once started.
-    std::function<void(const std::string &)> m_onVersionComplete; ///< Fixed once started.
+    std::function<void(const std::string &)> m_onManifestVerified; ///< Not changed after start().
+    std::function<void(const std::string &)> m_onVersionComplete; ///< Not changed after start().
 
     std::mutex m_pendingMutex;
-    std::optional<std::vector<Control::Deployment>> m_pendingTargets; ///< The newest list that has not been applied.
+    std::optional<std::vector<Control::Deployment>> m_pendingTargets; ///< The newest targets that have not been applied.
     std::set<std::string> m_pendingReleases;
-    Core::Address m_origin; ///< Guarded by m_ordersMutex, as are the targets; empty while it is not known.
-    std::atomic<std::uint64_t> m_liveBytes = 0; ///< Not yet charged.
+    Core::Address m_origin; ///< Guarded by m_pendingMutex, as are the targets. Empty until the origin is known.
+    std::atomic<std::uint64_t> m_liveBytes = 0; ///< Bytes of live traffic not yet charged to m_download.
 
     mutable std::mutex m_publishedMutex;
     PublishedState m_published;
 
-    // From here on, used by the coordinator's thread only.
+    // The members below are used by the coordinator's thread only.
     std::map<std::string, Version> m_versions; ///< By manifest digest.
     static constexpr std::size_t MaximumUnknownVersionFollowers = 8192;
-    std::vector<Waiter> m_unknownVersionFollowers; ///< Followers of versions that are unknown here; at most MaximumStrangers.
+    std::vector<Waiter> m_unknownVersionFollowers; ///< Followers of versions that are unknown here; at most MaximumUnknownVersionFollowers elements.
     std::vector<Waiter> m_manifestWaiters;
-    std::map<std::string, std::weak_ptr<const std::string>> m_chunkStore; ///< By chunk digest, so that versions share chunks.
+    std::map<std::string, std::weak_ptr<const std::string>> m_chunkStore; ///< By chunk digest, so that versions share equal chunks.
     Pacer m_download;
     Core::Random m_random;
     std::uint64_t m_nextSerial = 1;
     Core::Instant m_nextAnnouncement;
     Core::Instant m_nextHeartbeat;
-    bool m_hasUnpublishedChanges = true; ///< Something is to be published.
+    bool m_hasUnpublishedChanges = true; ///< The published state is out of date.
 
     Telemetry::Counter &m_bytesFromOrigin;
     Telemetry::Counter &m_bytesFromPeers;
--- a/Libraries/LibTransfer/CoordinatorEvents.cpp
+++ b/Libraries/LibTransfer/CoordinatorEvents.cpp
@@ -1,4 +1,4 @@
-/// @file What the coordinator does on each event.
+/// @file The coordinator's event handlers.
 
 #include "LibTransfer/Coordinator.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Core::Duration ManifestRetry{100};
+constexpr Core::Duration ManifestRetryDelay{100};
 constexpr std::uint32_t MaximumManifestDoublings = 4;
 constexpr std::size_t MaximumManifestWaiters = 1024;
 
@@ -23,29 +23,29 @@
 
 void Coordinator::registerMethods()
 {
-    m_parts.m_node->handle("transfer.manifest", [sink = m_events](const Wire::IncomingCall &call) {
+    m_parts.m_node->handle("transfer.manifest", [queue = m_events](const Wire::IncomingCall &call) {
         const Core::Result<ManifestRequest> request = Wire::unpack<ManifestRequest>(call.m_body, call.m_peer);
         if (!request) {
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(ManifestRequested{request.value().m_digest, call.m_responder});
+        queue->push(ManifestRequested{request.value().m_digest, call.m_responder});
     });
-    m_parts.m_node->handle("transfer.have", [sink = m_events](const Wire::IncomingCall &call) {
+    m_parts.m_node->handle("transfer.have", [queue = m_events](const Wire::IncomingCall &call) {
         const Core::Result<HaveRequest> request = Wire::unpack<HaveRequest>(call.m_body, call.m_peer);
         if (!request) {
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(FollowRequested{request.value().m_digest, call.m_responder});
+        queue->push(FollowRequested{request.value().m_digest, call.m_responder});
     });
-    m_parts.m_node->handle("transfer.chunk", [sink = m_events](const Wire::IncomingCall &call) {
+    m_parts.m_node->handle("transfer.chunk", [queue = m_events](const Wire::IncomingCall &call) {
         const Core::Result<ChunkRequest> request = Wire::unpack<ChunkRequest>(call.m_body, call.m_peer);
         if (!request) {
             call.m_responder.fail(request.error());
             return;
         }
-        sink->push(ChunkRequested{request.value(), call.m_responder});
+        queue->push(ChunkRequested{request.value(), call.m_responder});
     });
 }
 
@@ -55,7 +55,7 @@
 
 void Coordinator::handle(const ManifestOffered &event)
 {
-    applyPendingChanges(); // The targets that name this version may have been set just before.
+    applyPendingChanges(); // The targets that contain this version may have been set just before.
     Version *version = findVersion(event.m_digest);
     if (!version || version->m_manifest) {
         return;
@@ -143,7 +143,7 @@
     version->m_requests.erase(event.m_request);
     const Core::Instant now = Core::Clock::now();
     if (!event.m_bytes) {
-        LOG_EVERY_N(WARNING, 16) << event.m_bytes.error(); // Each chunk may fail many times while the origin is away.
+        LOG_EVERY_N(WARNING, 16) << event.m_bytes.error(); // Each chunk may fail many times while the origin is unreachable.
         version->m_exchange->onRequestFailed(event.m_request, Failure::Unavailable, now);
         return;
     }
@@ -171,7 +171,7 @@
         return;
     }
     const std::uint32_t doublings = std::min(version->m_manifestFetch.m_attempts, MaximumManifestDoublings);
-    version->m_manifestFetch.m_nextAttemptAt = Core::Clock::now() + ManifestRetry * (std::int64_t{1} << doublings);
+    version->m_manifestFetch.m_nextAttemptAt = Core::Clock::now() + ManifestRetryDelay * (std::int64_t{1} << doublings);
     if (manifest.error().m_code == Core::ErrorCode::Corrupt) {
         m_manifestsBad.add();
         LOG(WARNING) << manifest.error();
@@ -185,7 +185,7 @@
         event.m_responder.reply(version->m_encodedManifest);
         return;
     }
-    // Plans reach replicas at slightly different times, so a version that is unknown now may be wanted in a moment.
+    // Plans reach replicas at slightly different times, so a version that is unknown now may be wanted soon.
     std::erase_if(m_manifestWaiters, [](const Waiter &waiter) { return waiter.m_responder.isCancelled(); });
     if (m_manifestWaiters.size() >= MaximumManifestWaiters) {
         event.m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "give manifest", "", "too many wait"));
@@ -218,8 +218,8 @@
         event.m_responder.fail(Core::makeError(Core::ErrorCode::NotFound, "send chunk", "", "not held"));
         return;
     }
-    const QueuedUpload what{0, event.m_request.m_digest, event.m_request.m_chunk, event.m_request.m_forRegion};
-    m_uploadWorker.offer(UploadJob{what, version->m_chunks[event.m_request.m_chunk], event.m_responder});
+    const QueuedUpload upload{0, event.m_request.m_digest, event.m_request.m_chunk, event.m_request.m_forRegion};
+    m_uploadWorker.offer(UploadJob{upload, version->m_chunks[event.m_request.m_chunk], event.m_responder});
 }
 
 }
--- a/Libraries/LibTransfer/CoordinatorRequests.cpp
+++ b/Libraries/LibTransfer/CoordinatorRequests.cpp
@@ -1,4 +1,4 @@
-/// @file The coordinator's calls to peers and to the origin: manifests, holdings, chunks.
+/// @file The coordinator's calls to peers and to the origin for manifests, holdings and chunks.
 
 #include "LibTransfer/Coordinator.h"
 
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr Core::Duration ManifestTimeout{1500};
-constexpr std::uint32_t OriginEveryAttempts = 3;
+constexpr std::uint32_t OriginAttemptPeriod = 3; ///< Every third attempt reads from the origin instead of a peer.
 constexpr std::size_t ManifestFanOut = 4;
-constexpr Core::Duration ChunkTimeout{30000}; ///< Only a last bound; stalls are judged by progress.
+constexpr Core::Duration ChunkTimeout{30000}; ///< Upper bound only. Stalled requests are detected by their progress.
 
 }
 
@@ -21,37 +21,37 @@
 {
     const std::vector<Control::PlannedReplica> &replicas = version.m_deployment.m_replicas;
     const std::uint32_t attempt = version.m_manifestFetch.m_attempts;
-    const bool isOriginsTurn = attempt % OriginEveryAttempts == OriginEveryAttempts - 1;
-    if (m_parts.m_settings.m_strategy == Strategy::Origin || replicas.size() < 2 || isOriginsTurn) {
+    const bool isOriginAttempt = attempt % OriginAttemptPeriod == OriginAttemptPeriod - 1;
+    if (m_parts.m_settings.m_strategy == Strategy::Origin || replicas.size() < 2 || isOriginAttempt) {
         return std::nullopt;
     }
     if (attempt > 0) {
         return replicas[m_random.below(replicas.size())].m_wire;
     }
-    // A tree in each region, below a tree of the regions' roots: few ask the origin, and nobody answers many.
-    std::vector<Candidate> everybody;
-    std::vector<Candidate> near;
+    // The replicas of each region form a tree, below a tree of the regions' roots. So few replicas ask the origin, and no replica has to answer many others.
+    std::vector<Candidate> allCandidates;
+    std::vector<Candidate> regionCandidates;
     std::optional<Candidate> self;
     for (PeerIndex index = 0; index < replicas.size(); ++index) {
         const Candidate candidate{index, candidateHash(replicas[index].m_instance)};
-        everybody.push_back(candidate);
+        allCandidates.push_back(candidate);
         if (replicas[index].m_region == m_parts.m_self.m_region) {
-            near.push_back(candidate);
+            regionCandidates.push_back(candidate);
         }
         if (replicas[index].m_instance == m_parts.m_self.m_id) {
             self = candidate;
         }
     }
     const std::uint64_t item = itemHash(version.m_deployment.m_digest, ManifestItem);
-    const PeerIndex top = topRanked(item, everybody, 1).front();
+    const PeerIndex top = topRanked(item, allCandidates, 1).front();
     if (!self || top == self->m_peer) {
         return std::nullopt;
     }
-    const std::size_t rank = rankOf(*self, item, near);
+    const std::size_t rank = rankOf(*self, item, regionCandidates);
     if (rank == 0) {
         return replicas[top].m_wire;
     }
-    return replicas[topRanked(item, near, rank)[(rank - 1) / ManifestFanOut]].m_wire;
+    return replicas[topRanked(item, regionCandidates, rank)[(rank - 1) / ManifestFanOut]].m_wire;
 }
 
 void Coordinator::fetchManifest(Version &version, Core::Instant now)
@@ -67,7 +67,7 @@
         const Core::Address origin = this->origin();
         const std::string from = origin.toString();
         OriginJob job{origin, OriginChunk{version.m_deployment.m_model, version.m_deployment.m_version, 0, 0, 0}, {}};
-        job.m_done = [sink = m_events, digest, from](Core::Result<std::string> bytes) { sink->push(ManifestRequestEnded{digest, from, std::move(bytes)}); };
+        job.m_done = [queue = m_events, digest, from](Core::Result<std::string> bytes) { queue->push(ManifestRequestEnded{digest, from, std::move(bytes)}); };
         if (!m_originWorker.offer(std::move(job))) {
             version.m_manifestFetch.m_isOpen = false;
         }
@@ -77,8 +77,8 @@
     const std::shared_ptr<std::string> encoded = std::make_shared<std::string>();
     Wire::CallEvents events;
     events.m_onFrame = [encoded](std::string frame) { *encoded = std::move(frame); };
-    events.m_onEnd = [sink = m_events, digest, from, encoded](const Wire::CallEnd &end) {
-        sink->push(
+    events.m_onEnd = [queue = m_events, digest, from, encoded](const Wire::CallEnd &end) {
+        queue->push(
             ManifestRequestEnded{digest, from, end.m_succeeded ? Core::Result<std::string>(std::move(*encoded)) : Core::Result<std::string>(end.m_error)});
     };
     m_parts.m_node->call(*peer, "transfer.manifest", Wire::pack(ManifestRequest{digest}), Wire::CallOptions{ManifestTimeout}, std::move(events));
@@ -86,7 +86,7 @@
 
 void Coordinator::adoptManifest(Version &version, const std::string &encoded, const Weights::Manifest &manifest)
 {
-    LOG(INFO) << "manifest of digest " << version.m_deployment.m_digest << " known, " << manifest.chunkCount() << " chunks";
+    LOG(INFO) << "manifest of digest " << version.m_deployment.m_digest << " verified, " << manifest.chunkCount() << " chunks";
     version.m_manifest = manifest;
     version.m_encodedManifest = encoded;
     for (std::vector<Waiter>::iterator it = m_manifestWaiters.begin(); it != m_manifestWaiters.end();) {
@@ -146,13 +146,13 @@
     const std::string digest = version.m_deployment.m_digest;
     const std::uint64_t serial = m_nextSerial++;
     Wire::CallEvents events;
-    events.m_onFrame = [sink = m_events, digest, peer, serial](const std::string &frame) {
+    events.m_onFrame = [queue = m_events, digest, peer, serial](const std::string &frame) {
         Core::Result<HaveUpdate> update = Wire::unpack<HaveUpdate>(frame, peer.toString());
         if (update) {
-            sink->push(UpdateReceived{digest, peer, serial, std::move(update.value())});
+            queue->push(UpdateReceived{digest, peer, serial, std::move(update.value())});
         }
     };
-    events.m_onEnd = [sink = m_events, digest, peer, serial](const Wire::CallEnd &) { sink->push(FollowEnded{digest, peer, serial}); };
+    events.m_onEnd = [queue = m_events, digest, peer, serial](const Wire::CallEnd &) { queue->push(FollowEnded{digest, peer, serial}); };
     OpenFollow &open = version.m_follows[peer];
     open.m_serial = serial;
     open.m_call = m_parts.m_node->call(
@@ -163,18 +163,18 @@
 {
     const std::string digest = version.m_deployment.m_digest;
     const RequestId id = action.m_request;
-    const std::shared_ptr<ChunkBuffer> reception = std::make_shared<ChunkBuffer>(version.m_manifest->chunkLength(action.m_chunk));
+    const std::shared_ptr<ChunkBuffer> buffer = std::make_shared<ChunkBuffer>(version.m_manifest->chunkLength(action.m_chunk));
     Wire::CallEvents events;
-    events.m_onFrame = [reception](const std::string &frame) {
-        if (reception->m_bytes.size() <= reception->m_expected) {
-            reception->m_bytes += frame;
-            reception->m_received.store(reception->m_bytes.size(), std::memory_order_relaxed);
+    events.m_onFrame = [buffer](const std::string &frame) {
+        if (buffer->m_bytes.size() <= buffer->m_expected) {
+            buffer->m_bytes += frame;
+            buffer->m_received.store(buffer->m_bytes.size(), std::memory_order_relaxed);
         }
     };
-    events.m_onEnd = [sink = m_events, digest, id, reception](const Wire::CallEnd &end) { sink->push(PeerRequestEnded{digest, id, end, reception}); };
+    events.m_onEnd = [queue = m_events, digest, id, buffer](const Wire::CallEnd &end) { queue->push(PeerRequestEnded{digest, id, end, buffer}); };
     OpenRequest &open = version.m_requests[id];
     open.m_chunk = action.m_chunk;
-    open.m_buffer = reception;
+    open.m_buffer = buffer;
     open.m_peer = action.m_peer;
     open.m_call = m_parts.m_node->call(action.m_peer,
                                        "transfer.chunk",
@@ -182,7 +182,7 @@
                                        Wire::CallOptions{ChunkTimeout},
                                        std::move(events));
     if (action.m_forRegion) {
-        m_bytesAcrossRegions.add(reception->m_expected);
+        m_bytesAcrossRegions.add(buffer->m_expected);
     }
 }
 
@@ -198,7 +198,7 @@
                             version.m_manifest->chunkOffset(action.m_chunk),
                             version.m_manifest->chunkLength(action.m_chunk)};
     OriginJob job{origin(), chunk, {}};
-    job.m_done = [sink = m_events, digest, id](Core::Result<std::string> bytes) { sink->push(OriginRequestEnded{digest, id, std::move(bytes)}); };
+    job.m_done = [queue = m_events, digest, id](Core::Result<std::string> bytes) { queue->push(OriginRequestEnded{digest, id, std::move(bytes)}); };
     if (!m_originWorker.offer(std::move(job))) {
         version.m_requests.erase(id);
         version.m_exchange->onRequestFailed(id, Failure::Unavailable, Core::Clock::now());
--- a/Libraries/LibTransfer/Events.h
+++ b/Libraries/LibTransfer/Events.h
@@ -1,4 +1,4 @@
-/// @file What the other duties tell the coordinator.
+/// @file Events that other threads send to the coordinator.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -16,7 +16,7 @@
 
 namespace Transfer {
 
-/// Collects a chunk's bytes on the node's thread. The coordinator reads m_bytes only after the end of the call.
+/// Receives the bytes of a chunk on the node's thread. The coordinator reads m_bytes only after the end of the call.
 struct ChunkBuffer
 {
     explicit ChunkBuffer(std::size_t expected)
@@ -26,15 +26,15 @@
 
     const std::size_t m_expected;
     std::string m_bytes; ///< At most one frame longer than m_expected.
-    std::atomic<std::uint64_t> m_received = 0; ///< Size of m_bytes, for anybody.
+    std::atomic<std::uint64_t> m_received = 0; ///< Size of m_bytes. May be read on any thread.
 };
 
-/// Something that was set from outside waits to be looked at.
+/// Wakes the coordinator after a change of its pending targets or releases.
 struct WakeUp
 {
 };
 
-/// A peer's holdings came, over the stream with the given serial number.
+/// An update of a peer's holdings, received over the stream with the given serial number.
 struct UpdateReceived
 {
     std::string m_digest;
@@ -50,7 +50,7 @@
     std::uint64_t m_serial = 0;
 };
 
-/// A peer's answer to a request for a chunk is over.
+/// A chunk request to a peer has ended.
 struct PeerRequestEnded
 {
     std::string m_digest;
@@ -73,7 +73,7 @@
     Core::Result<std::string> m_encoded;
 };
 
-/// Calls of peers.
+/// Calls from peers.
 struct ManifestRequested
 {
     std::string m_digest;
@@ -92,7 +92,7 @@
     Wire::Responder m_responder;
 };
 
-/// A manifest that was found on this instance, by the side of the weights' user.
+/// A manifest that the user of the weights found on this instance.
 struct ManifestOffered
 {
     std::string m_digest;
@@ -120,7 +120,7 @@
                            ChunkRequested>;
 
 /**
- * Where other threads leave events for the coordinator. Shared with the callbacks of calls, which can outlive the coordinator.
+ * Queue in which other threads place events for the coordinator. Shared with the callbacks of calls, which can outlive the coordinator.
  */
 class EventQueue
 {
@@ -131,7 +131,8 @@
     {
     }
 
-    /// A lost event harms nobody for long: calls of peers end with an error, and requests without an end are judged stalled.
+    /// Adds an event, or drops it if the queue is full. The effect of a dropped event is temporary: calls from peers end with an error, and a request whose end
+    /// is missing is treated as stalled.
     void push(Event event)
     {
         if (!m_ring.tryPush(std::move(event))) {
@@ -139,9 +140,9 @@
         }
     }
 
-    std::optional<Event> pop(Core::Duration patience)
+    std::optional<Event> pop(Core::Duration timeout)
     {
-        return m_ring.pop(patience);
+        return m_ring.pop(timeout);
     }
 
     void close()
--- a/Libraries/LibTransfer/Exchange.cpp
+++ b/Libraries/LibTransfer/Exchange.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of a replica's part in a burst: what it knows of peers, chunks and requests.
+/// @file Implementation of the exchange: the state of peers, chunks and requests.
 
 #include "LibTransfer/Exchange.h"
 
@@ -9,33 +9,34 @@
 namespace {
 
 constexpr std::size_t RankedPeers = 6;
-constexpr std::size_t FollowedPredecessors = 2; ///< A successor of higher rank follows nobody before it until it has waited.
+constexpr std::size_t FollowedPredecessors = 2; ///< Replicas ranked after this position follow none of their predecessors until the probe delay has passed.
 constexpr std::uint32_t TreeFanOut = 2;
-constexpr Core::Duration TakeoverGrace{400}; ///< Lets a chunk that its first drawer passed on just before it died become visible.
-constexpr Core::Duration JoinGrace{3000}; ///< Replicas learn of a plan at slightly different times.
-constexpr Core::Duration MinimumProbeAfter{4000};
-constexpr Core::Duration FollowRetry{250};
+constexpr Core::Duration TakeoverGrace{400}; ///< Time for a chunk to become known that its first downloader passed on just before it died.
+constexpr Core::Duration JoinGrace{3000}; ///< Replicas receive a plan at slightly different times.
+constexpr Core::Duration MinimumProbeDelay{4000};
+constexpr Core::Duration FollowRetryDelay{250};
 constexpr std::uint32_t MaximumBackoffDoublings = 4;
-constexpr Core::Duration BusyPause{60};
-constexpr Core::Duration LostPause{1000};
-constexpr std::uint32_t FailuresUntilSetAside = 3;
-constexpr Core::Duration SetAsideFor{30000};
-constexpr Core::Duration OriginRetry{250};
-constexpr std::uint32_t OriginFailuresUntilOthersTry = 3;
-constexpr std::uint32_t MaximumOriginDoublings = 1; ///< Half a second at most: a fleet without weights serves nobody, and the origin is asked for little.
-constexpr double Smoothing = 0.2;
-constexpr std::uint64_t OriginLinkInInstanceLinks = 2; ///< Where the origin's rate is not set: it carries about twice as much as an instance's link.
+constexpr Core::Duration BusyRetryDelay{60};
+constexpr Core::Duration FailureRetryDelay{1000};
+constexpr std::uint32_t FailuresUntilExclusion = 3;
+constexpr Core::Duration ExclusionTime{30000};
+constexpr Core::Duration OriginRetryDelay{250};
+constexpr std::uint32_t OriginFailuresUntilTakeover = 3;
+/// The delay is at most half a second: a fleet without weights serves no requests, and these attempts put little load on the origin.
+constexpr std::uint32_t MaximumOriginDoublings = 1;
+constexpr double SmoothingFactor = 0.2;
+constexpr std::uint64_t OriginToInstanceLinkRatio = 2; ///< Used if the origin's rate is not set: its link carries about twice as much as an instance's link.
 
-Core::Duration doubled(Core::Duration base, std::uint32_t failures, std::uint32_t maximumDoublings)
+Core::Duration backoffDelay(Core::Duration base, std::uint32_t failures, std::uint32_t maximumDoublings)
 {
     const std::uint32_t doublings = std::min(failures > 0 ? failures - 1 : 0, maximumDoublings);
     return base * (std::int64_t{1} << doublings);
 }
 
-Core::Duration drawSlot(const TransferSettings &settings, std::uint32_t chunkBytes)
+Core::Duration originChunkTime(const TransferSettings &settings, std::uint32_t chunkBytes)
 {
     const std::uint64_t rate =
-        settings.m_originBytesPerSecond > 0 ? settings.m_originBytesPerSecond : OriginLinkInInstanceLinks * settings.m_downloadBytesPerSecond;
+        settings.m_originBytesPerSecond > 0 ? settings.m_originBytesPerSecond : OriginToInstanceLinkRatio * settings.m_downloadBytesPerSecond;
     if (rate == 0) {
         return Core::Duration(0);
     }
@@ -43,15 +44,16 @@
     return Core::Duration(chunkBytes * millisecondsPerSecond / rate);
 }
 
-/// A chunk that is due and unseen for as long as a whole burst should take makes higher ranks look at the lower ones. Sooner, hundreds
-/// of replicas would look for chunks that are merely on their way, and the connections would slow the burst down.
-Core::Duration probeAfter(const TransferSettings &settings, const Weights::Manifest &manifest)
+/// Returns the delay after which the ranked downloaders and importers of a chunk follow all its possible sources, if the chunk is due and not held by any
+/// followed peer. The delay is as long as a whole burst should take. With a shorter delay, hundreds of replicas would search for chunks that are merely in
+/// transit, and the additional connections would slow the burst down.
+Core::Duration probeDelay(const TransferSettings &settings, const Weights::Manifest &manifest)
 {
     if (settings.m_downloadBytesPerSecond == 0) {
-        return MinimumProbeAfter;
+        return MinimumProbeDelay;
     }
     constexpr std::uint64_t millisecondsPerSecond = 1000;
-    return std::max(MinimumProbeAfter, Core::Duration(manifest.m_totalBytes * millisecondsPerSecond / settings.m_downloadBytesPerSecond));
+    return std::max(MinimumProbeDelay, Core::Duration(manifest.m_totalBytes * millisecondsPerSecond / settings.m_downloadBytesPerSecond));
 }
 
 }
@@ -62,8 +64,8 @@
     , m_manifest(manifest)
     , m_startedAt(now)
     , m_random(m_identity.m_seed)
-    , m_originChunkTime(drawSlot(settings, manifest.m_chunkBytes))
-    , m_probeDelay(probeAfter(settings, manifest))
+    , m_originChunkTime(originChunkTime(settings, manifest.m_chunkBytes))
+    , m_probeDelay(probeDelay(settings, manifest))
     , m_chunks(manifest.chunkCount())
     , m_held(manifest.chunkCount(), false)
     , m_nextRequest(m_random.next() >> 8U)
@@ -100,17 +102,17 @@
 
 void Exchange::rankChunks()
 {
-    std::vector<Candidate> everybody;
-    std::vector<Candidate> near;
+    std::vector<Candidate> allCandidates;
+    std::vector<Candidate> regionCandidates;
     std::map<std::string, std::vector<Candidate>> regions;
     for (const Peer &peer : m_peers) {
         if (!peer.m_isListed) {
             continue;
         }
-        everybody.push_back(peer.m_candidate);
+        allCandidates.push_back(peer.m_candidate);
         regions[peer.m_replica.m_region].push_back(peer.m_candidate);
         if (peer.m_isSameRegion) {
-            near.push_back(peer.m_candidate);
+            regionCandidates.push_back(peer.m_candidate);
         }
     }
     m_regions.clear();
@@ -120,16 +122,16 @@
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
         Chunk &chunk = m_chunks[index];
         const std::uint64_t item = itemHash(m_identity.m_digest, index);
-        chunk.m_downloaders = topRanked(item, everybody, RankedPeers);
-        chunk.m_importers = topRanked(item, near, RankedPeers);
+        chunk.m_downloaders = topRanked(item, allCandidates, RankedPeers);
+        chunk.m_importers = topRanked(item, regionCandidates, RankedPeers);
         chunk.m_isDownloader = m_self && std::find(chunk.m_downloaders.begin(), chunk.m_downloaders.end(), *m_self) != chunk.m_downloaders.end();
         chunk.m_isImporter = m_self && std::find(chunk.m_importers.begin(), chunk.m_importers.end(), *m_self) != chunk.m_importers.end();
-        chunk.m_downloadRank = m_self ? static_cast<std::uint32_t>(rankOf(m_peers[*m_self].m_candidate, item, everybody)) : ~std::uint32_t{0};
+        chunk.m_downloadRank = m_self ? static_cast<std::uint32_t>(rankOf(m_peers[*m_self].m_candidate, item, allCandidates)) : ~std::uint32_t{0};
     }
     if (m_settings.m_strategy != Strategy::Tree || !m_self) {
         return;
     }
-    const std::vector<PeerIndex> order = topRanked(itemHash(m_identity.m_digest, ManifestItem), everybody, everybody.size());
+    const std::vector<PeerIndex> order = topRanked(itemHash(m_identity.m_digest, ManifestItem), allCandidates, allCandidates.size());
     const std::size_t position = static_cast<std::size_t>(std::find(order.begin(), order.end(), *m_self) - order.begin());
     m_treeParent = position == 0 ? std::nullopt : std::optional<PeerIndex>(order[(position - 1) / TreeFanOut]);
 }
@@ -154,13 +156,13 @@
         }
         return;
     }
-    std::vector<Candidate> near;
+    std::vector<Candidate> regionCandidates;
     for (const Peer &peer : m_peers) {
         if (peer.m_isListed && peer.m_isSameRegion) {
-            near.push_back(peer.m_candidate);
+            regionCandidates.push_back(peer.m_candidate);
         }
     }
-    for (const PeerIndex neighbour : ringNeighbours(m_peers[*m_self].m_candidate, near, m_settings.m_neighbours)) {
+    for (const PeerIndex neighbour : ringNeighbours(m_peers[*m_self].m_candidate, regionCandidates, m_settings.m_neighbours)) {
         markForFollowing(neighbour);
     }
     for (const Chunk &chunk : m_chunks) {
@@ -227,7 +229,7 @@
     if (found->second.m_peer) {
         const double seconds = Core::secondsBetween(found->second.m_sentAt, now);
         m_peers[*found->second.m_peer].m_consecutiveFailures = 0;
-        m_smoothedRequestSeconds = m_smoothedRequestSeconds == 0 ? seconds : m_smoothedRequestSeconds + Smoothing * (seconds - m_smoothedRequestSeconds);
+        m_smoothedRequestSeconds = m_smoothedRequestSeconds == 0 ? seconds : m_smoothedRequestSeconds + SmoothingFactor * (seconds - m_smoothedRequestSeconds);
     } else {
         m_originRecoveredAt = canDownloadFromOrigin() ? m_originRecoveredAt : std::optional<Core::Instant>(now);
         m_consecutiveOriginFailures = 0;
@@ -248,20 +250,20 @@
     }
     if (!request.m_peer) {
         ++m_consecutiveOriginFailures;
-        m_nextOriginRequestAt = now + doubled(OriginRetry, m_consecutiveOriginFailures, MaximumOriginDoublings);
+        m_nextOriginRequestAt = now + backoffDelay(OriginRetryDelay, m_consecutiveOriginFailures, MaximumOriginDoublings);
         return;
     }
     Peer &peer = m_peers[*request.m_peer];
     switch (failure) {
     case Failure::Busy:
         ++m_counts.m_busy;
-        peer.m_usableAfter = now + BusyPause;
+        peer.m_usableAfter = now + BusyRetryDelay;
         break;
     case Failure::Unavailable:
         recordFailure(peer, now);
         break;
     case Failure::Corrupt:
-        // One bad chunk can be a damaged link, but nothing tells it from a peer whose memory is bad, and there are other peers.
+        // A single corrupt chunk may be caused by a damaged link, but this cannot be told from a peer with faulty memory, and other peers are available.
         peer.m_sentCorruptChunk = true;
         peer.m_shouldFollow = false;
         break;
@@ -270,13 +272,13 @@
 
 void Exchange::recordFailure(Peer &peer, Core::Instant now)
 {
-    peer.m_usableAfter = now + LostPause;
-    if (++peer.m_consecutiveFailures < FailuresUntilSetAside) {
+    peer.m_usableAfter = now + FailureRetryDelay;
+    if (++peer.m_consecutiveFailures < FailuresUntilExclusion) {
         return;
     }
-    // A peer that announces chunks and never delivers them would keep everybody from fetching them elsewhere.
+    // A peer that announces chunks and never delivers them would prevent all replicas from fetching these chunks elsewhere.
     peer.m_consecutiveFailures = 0;
-    peer.m_excludedUntil = now + SetAsideFor;
+    peer.m_excludedUntil = now + ExclusionTime;
 }
 
 bool Exchange::isExcluded(const Peer &peer, Core::Instant now)
@@ -286,7 +288,7 @@
 
 bool Exchange::canDownloadFromOrigin() const
 {
-    return m_consecutiveOriginFailures < OriginFailuresUntilOthersTry;
+    return m_consecutiveOriginFailures < OriginFailuresUntilTakeover;
 }
 
 void Exchange::onRequestProgress(RequestId id, std::uint64_t bytes, Core::Instant now)
@@ -336,7 +338,7 @@
     Peer &peer = m_peers[*index];
     peer.m_followState = FollowState::NotFollowing;
     ++peer.m_followFailures;
-    peer.m_nextFollowAt = now + doubled(FollowRetry, peer.m_followFailures, MaximumBackoffDoublings);
+    peer.m_nextFollowAt = now + backoffDelay(FollowRetryDelay, peer.m_followFailures, MaximumBackoffDoublings);
     peer.m_holds.assign(m_manifest.chunkCount(), false);
     peer.m_heldCount = 0;
     markAbsent(peer, now);
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -1,4 +1,5 @@
-/// @file Decides, for one version of the weights on one replica, what to ask of whom. No threads, no sockets; time and randomness are passed in.
+/// @file Decides, for one version of the weights on one replica, which chunks to request from which peer or the origin. Uses no threads and no sockets; time
+/// and randomness are passed in.
 #pragma once
 
 #include "LibControl/Model.h"
@@ -24,56 +25,56 @@
 enum class ActionKind {
     Follow, ///< Open a stream of a peer's holdings.
     Unfollow,
-    RequestFromPeer, ///< Ask a peer for a chunk.
-    RequestFromOrigin, ///< Draw a chunk from the origin.
-    Cancel, ///< Give up a request; nothing of it is reported back.
+    RequestFromPeer, ///< Request a chunk from a peer.
+    RequestFromOrigin, ///< Download a chunk from the origin.
+    Cancel, ///< Abandon a request. Its end is not reported back.
 };
 
-/// What the exchange wants done.
+/// An action that the exchange requests from its caller.
 struct Action
 {
     ActionKind m_kind = ActionKind::Follow;
-    Core::Address m_peer; ///< For Follow, Unfollow and AskPeer.
-    RequestId m_request = 0; ///< For AskPeer, AskOrigin and Cancel.
+    Core::Address m_peer; ///< For Follow, Unfollow and RequestFromPeer.
+    RequestId m_request = 0; ///< For RequestFromPeer, RequestFromOrigin and Cancel.
     Weights::ChunkIndex m_chunk = 0;
-    bool m_forRegion = false; ///< For AskPeer: the first copy for this region.
+    bool m_forRegion = false; ///< For RequestFromPeer: the first copy for this region.
 
     bool operator==(const Action &) const = default;
 };
 
-/// How a request ended without its chunk.
+/// Why a request ended without its chunk.
 enum class Failure {
-    Busy, ///< The peer refused for now.
-    Unavailable, ///< The peer or the origin could not be reached, or the answer broke off.
+    Busy, ///< The peer refused the request for now.
+    Unavailable, ///< The peer or the origin was unreachable, or the connection broke during the answer.
     Corrupt, ///< The answer does not match the chunk's digest.
 };
 
-/// How much of its part a replica does.
+/// Which actions a replica takes for a version.
 enum class TransferMode {
-    MonitorOnly, ///< It only watches its requests.
-    Full,
-    OwnDownloadsOnly, ///< It draws from the origin what it is the first to draw, and asks nothing of peers.
+    MonitorOnly, ///< It only monitors its open requests.
+    Full, ///< It takes all actions.
+    OwnDownloadsOnly, ///< It downloads from the origin the chunks for which it is the first downloader, and requests nothing from peers.
 };
 
-/// Counted events, for metrics.
+/// Counters of events, for metrics.
 struct ExchangeCounts
 {
     std::uint64_t m_stalls = 0;
     std::uint64_t m_hedges = 0;
     std::uint64_t m_busy = 0;
     std::uint64_t m_badChunks = 0;
-    std::uint64_t m_takeovers = 0; ///< Chunks that a successor drew or imported in place of the first in rank.
+    std::uint64_t m_takeovers = 0; ///< Chunks that a successor downloaded or imported instead of the replica of the first rank.
 
     bool operator==(const ExchangeCounts &) const = default;
 };
 
 /**
- * One replica's part in a burst of one version.
+ * One replica's part in the distribution of one version.
  *
- * For every chunk rendezvous hashing ranks all replicas as drawers from the origin, and the replicas of each region as importers
- * into it. The first in rank acts; a successor acts once everybody before it is known not to: the stream of its holdings ended or
- * fell silent, it does not take part, or it cannot reach the origin. So each chunk leaves the origin about once and crosses a pair
- * of regions once, with nothing to agree on, and the work is spread over all links.
+ * For every chunk, rendezvous hashing ranks all replicas as downloaders from the origin, and the replicas of each region as importers into that region. The
+ * replica of the first rank acts. A successor acts once all replicas ranked before it are known not to: the stream of their holdings has ended or is silent,
+ * they do not participate, or they cannot reach the origin. Thus each chunk is downloaded from the origin about once and crosses each pair of regions once
+ * without coordination, and the load is spread over all links.
  */
 class Exchange
 {
@@ -81,31 +82,33 @@
     struct Identity
     {
         std::string m_digest;
-        std::string m_instance; ///< The own one.
+        std::string m_instance; ///< Identifier of the own instance.
         std::string m_region;
         std::uint64_t m_seed = 0;
     };
 
     Exchange(const TransferSettings &settings, Identity identity, const Weights::Manifest &manifest, Core::Instant now);
 
-    /// The replicas of the newest plan, the own one included, and the origin budget in copies.
+    /// Sets the replicas of the newest plan, including this one, and the origin budget in copies.
     void setReplicas(const std::vector<Control::PlannedReplica> &replicas, std::uint32_t originCopies);
 
-    /// A chunk is held and verified, from wherever it came. Returns what that makes superfluous.
+    /// Records that a chunk is held and verified, regardless of its source. Returns actions that cancel the requests no longer needed.
     std::vector<Action> onChunkHeld(Weights::ChunkIndex chunk, Core::Instant now);
-    /// The request brought its chunk; chunkHeld() must follow.
+    /// Records that the request delivered its chunk. Must be followed by onChunkHeld().
     void onRequestSucceeded(RequestId request, Core::Instant now);
     void onRequestFailed(RequestId request, Failure failure, Core::Instant now);
-    /// Bytes of the answer so far.
+    /// Records the number of bytes received so far for a request.
     void onRequestProgress(RequestId request, std::uint64_t bytes, Core::Instant now);
 
+    /// Applies an update of a peer's holdings.
     void onUpdate(const Core::Address &peer, const HaveUpdate &update, Core::Instant now);
+    /// Handles the end of the stream of a peer's holdings.
     void onFollowEnded(const Core::Address &peer, Core::Instant now);
 
-    /// Everything that is to be done now.
-    std::vector<Action> decide(Pacer &download, Core::Instant now, Effort effort = Effort::Full);
+    /// Returns all actions to be performed now.
+    std::vector<Action> decide(Pacer &download, Core::Instant now, TransferMode mode = TransferMode::Full);
 
-    /// Every chunk's turn on the origin's link has come, by the rate that is known of it.
+    /// Returns whether the downloads of all chunks from the origin are due, according to the known rate of the origin's link.
     bool areDownloadsDue(Core::Instant now) const;
 
     bool isComplete() const
@@ -120,7 +123,7 @@
     {
         return m_held;
     }
-    /// False if several draws in a row failed, so that others should try.
+    /// Returns false if several downloads from the origin failed in a row, so that other replicas should try.
     bool canDownloadFromOrigin() const;
     const ExchangeCounts &counts() const
     {
@@ -130,7 +133,7 @@
     {
         return m_requests.contains(request);
     }
-    /// Requests that have not ended, for a look at their progress.
+    /// Returns the requests that have not ended, to inspect their progress.
     std::vector<RequestId> openRequests() const;
 
 private:
@@ -144,19 +147,19 @@
         Control::PlannedReplica m_replica;
         Candidate m_candidate;
         bool m_isSelf = false;
-        bool m_isSameRegion = false; ///< Of the own region.
+        bool m_isSameRegion = false; ///< In the region of this replica.
         bool m_isListed = false; ///< In the newest plan.
-        bool m_shouldFollow = false; ///< To be followed.
+        bool m_shouldFollow = false; ///< The peer's holdings should be followed.
         FollowState m_followState = FollowState::NotFollowing;
-        Core::Instant m_nextFollowAt; ///< No new attempt before.
+        Core::Instant m_nextFollowAt; ///< The peer is not followed again before this time.
         std::uint32_t m_followFailures = 0;
-        std::optional<Core::Instant> m_absentSince; ///< Known not to do its part since then.
+        std::optional<Core::Instant> m_absentSince; ///< Since when the peer is known not to act; empty if it acts.
         Core::Instant m_lastHeardAt;
-        bool m_hasAnswered = false; ///< An update has come since it was first followed.
+        bool m_hasAnswered = false; ///< An update was received since the peer was first followed.
         bool m_canDownloadFromOrigin = true;
-        bool m_sentCorruptChunk = false; ///< Set aside for good.
-        Core::Instant m_excludedUntil; ///< Set aside for a while, because it held requests up again and again.
-        std::uint32_t m_consecutiveFailures = 0; ///< Requests that stalled or broke off since the last good chunk.
+        bool m_sentCorruptChunk = false; ///< The peer is permanently excluded.
+        Core::Instant m_excludedUntil; ///< The peer is temporarily excluded, because its requests stalled repeatedly.
+        std::uint32_t m_consecutiveFailures = 0; ///< Requests that stalled or broke off since the last valid chunk.
         Core::Instant m_usableAfter;
         std::uint32_t m_openRequests = 0;
         std::uint32_t m_queuedUploads = 0;
@@ -166,13 +169,13 @@
 
     struct Chunk
     {
-        std::vector<PeerIndex> m_downloaders; ///< First in rank first; only the first few.
-        std::vector<PeerIndex> m_importers; ///< Of the own region, in the same order; the first drawer is the first importer of its region.
+        std::vector<PeerIndex> m_downloaders; ///< Highest rank first; only the first few ranks.
+        std::vector<PeerIndex> m_importers; ///< Replicas of the own region in the same order. The first downloader is the first importer of its region.
         std::uint32_t m_openRequests = 0;
-        std::uint32_t m_downloadRank = 0; ///< Own rank as a drawer.
-        bool m_isDownloader = false; ///< The own replica is in m_drawers.
-        bool m_isImporter = false; ///< The own replica is in m_importers.
-        bool m_isLateDownload = false; ///< See noteLateChunks().
+        std::uint32_t m_downloadRank = 0; ///< Rank of this replica among the downloaders.
+        bool m_isDownloader = false; ///< This replica is in m_downloaders.
+        bool m_isImporter = false; ///< This replica is in m_importers.
+        bool m_isLateDownload = false; ///< See markLateChunks().
         bool m_isLateImport = false;
     };
 
@@ -193,14 +196,14 @@
     void markAbsent(Peer &peer, Core::Instant now);
     bool isAbsent(const Peer &peer, Core::Instant now) const;
     bool isFirstAvailable(const std::vector<PeerIndex> &ranked, bool needsOrigin, Core::Instant now) const;
-    /// Whether this replica may draw what others before it say they cannot draw.
+    /// Returns whether this replica may download in place of replicas ranked before it that report that they cannot.
     bool mayReplaceDownloaders(Core::Instant now) const;
     bool mayImport(const Chunk &chunk, Core::Instant now) const;
-    /// Notes the chunks whose first drawer or importer lags behind all others, so that this replica should do its part.
+    /// Marks the chunks that their first downloader or importer delivers later than all others, so that this replica should act in its place.
     void markLateChunks(Core::Instant now);
-    bool isScarce(Weights::ChunkIndex index, bool onlyNear, Core::Instant now) const;
-    /// Whether few of the chunks that are due are scarce: then those few have slow replicas in common, not a slow origin.
-    bool areFewChunksScarce(bool onlyNear, Core::Instant now) const;
+    bool isScarce(Weights::ChunkIndex index, bool onlySameRegion, Core::Instant now) const;
+    /// Returns whether only few of the due chunks are scarce. If so, the cause is slow replicas and not a slow origin.
+    bool areFewChunksScarce(bool onlySameRegion, Core::Instant now) const;
     std::optional<std::size_t> ownRank(const std::vector<PeerIndex> &ranked) const;
     bool isRequestedFromOrigin(Weights::ChunkIndex index) const;
     bool mayDownload(Weights::ChunkIndex index, Core::Instant now) const;
@@ -228,9 +231,9 @@
     Core::Duration m_originChunkTime{0}; ///< Time that one chunk takes on the origin's link.
     Core::Duration m_probeDelay{0};
     std::uint32_t m_originCopies = 1;
-    std::vector<Peer> m_peers; ///< Positions never change; peers that left the plan stay, unlisted.
+    std::vector<Peer> m_peers; ///< Indices never change. Peers that left the plan are kept but not listed.
     std::optional<PeerIndex> m_self;
-    std::optional<PeerIndex> m_treeParent; ///< For the tree only; empty at its root.
+    std::optional<PeerIndex> m_treeParent; ///< For the tree strategy only; empty at the root.
     std::vector<std::vector<Candidate>> m_regions; ///< Listed peers of each region.
     std::vector<Chunk> m_chunks;
     std::vector<bool> m_held; ///< m_heldCount elements are true.
@@ -239,11 +242,11 @@
     RequestId m_nextRequest = 1;
     std::uint32_t m_peerRequests = 0; ///< Open requests to peers.
     std::uint32_t m_originRequests = 0; ///< Open requests to the origin.
-    std::uint32_t m_consecutiveOriginFailures = 0; ///< In a row.
-    std::optional<Core::Instant> m_originRecoveredAt; ///< First success after failures that made others try; empty if there were none.
-    Core::Instant m_nextOriginRequestAt; ///< No draw before.
-    Core::Instant m_nextSourceCheck; ///< When to look again at whom to follow for chunks that are missing.
-    double m_smoothedRequestSeconds = 0; ///< Smoothed time from asking a peer to the whole chunk; 0 while unknown.
+    std::uint32_t m_consecutiveOriginFailures = 0; ///< Failed downloads since the last successful one.
+    std::optional<Core::Instant> m_originRecoveredAt; ///< First success after so many failures that other replicas took over; empty if there were none.
+    Core::Instant m_nextOriginRequestAt; ///< No download from the origin starts before this time.
+    Core::Instant m_nextSourceCheck; ///< When the followed sources of missing chunks are next reviewed.
+    double m_smoothedRequestSeconds = 0; ///< Smoothed time from a request to a peer until the chunk is complete, in seconds; 0 while unknown.
     ExchangeCounts m_counts;
 };
 
--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -1,4 +1,4 @@
-/// @file What an exchange decides: whom to follow, what to draw from the origin, what to ask of peers, what to ask again.
+/// @file Decisions of an exchange: which peers to follow, what to download from the origin, what to request from peers and what to request again.
 
 #include "LibTransfer/Exchange.h"
 
@@ -9,24 +9,29 @@
 namespace {
 
 constexpr std::uint32_t RequestsPerPeer = 2;
-constexpr Core::Duration PeerSilence{2500}; ///< Signs of life come every half second.
-constexpr Core::Duration NeighboursAnswerWithin{150}; ///< Several round trips; while it runs the origin's link is idle, for a new version in vain.
-constexpr Core::Duration SourcesInterval{100};
-constexpr int QueueLimitInStallLimits = 3; ///< How much longer an answer may wait to begin than to go on.
-constexpr Core::Duration OriginSettles{1000}; ///< After its return; twice the longest pause between two tries, so that everybody has reached it by then.
-constexpr Core::Duration LastResort{60000}; ///< A chunk that is due and unseen for this long is drawn though the first in rank seems well.
+constexpr Core::Duration PeerSilenceLimit{2500}; ///< Peers send a heartbeat every half second.
+constexpr Core::Duration NeighbourAnswerLimit{150}; ///< Several round trips. For a new version the origin's link is needlessly idle during this time.
+constexpr Core::Duration SourceCheckInterval{100};
+constexpr int QueueToStallLimitRatio = 3; ///< Ratio of the time that an answer may take to begin to the time that it may stall afterwards.
+/// Replicas take over from others only this long after the origin's recovery: twice the longest retry delay, so that all replicas have reached the origin by
+/// then.
+constexpr Core::Duration OriginSettleTime{1000};
+/// A chunk that is due and not held by any followed peer for this long is downloaded even if the replica of the first rank appears healthy.
+constexpr Core::Duration LastResortDelay{60000};
 /**
- * A chunk that is due for so long and still at no more than one replica is also fetched by the second in rank, after as long again by the third. An
- * estimate: longer than a chunk of a healthy drawer takes to spread, short against the bound of a version. Three instances of 27 whose links carried a
- * twelfth held their chunks back for 6 s, and with them the whole fleet.
+ * A chunk that is due for this long and still held by at most one replica is also fetched by the second replica in rank, and after the same time again by the
+ * third. The delay is longer than a chunk of a healthy downloader takes to spread, and short compared with the deadline of a version. Without this rule, three
+ * of 27 instances whose links had a twelfth of the usual rate held back their chunks, and with them the whole fleet, for 6 s.
  */
-constexpr Core::Duration LateAfter{900};
-constexpr std::size_t LateRanks = 2;
-constexpr std::size_t ScarceHolders = 1;
-constexpr std::size_t MostAbout = 4; ///< One in so many due chunks may be scarce; if more are, the origin is slow, and asking twice would slow it further.
+constexpr Core::Duration LateChunkDelay{900};
+constexpr std::size_t LateTakeoverRanks = 2;
+constexpr std::size_t MaximumScarceHolders = 1;
+/// At least this many due chunks are required for each scarce chunk. If more chunks are scarce the origin is slow, and requesting chunks twice would slow it
+/// down further.
+constexpr std::size_t DueChunksPerScarceChunk = 4;
 constexpr Core::Duration MinimumHedgeAge{500};
 constexpr double HedgeFactor = 4;
-constexpr std::uint32_t DrawsAhead = 2; ///< Draws that share the origin's link, so that it is never idle between two.
+constexpr std::uint32_t ConcurrentOriginDownloads = 2; ///< Concurrent downloads that share the origin's link, so that it is never idle between two of them.
 
 }
 
@@ -37,8 +42,8 @@
         if (peer.m_isSelf) {
             return true;
         }
-        const bool cannotDraw = needsOrigin && mayReplaceDownloaders(now) && peer.m_followState == FollowState::Following && !peer.m_canDownloadFromOrigin;
-        if (!isAbsent(peer, now) && !cannotDraw) {
+        const bool cannotDownload = needsOrigin && mayReplaceDownloaders(now) && peer.m_followState == FollowState::Following && !peer.m_canDownloadFromOrigin;
+        if (!isAbsent(peer, now) && !cannotDownload) {
             return false;
         }
     }
@@ -46,12 +51,12 @@
 }
 
 /**
- * When the origin is away from everybody, everybody says that it cannot draw. If each then stood in for all before it, the origin would be asked for every
- * chunk by every successor on its return, and its link would carry each chunk several times.
+ * While the origin is unreachable for all replicas, all report that they cannot download. If each replica then took over from all replicas ranked before it,
+ * every successor would request every chunk when the origin recovers, and its link would carry each chunk several times.
  */
 bool Exchange::mayReplaceDownloaders(Core::Instant now) const
 {
-    const bool isSettled = !m_originRecoveredAt || now - *m_originRecoveredAt >= OriginSettles;
+    const bool isSettled = !m_originRecoveredAt || now - *m_originRecoveredAt >= OriginSettleTime;
     return canDownloadFromOrigin() && isSettled;
 }
 
@@ -62,8 +67,8 @@
 
 bool Exchange::haveNeighboursAnswered(Core::Instant now) const
 {
-    // A replica that joins late finds everything nearby; drawing before it has looked would cost origin bytes for nothing.
-    if (now - m_startedAt >= NeighboursAnswerWithin) {
+    // A replica that joins late finds all chunks at its neighbours. Downloading before they have answered would use the origin's link needlessly.
+    if (now - m_startedAt >= NeighbourAnswerLimit) {
         return true;
     }
     return std::none_of(m_peers.begin(), m_peers.end(), [](const Peer &peer) { return peer.m_shouldFollow && !peer.m_hasAnswered; });
@@ -71,10 +76,10 @@
 
 bool Exchange::isDownloadDue(Weights::ChunkIndex index, std::uint32_t round, Core::Instant now) const
 {
-    // Draws that all began at once would share the origin's link and all end late, with nothing to pass on before.
-    // Slots by the chunk's position keep them in a row without a word between the drawers.
+    // If all downloads began at the same time they would share the origin's link and all end late, with nothing to pass on before. Start times by chunk
+    // position serialize them without coordination between the downloaders.
     const std::uint64_t position = std::uint64_t{round} * m_manifest.chunkCount() + index;
-    const std::uint64_t slots = position > DrawsAhead ? position - DrawsAhead : 0;
+    const std::uint64_t slots = position > ConcurrentOriginDownloads ? position - ConcurrentOriginDownloads : 0;
     return now - m_startedAt >= m_originChunkTime * static_cast<std::int64_t>(slots);
 }
 
@@ -94,41 +99,41 @@
     return own == ranked.end() ? std::nullopt : std::optional<std::size_t>(own - ranked.begin());
 }
 
-bool Exchange::isScarce(Weights::ChunkIndex index, bool onlyNear, Core::Instant now) const
+bool Exchange::isScarce(Weights::ChunkIndex index, bool onlySameRegion, Core::Instant now) const
 {
     if (m_held[index]) {
         return false;
     }
-    const std::int64_t holders = std::count_if(m_peers.begin(), m_peers.end(), [index, onlyNear, now](const Peer &peer) {
-        return peer.m_holds[index] && (peer.m_isSameRegion || !onlyNear) && !isExcluded(peer, now);
+    const std::int64_t holders = std::count_if(m_peers.begin(), m_peers.end(), [index, onlySameRegion, now](const Peer &peer) {
+        return peer.m_holds[index] && (peer.m_isSameRegion || !onlySameRegion) && !isExcluded(peer, now);
     });
-    return static_cast<std::size_t>(holders) <= ScarceHolders;
+    return static_cast<std::size_t>(holders) <= MaximumScarceHolders;
 }
 
-bool Exchange::areFewChunksScarce(bool onlyNear, Core::Instant now) const
+bool Exchange::areFewChunksScarce(bool onlySameRegion, Core::Instant now) const
 {
     std::size_t due = 0;
     std::size_t scarce = 0;
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
-        const bool isDue = isDownloadDue(index, 0, now - LateAfter);
+        const bool isDue = isDownloadDue(index, 0, now - LateChunkDelay);
         due += isDue ? 1 : 0;
-        scarce += isDue && isScarce(index, onlyNear, now) ? 1 : 0;
+        scarce += isDue && isScarce(index, onlySameRegion, now) ? 1 : 0;
     }
-    return scarce * MostAbout <= due;
+    return scarce * DueChunksPerScarceChunk <= due;
 }
 
 void Exchange::markLateChunks(Core::Instant now)
 {
-    const bool isDrawDue = areFewChunksScarce(false, now);
-    const bool isImportDue = areFewChunksScarce(true, now);
+    const bool mayBeLateDownload = areFewChunksScarce(false, now);
+    const bool mayBeLateImport = areFewChunksScarce(true, now);
     for (Weights::ChunkIndex index = 0; index < m_manifest.chunkCount(); ++index) {
-        const auto isLate = [this, index, now](const std::vector<PeerIndex> &ranked, bool onlyNear) {
+        const auto isLate = [this, index, now](const std::vector<PeerIndex> &ranked, bool onlySameRegion) {
             const std::optional<std::size_t> rank = ownRank(ranked);
-            return rank && *rank > 0 && *rank <= LateRanks && isDownloadDue(index, 0, now - LateAfter * static_cast<std::int64_t>(*rank))
-                && isScarce(index, onlyNear, now);
+            return rank && *rank > 0 && *rank <= LateTakeoverRanks && isDownloadDue(index, 0, now - LateChunkDelay * static_cast<std::int64_t>(*rank))
+                && isScarce(index, onlySameRegion, now);
         };
-        m_chunks[index].m_isLateDownload = isDrawDue && isLate(m_chunks[index].m_downloaders, false);
-        m_chunks[index].m_isLateImport = isImportDue && isLate(m_chunks[index].m_importers, true);
+        m_chunks[index].m_isLateDownload = mayBeLateDownload && isLate(m_chunks[index].m_downloaders, false);
+        m_chunks[index].m_isLateImport = mayBeLateImport && isLate(m_chunks[index].m_importers, true);
     }
 }
 
@@ -154,10 +159,10 @@
     if (chunk.m_isLateDownload) {
         return true;
     }
-    if (isDownloadDue(index, 0, now - LastResort * (chunk.m_downloadRank + 1)) && !isHeldByPeer(index, now)) {
+    if (isDownloadDue(index, 0, now - LastResortDelay * (chunk.m_downloadRank + 1)) && !isHeldByPeer(index, now)) {
         return true;
     }
-    // Within the origin budget, further ranks draw a second and later copy when nothing nearer has brought the chunk by their turn.
+    // Within the origin budget, replicas of further ranks download a second or later copy if no nearer source has delivered the chunk by their start time.
     return chunk.m_downloadRank < m_originCopies && isDownloadDue(index, chunk.m_downloadRank, now);
 }
 
@@ -166,18 +171,18 @@
     std::vector<SourcePeer> peers;
     for (PeerIndex index = 0; index < m_peers.size(); ++index) {
         const Peer &peer = m_peers[index];
-        const bool waitsForAll = m_settings.m_strategy == Strategy::Tree && peer.m_heldCount < m_manifest.chunkCount();
-        if (peer.m_followState != FollowState::Following || peer.m_heldCount == 0 || isExcluded(peer, now) || waitsForAll) {
+        const bool waitsForCompletePeer = m_settings.m_strategy == Strategy::Tree && peer.m_heldCount < m_manifest.chunkCount();
+        if (peer.m_followState != FollowState::Following || peer.m_heldCount == 0 || isExcluded(peer, now) || waitsForCompletePeer) {
             continue;
         }
-        SourcePeer pick;
-        pick.m_peer = index;
-        // The tree crosses regions as it comes.
-        pick.m_isSameRegion = peer.m_isSameRegion || m_settings.m_strategy == Strategy::Tree;
-        pick.m_isUsable = now >= peer.m_usableAfter && peer.m_openRequests < RequestsPerPeer && now - peer.m_lastHeardAt < PeerSilence;
-        pick.m_load = peer.m_openRequests + peer.m_queuedUploads;
-        pick.m_holds = &peer.m_holds;
-        peers.push_back(pick);
+        SourcePeer source;
+        source.m_peer = index;
+        // The tree ignores region boundaries.
+        source.m_isSameRegion = peer.m_isSameRegion || m_settings.m_strategy == Strategy::Tree;
+        source.m_isUsable = now >= peer.m_usableAfter && peer.m_openRequests < RequestsPerPeer && now - peer.m_lastHeardAt < PeerSilenceLimit;
+        source.m_load = peer.m_openRequests + peer.m_queuedUploads;
+        source.m_holds = &peer.m_holds;
+        peers.push_back(source);
     }
     return peers;
 }
@@ -191,21 +196,21 @@
     return open;
 }
 
-std::vector<Action> Exchange::decide(Pacer &download, Core::Instant now, Effort effort)
+std::vector<Action> Exchange::decide(Pacer &download, Core::Instant now, TransferMode mode)
 {
     std::vector<Action> actions;
     if (!m_self) {
         return actions;
     }
     decideStalls(actions, now);
-    if (effort == Effort::MonitorOnly) {
+    if (mode == TransferMode::MonitorOnly) {
         return actions;
     }
     decideFollows(actions, now);
     if (!isComplete()) {
         decideDownloads(actions, download, now);
     }
-    if (!isComplete() && effort == Effort::Full) {
+    if (!isComplete() && mode == TransferMode::Full) {
         decideRequests(actions, download, now);
         decideHedges(actions, download, now);
     }
@@ -214,12 +219,12 @@
 
 void Exchange::decideFollows(std::vector<Action> &actions, Core::Instant now)
 {
-    const bool looks = m_settings.m_strategy == Strategy::Swarm && now >= m_nextSourceCheck;
-    m_nextSourceCheck = looks ? now + SourcesInterval : m_nextSourceCheck;
-    if (looks && !isComplete()) {
+    const bool isCheckDue = m_settings.m_strategy == Strategy::Swarm && now >= m_nextSourceCheck;
+    m_nextSourceCheck = isCheckDue ? now + SourceCheckInterval : m_nextSourceCheck;
+    if (isCheckDue && !isComplete()) {
         markLateChunks(now);
     }
-    for (Weights::ChunkIndex index = 0; looks && index < m_manifest.chunkCount(); ++index) {
+    for (Weights::ChunkIndex index = 0; isCheckDue && index < m_manifest.chunkCount(); ++index) {
         if (!m_held[index] && (m_chunks[index].m_openRequests == 0 || m_chunks[index].m_isLateImport)) {
             followSources(index, now);
         }
@@ -234,21 +239,21 @@
             peer.m_followState = FollowState::NotFollowing;
             actions.push_back(Action{ActionKind::Unfollow, peer.m_replica.m_wire, 0, 0, false});
         }
-        if (peer.m_followState == FollowState::Following && now - peer.m_lastHeardAt > PeerSilence) {
-            // The socket may stay open for long after the peer froze; signs of life are what counts.
+        if (peer.m_followState == FollowState::Following && now - peer.m_lastHeardAt > PeerSilenceLimit) {
+            // The socket may stay open long after the peer froze, so only heartbeats count.
             markAbsent(peer, now);
         }
     }
 }
 
-/// Follows whoever must have the chunk before it can come here.
+/// Follows the replicas that must hold the chunk before it can reach this one.
 void Exchange::followSources(Weights::ChunkIndex index, Core::Instant now)
 {
     const Chunk &chunk = m_chunks[index];
     if (mayImport(chunk, now)) {
-        for (const PeerIndex drawer : chunk.m_downloaders) {
-            markForFollowing(drawer);
-            if (!isAbsent(m_peers[drawer], now)) {
+        for (const PeerIndex downloader : chunk.m_downloaders) {
+            markForFollowing(downloader);
+            if (!isAbsent(m_peers[downloader], now)) {
                 break;
             }
         }
@@ -256,7 +261,7 @@
     if (!(chunk.m_isDownloader || chunk.m_isImporter) || !isDownloadDue(index, 0, now - m_probeDelay) || isHeldByPeer(index, now)) {
         return;
     }
-    // The chunk should be about by now. Look at everybody who could have brought it, also by way of a third region.
+    // The chunk should have spread by now. Follow all replicas that could have fetched it, including the importers of other regions.
     for (const PeerIndex peer : chunk.m_downloaders) {
         markForFollowing(peer);
     }
@@ -275,9 +280,9 @@
     if (request.m_bytes > 0) {
         return now - request.m_progressAt >= m_settings.m_stallLimit;
     }
-    // The answer has not begun: it waits behind others at a peer that shows signs of life, or at one that froze.
-    const bool isSilent = now - m_peers[*request.m_peer].m_lastHeardAt > PeerSilence;
-    return now - request.m_sentAt >= (isSilent ? m_settings.m_stallLimit : QueueLimitInStallLimits * m_settings.m_stallLimit);
+    // The answer has not begun. The request is either queued at a peer that sends heartbeats, or was sent to a peer that froze.
+    const bool isSilent = now - m_peers[*request.m_peer].m_lastHeardAt > PeerSilenceLimit;
+    return now - request.m_sentAt >= (isSilent ? m_settings.m_stallLimit : QueueToStallLimitRatio * m_settings.m_stallLimit);
 }
 
 void Exchange::decideStalls(std::vector<Action> &actions, Core::Instant now)
@@ -342,22 +347,22 @@
         }
     }
     while (m_peerRequests < m_settings.m_concurrentPeerRequests) {
-        const std::optional<ChunkSelection> pick = selectChunk(wanted, sourcePeers(now), m_random);
-        if (!pick || !download.tryTake(m_manifest.chunkLength(pick->m_chunk), now)) {
+        const std::optional<ChunkSelection> selection = selectChunk(wanted, sourcePeers(now), m_random);
+        if (!selection || !download.tryTake(m_manifest.chunkLength(selection->m_chunk), now)) {
             return;
         }
-        actions.push_back(openPeerRequest(pick->m_chunk, pick->m_peer, now));
-        std::erase_if(wanted, [&pick](const WantedChunk &chunk) { return chunk.m_chunk == pick->m_chunk; });
+        actions.push_back(openPeerRequest(selection->m_chunk, selection->m_peer, now));
+        std::erase_if(wanted, [&selection](const WantedChunk &chunk) { return chunk.m_chunk == selection->m_chunk; });
     }
 }
 
 void Exchange::decideHedges(std::vector<Action> &actions, Pacer &download, Core::Instant now)
 {
-    // A peer that is slow but not dead holds up the end of the burst, when nothing else is left to ask for.
-    const double patience = std::max(HedgeFactor * m_smoothedRequestSeconds, std::chrono::duration<double>(MinimumHedgeAge).count());
+    // A peer that is slow but alive delays the end of the burst, when nothing else is left to request.
+    const double secondsUntilHedge = std::max(HedgeFactor * m_smoothedRequestSeconds, std::chrono::duration<double>(MinimumHedgeAge).count());
     std::vector<RequestId> slow;
     for (const std::pair<const RequestId, Request> &entry : m_requests) {
-        const bool isLate = Core::secondsBetween(entry.second.m_sentAt, now) > patience;
+        const bool isLate = Core::secondsBetween(entry.second.m_sentAt, now) > secondsUntilHedge;
         if (entry.second.m_peer && !entry.second.m_isHedged && isLate && m_chunks[entry.second.m_chunk].m_openRequests == 1) {
             slow.push_back(entry.first);
         }
--- a/Libraries/LibTransfer/Messages.cpp
+++ b/Libraries/LibTransfer/Messages.cpp
@@ -1,4 +1,4 @@
-/// @file Bitmaps of held chunks.
+/// @file Encodes and decodes bitmaps of held chunks.
 
 #include "LibTransfer/Messages.h"
 
--- a/Libraries/LibTransfer/Messages.h
+++ b/Libraries/LibTransfer/Messages.h
@@ -8,7 +8,7 @@
 
 namespace Transfer {
 
-/// Asks for a manifest (method transfer.manifest). Answered with the encoded manifest once the peer has it, within the call's time.
+/// Requests a manifest (method transfer.manifest). The response is the encoded manifest, sent as soon as the peer has it within the call's timeout.
 struct ManifestRequest
 {
     std::string m_digest;
@@ -16,7 +16,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("digest", m_digest));
 };
 
-/// Follows what a peer holds of a version (method transfer.have, a stream of HaveUpdate).
+/// Follows a peer's holdings of a version (method transfer.have). The response is a stream of HaveUpdate.
 struct HaveRequest
 {
     std::string m_digest;
@@ -25,15 +25,15 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("digest", m_digest), MSGPACK_NVP("follower", m_follower));
 };
 
-/// What changed since the update before; without changes it comes as a sign of life.
+/// Changes since the previous update. An update without changes serves as a heartbeat.
 struct HaveUpdate
 {
     bool m_participates = false; ///< The peer is fetching or holding the version.
-    bool m_canDownloadFromOrigin = true; ///< False while the peer's attempts at the origin fail.
-    bool m_isSnapshot = false; ///< m_bitmap replaces everything known before.
+    bool m_canDownloadFromOrigin = true; ///< False while the peer's attempts to reach the origin fail.
+    bool m_isSnapshot = false; ///< m_bitmap replaces all earlier information.
     std::string m_bitmap; ///< One bit for each chunk, lowest bit first.
-    std::vector<std::uint32_t> m_added; ///< Chunks that are held since the last update.
-    std::uint32_t m_queuedUploads = 0; ///< Uploads that wait at the peer.
+    std::vector<std::uint32_t> m_added; ///< Chunks that are held since the previous update.
+    std::uint32_t m_queuedUploads = 0; ///< Uploads queued at the peer.
 
     bool operator==(const HaveUpdate &) const = default;
 
@@ -45,19 +45,19 @@
                        MSGPACK_NVP("queued", m_queuedUploads));
 };
 
-/// Asks for one chunk (method transfer.chunk). Answered with its bytes in several frames; Overloaded means busy.
+/// Requests one chunk (method transfer.chunk). The response is the chunk's bytes in several frames; the error Overloaded means that the peer is busy.
 struct ChunkRequest
 {
     std::string m_digest;
     std::uint32_t m_chunk = 0;
-    bool m_forRegion = false; ///< The first copy for another region, which waits for it; goes before others.
+    bool m_forRegion = false; ///< The first copy for another region. It is sent before other chunks, because the whole region waits for it.
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("digest", m_digest), MSGPACK_NVP("chunk", m_chunk), MSGPACK_NVP("for_region", m_forRegion));
 };
 
-/// One bit for each element of @p held, lowest bit first.
+/// Returns a bitmap with one bit for each element of @p held, lowest bit first.
 std::string encodeBitmap(const std::vector<bool> &held);
-/// The first @p count bits; missing ones are false.
+/// Returns the first @p count bits. Bits missing in @p bitmap are false.
 std::vector<bool> decodeBitmap(const std::string &bitmap, std::size_t count);
 
 }
--- a/Libraries/LibTransfer/OriginClient.cpp
+++ b/Libraries/LibTransfer/OriginClient.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the origin's client on POCO.
+/// @file Implementation of the origin client with POCO.
 
 #include "LibTransfer/OriginClient.h"
 
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr std::size_t ReadBytes = 64 << 10;
-constexpr int KeepAliveSeconds = 3600; ///< The session must not reconnect by itself; it would pass by the gateway.
+constexpr std::size_t ReadBufferBytes = 64 << 10;
+constexpr int KeepAliveSeconds = 3600; ///< The session must not reconnect by itself, because it would bypass the gateway.
 
-/// Reads up to one byte more than the limit, so that an answer that is too long shows.
+/// Reads up to one byte more than the limit, so that an excessive length can be detected.
 std::string readBounded(std::istream &stream, std::size_t maximumBytes)
 {
     std::string body;
-    std::string buffer(ReadBytes, '\0');
+    std::string buffer(ReadBufferBytes, '\0');
     while (stream && body.size() <= maximumBytes) {
         const std::size_t wanted = std::min(buffer.size(), maximumBytes + 1 - body.size());
         stream.read(buffer.data(), static_cast<std::streamsize>(wanted));
@@ -50,7 +50,7 @@
 {
     std::string bytes = BOOST_OUTCOME_TRYX(get(m_dialect.m_makeChunkRequest(chunk), chunk.m_length));
     if (bytes.size() != chunk.m_length) {
-        // The connection broke off in the middle, or the object is shorter than its manifest says.
+        // The connection broke during the answer, or the object is shorter than its manifest states.
         m_session.reset();
         return Core::makeError(Core::ErrorCode::Corrupt,
                                "read chunk from origin",
@@ -60,19 +60,19 @@
     return bytes;
 }
 
-Core::Result<std::string> OriginClient::get(const OriginRequest &question, std::size_t maximumBytes)
+Core::Result<std::string> OriginClient::get(const OriginRequest &request, std::size_t maximumBytes)
 {
-    const bool reused = m_session != nullptr;
-    Core::Result<std::string> answer = tryGet(question, maximumBytes);
-    const bool brokeOff = !answer && !m_session && answer.error().m_code == Core::ErrorCode::Unavailable;
-    if (reused && brokeOff) {
-        // The server may have closed the connection while it was idle, which shows only now. Reading is repeatable.
-        return tryGet(question, maximumBytes);
+    const bool isReused = m_session != nullptr;
+    Core::Result<std::string> answer = tryGet(request, maximumBytes);
+    const bool isBroken = !answer && !m_session && answer.error().m_code == Core::ErrorCode::Unavailable;
+    if (isReused && isBroken) {
+        // The server may have closed the idle connection, which is detected only now. Reads can be repeated safely.
+        return tryGet(request, maximumBytes);
     }
     return answer;
 }
 
-Core::Result<std::string> OriginClient::tryGet(const OriginRequest &question, std::size_t maximumBytes)
+Core::Result<std::string> OriginClient::tryGet(const OriginRequest &request, std::size_t maximumBytes)
 {
     if (!m_session) {
         m_session = BOOST_OUTCOME_TRYX(Network::dialHttp(m_network, m_origin, m_timeout));
@@ -80,21 +80,21 @@
         m_session->setKeepAliveTimeout(Poco::Timespan(KeepAliveSeconds, 0));
     }
     try {
-        Poco::Net::HTTPRequest request(Poco::Net::HTTPRequest::HTTP_GET, question.m_target, Poco::Net::HTTPMessage::HTTP_1_1);
-        request.setKeepAlive(true);
-        request.setHost(m_origin.m_host, m_origin.m_port); // The session was made from a socket and knows no host.
-        if (!question.m_range.empty()) {
-            request.set("Range", question.m_range);
+        Poco::Net::HTTPRequest httpRequest(Poco::Net::HTTPRequest::HTTP_GET, request.m_target, Poco::Net::HTTPMessage::HTTP_1_1);
+        httpRequest.setKeepAlive(true);
+        httpRequest.setHost(m_origin.m_host, m_origin.m_port); // The session was created from a socket and does not know the host.
+        if (!request.m_range.empty()) {
+            httpRequest.set("Range", request.m_range);
         }
-        m_session->sendRequest(request);
+        m_session->sendRequest(httpRequest);
         Poco::Net::HTTPResponse response;
         std::istream &stream = m_session->receiveResponse(response);
         std::string body = readBounded(stream, maximumBytes);
-        const bool keeps = response.getKeepAlive() && body.size() <= maximumBytes;
-        if (!keeps) {
+        const bool keepsSession = response.getKeepAlive() && body.size() <= maximumBytes;
+        if (!keepsSession) {
             m_session.reset();
         }
-        return checkResponse(response, std::move(body), maximumBytes, question.m_expectedStatus);
+        return checkResponse(response, std::move(body), maximumBytes, request.m_expectedStatus);
     } catch (const Poco::Exception &exception) {
         m_session.reset();
         return Core::makeError(Core::ErrorCode::Unavailable, "read from origin", m_origin.toString(), exception.displayText());
--- a/Libraries/LibTransfer/OriginClient.h
+++ b/Libraries/LibTransfer/OriginClient.h
@@ -1,4 +1,4 @@
-/// @file Reading manifests and ranges of the weights from the origin over HTTP.
+/// @file Reads manifests and ranges of the weights from the origin over HTTP.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -12,7 +12,7 @@
 
 namespace Transfer {
 
-/// One connection to the origin, kept between requests. Used by one thread.
+/// A persistent connection to the origin. Not thread-safe.
 class OriginClient
 {
 public:
@@ -24,21 +24,21 @@
         return m_origin;
     }
 
-    /// The encoded manifest that the name has now, which the caller must verify.
+    /// Returns the encoded manifest that the origin currently has for this name. The caller must verify it.
     Core::Result<std::string> readManifest(const std::string &model, const std::string &version);
-    /// Exactly the chunk's length, unverified; a shorter answer fails with Corrupt.
+    /// Returns exactly the chunk's length in bytes, unverified. Fails with Corrupt if the answer is shorter.
     Core::Result<std::string> readChunk(const OriginChunk &chunk);
 
 private:
-    Core::Result<std::string> get(const OriginRequest &question, std::size_t maximumBytes);
-    Core::Result<std::string> tryGet(const OriginRequest &question, std::size_t maximumBytes);
+    Core::Result<std::string> get(const OriginRequest &request, std::size_t maximumBytes);
+    Core::Result<std::string> tryGet(const OriginRequest &request, std::size_t maximumBytes);
     Core::Result<std::string> checkResponse(const Poco::Net::HTTPResponse &response, std::string body, std::size_t maximumBytes, int expectedStatus) const;
 
     const Network::NetworkSettings m_network;
     const Core::Address m_origin;
     const Core::Duration m_timeout;
     const OriginDialect m_dialect;
-    std::unique_ptr<Poco::Net::HTTPClientSession> m_session; ///< Null until the first request, and after a failure.
+    std::unique_ptr<Poco::Net::HTTPClientSession> m_session; ///< Null before the first request and after a failure.
 };
 
 }
--- a/Libraries/LibTransfer/OriginDialect.cpp
+++ b/Libraries/LibTransfer/OriginDialect.cpp
@@ -1,4 +1,4 @@
-/// @file The product's own interface of the origin.
+/// @file Default HTTP interface of the origin.
 
 #include "LibTransfer/OriginDialect.h"
 
@@ -9,16 +9,16 @@
 
 namespace {
 
-std::string escaped(const std::string &name)
+std::string escapePath(const std::string &name)
 {
     std::string text;
     Poco::URI::encode(name, "/?#", text);
     return text;
 }
 
-std::string weightsPath(const std::string &model, const std::string &version, const std::string &what)
+std::string weightsPath(const std::string &model, const std::string &version, const std::string &resource)
 {
-    return "/weights/" + escaped(model) + "/" + escaped(version) + "/" + what;
+    return "/weights/" + escapePath(model) + "/" + escapePath(version) + "/" + resource;
 }
 
 }
--- a/Libraries/LibTransfer/OriginWorker.cpp
+++ b/Libraries/LibTransfer/OriginWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the origin duty: one thread for each connection.
+/// @file Implementation of the origin worker: one thread for each connection.
 
 #include "LibTransfer/OriginWorker.h"
 
@@ -8,10 +8,11 @@
 
 constexpr std::size_t MaximumWaiting = 256;
 /**
- * A connection without a job for so long is closed. The origin takes only so many from the whole fleet: 99 agents that each kept two where it takes 78 shut
- * the others out for good, and after a loss of power no engine got its weights. A draw follows another within a few tens of milliseconds.
+ * A connection without a job for this long is closed. The origin limits the connections of the whole fleet: when 99 agents each kept two connections to an
+ * origin that accepts 78, the other agents were locked out permanently, and after a power failure no engine got its weights. Consecutive downloads are a few
+ * tens of milliseconds apart.
  */
-constexpr Core::Duration IdlePause{200};
+constexpr Core::Duration IdleConnectionTimeout{200};
 
 }
 
@@ -54,7 +55,7 @@
 {
     std::optional<OriginClient> client;
     while (!m_jobs.isClosed()) {
-        const std::optional<OriginJob> job = m_jobs.pop(IdlePause);
+        const std::optional<OriginJob> job = m_jobs.pop(IdleConnectionTimeout);
         if (!job) {
             client.reset();
             continue;
--- a/Libraries/LibTransfer/OriginWorker.h
+++ b/Libraries/LibTransfer/OriginWorker.h
@@ -1,4 +1,4 @@
-/// @file The duty that draws from the origin, over a few connections that are kept.
+/// @file The worker that reads from the origin over a few persistent connections.
 #pragma once
 
 #include "LibCore/Ring.h"
@@ -11,15 +11,15 @@
 
 namespace Transfer {
 
-/// One thing to be read.
+/// A manifest or chunk to be read.
 struct OriginJob
 {
-    Core::Address m_origin; ///< Empty while it is not known; the job fails then.
-    OriginChunk m_chunk; ///< Of length 0 for the manifest.
-    std::function<void(Core::Result<std::string> bytes)> m_done; ///< Called on the duty's thread, unless the duty ends before.
+    Core::Address m_origin; ///< Empty while unknown; the job then fails.
+    OriginChunk m_chunk; ///< Has length 0 if the manifest is to be read.
+    std::function<void(Core::Result<std::string> bytes)> m_done; ///< Called on a thread of the worker, unless the worker stops before.
 };
 
-/// Thread-safe.
+/// Reads manifests and chunks from the origin on its own threads. Thread-safe.
 class OriginWorker
 {
 public:
@@ -29,7 +29,7 @@
     void start();
     void stop();
 
-    /// False if too much is waiting.
+    /// Returns false if the queue is full.
     bool offer(OriginJob job);
 
 private:
--- a/Libraries/LibTransfer/Pacer.cpp
+++ b/Libraries/LibTransfer/Pacer.cpp
@@ -46,7 +46,7 @@
         return;
     }
     refill(now);
-    // Without the floor a long spell of live traffic would silence transfer for as long again after its end.
+    // Without a limit on the debt, a long period of live traffic would block transfers for the same time after its end.
     const double floor = std::min(m_tokens, -MaximumDebtInBursts * m_burst);
     m_tokens = std::max(floor, m_tokens - static_cast<double>(bytes));
 }
--- a/Libraries/LibTransfer/Pacer.h
+++ b/Libraries/LibTransfer/Pacer.h
@@ -1,4 +1,4 @@
-/// @file Token bucket that keeps transfer within its share of a link. Time is passed in.
+/// @file Token bucket that limits transfers to their share of a link. Time is passed in.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -7,20 +7,20 @@
 
 namespace Transfer {
 
-/// Value type without a lock; belongs to one duty.
+/// A token bucket. Not thread-safe; used by a single worker.
 class Pacer
 {
 public:
-    /// @p rate in bytes per second, 0 for no limit; @p burst in bytes is what may be taken at once after a pause.
+    /// @p rate in bytes per second, 0 for no limit; @p burst is the number of bytes that may be taken at once after a pause.
     Pacer(std::uint64_t rate, std::uint64_t burst, Core::Instant now);
 
-    /// Takes @p bytes if the bucket is not in debt; one taking may overdraw it, so that a unit larger than the burst still passes.
+    /// Takes @p bytes unless the bucket is in debt. A single call may overdraw the bucket, so that a unit larger than the burst can pass.
     bool tryTake(std::uint64_t bytes, Core::Instant now);
-    /// Takes @p bytes that others have already used, at most down to a debt of two bursts.
+    /// Takes @p bytes that were already used by other traffic, down to a debt of at most two bursts.
     void charge(std::uint64_t bytes, Core::Instant now);
-    /// Gives back what was taken and not used.
+    /// Returns bytes that were taken but not used.
     void refund(std::uint64_t bytes);
-    /// Time until tryTake can succeed.
+    /// Returns the time until tryTake() can succeed.
     Core::Duration timeUntilReady(Core::Instant now);
 
 private:
--- a/Libraries/LibTransfer/RendezvousRanking.cpp
+++ b/Libraries/LibTransfer/RendezvousRanking.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of rendezvous ranking and neighbour choice.
+/// @file Implementation of rendezvous ranking and neighbour selection.
 
 #include "LibTransfer/RendezvousRanking.h"
 
@@ -10,20 +10,20 @@
 
 namespace {
 
-std::uint64_t weight(std::uint64_t item, const Candidate &candidate)
+std::uint64_t rendezvousWeight(std::uint64_t item, const Candidate &candidate)
 {
     return Core::Random(item ^ candidate.m_hash).next();
 }
 
-/// Total order, also where weights collide.
+/// Strict total order, even if weights collide.
 bool ranksBefore(std::uint64_t item, const Candidate &left, const Candidate &right)
 {
-    const std::uint64_t leftWeight = weight(item, left);
-    const std::uint64_t rightWeight = weight(item, right);
+    const std::uint64_t leftWeight = rendezvousWeight(item, left);
+    const std::uint64_t rightWeight = rendezvousWeight(item, right);
     return leftWeight != rightWeight ? leftWeight > rightWeight : left.m_hash > right.m_hash;
 }
 
-struct Weighted
+struct WeightedCandidate
 {
     std::uint64_t m_weight = 0;
     Candidate m_candidate;
@@ -43,13 +43,13 @@
 
 std::vector<PeerIndex> topRanked(std::uint64_t item, const std::vector<Candidate> &candidates, std::size_t count)
 {
-    std::vector<Weighted> weighted;
+    std::vector<WeightedCandidate> weighted;
     weighted.reserve(candidates.size());
     for (const Candidate &candidate : candidates) {
-        weighted.push_back(Weighted{weight(item, candidate), candidate});
+        weighted.push_back(WeightedCandidate{rendezvousWeight(item, candidate), candidate});
     }
     const std::size_t kept = std::min(count, weighted.size());
-    const auto before = [](const Weighted &left, const Weighted &right) {
+    const auto before = [](const WeightedCandidate &left, const WeightedCandidate &right) {
         return left.m_weight != right.m_weight ? left.m_weight > right.m_weight : left.m_candidate.m_hash > right.m_candidate.m_hash;
     };
     std::partial_sort(weighted.begin(), weighted.begin() + static_cast<std::ptrdiff_t>(kept), weighted.end(), before);
@@ -84,12 +84,12 @@
     }
     for (std::size_t ring = 0; ring < degree; ++ring) {
         const std::uint64_t salt = Core::stableHash("ring", ring);
-        const std::uint64_t own = weight(salt, self);
+        const std::uint64_t own = rendezvousWeight(salt, self);
         const Candidate *successor = nullptr;
         std::uint64_t closest = 0;
         for (const Candidate &candidate : candidates) {
-            // Distance around the ring; unsigned arithmetic wraps as the ring does.
-            const std::uint64_t distance = weight(salt, candidate) - own;
+            // Distance around the ring. Unsigned arithmetic wraps around like the ring.
+            const std::uint64_t distance = rendezvousWeight(salt, candidate) - own;
             if (candidate.m_hash != self.m_hash && (!successor || distance < closest)) {
                 successor = &candidate;
                 closest = distance;
--- a/Libraries/LibTransfer/TransferManager.cpp
+++ b/Libraries/LibTransfer/TransferManager.cpp
@@ -1,4 +1,4 @@
-/// @file The transfer manager's interface on top of the coordinator.
+/// @file Implementation of the transfer manager, which delegates to the coordinator.
 
 #include "LibTransfer/TransferManager.h"
 
--- a/Libraries/LibTransfer/TransferManager.h
+++ b/Libraries/LibTransfer/TransferManager.h
@@ -1,4 +1,4 @@
-/// @file Brings the wanted versions of the weights onto this instance and passes their chunks on to others.
+/// @file Fetches the wanted versions of the weights to this instance and serves their chunks to other instances.
 #pragma once
 
 #include "LibControl/Model.h"
@@ -20,25 +20,25 @@
 
 class Coordinator;
 
-/// What a transfer manager is made of. The node and the metrics must outlive it.
+/// Settings and dependencies of a transfer manager. The node and the metrics must outlive it.
 struct TransferParts
 {
     TransferSettings m_settings;
     Protocol::Member m_self;
     Wire::Node *m_node = nullptr;
-    Network::NetworkSettings m_network; ///< For the connections to the origin.
-    Core::Address m_origin; ///< Empty if it is told later.
-    std::string m_originRegion; ///< Where the origin stands; empty if unknown.
+    Network::NetworkSettings m_network; ///< For connections to the origin.
+    Core::Address m_origin; ///< Empty if it is set later with setOrigin().
+    std::string m_originRegion; ///< Region of the origin; empty if unknown.
     OriginDialect m_originDialect = defaultOriginDialect();
     Telemetry::Metrics *m_metrics = nullptr;
 };
 
-/// A version whose manifest is verified here; its chunks need not be.
+/// A version whose manifest was verified here. Its chunks may be missing.
 struct KnownVersion
 {
     std::string m_manifestDigest;
-    std::string m_contentDigest; ///< Of the whole weights, as the manifest says.
-    bool m_isComplete = false; ///< Every chunk is here.
+    std::string m_contentDigest; ///< Digest of the complete weights, according to the manifest.
+    bool m_isComplete = false; ///< Every chunk is held.
 
     bool operator==(const KnownVersion &) const = default;
 };
@@ -46,8 +46,8 @@
 /**
  * Fetches, verifies, holds and serves versions of the weights.
  *
- * Construct it before the node is started, since it registers the transfer methods there; stop it before the node is stopped.
- * All methods are thread-safe and return at once.
+ * Must be constructed before the node is started, since it registers the transfer methods there, and stopped before the node is stopped. All methods are
+ * thread-safe and return immediately.
  */
 class TransferManager
 {
@@ -58,50 +58,52 @@
     TransferManager(const TransferManager &) = delete;
     TransferManager &operator=(const TransferManager &) = delete;
 
-    /// Starts the duties.
+    /// Starts the workers.
     void start();
-    /// Ends every transfer and joins the duties. What is held stays readable.
+    /// Ends all transfers and joins the workers. Held versions remain readable.
     void stop();
 
     /**
-     * Says which deployments this instance is a replica of, the most urgent first; the newest list counts.
+     * Sets the deployments of which this instance is a replica, most urgent first. The newest list replaces earlier ones.
      *
-     * While one is not whole, of the later ones only the chunks that this instance is to bring from the origin are drawn: the origin may go away, and
-     * these chunks are a small part of the instance's link.
+     * While one of them is incomplete, only those chunks of the later ones are downloaded for which this instance is the first downloader from the origin. The
+     * origin may become unreachable, and these chunks use only a small part of the instance's link.
      *
-     * The transfer of a version that is no longer wanted stops at once and its chunks are dropped. A whole version stays until
-     * release(), so that it can keep serving, and a way back to it moves no bytes.
+     * The transfer of a version that is no longer wanted stops immediately and its chunks are dropped. A complete version is kept until release(), so that it
+     * can still be served, and a rollback to it transfers no bytes.
      */
     void setTargets(std::vector<Control::Deployment> wanted);
 
-    /// The version with this manifest digest if it is whole and verified, else null. Nothing partial is ever returned.
+    /// Returns the version with this manifest digest if it is complete and verified, and null otherwise. Incomplete versions are never returned.
     std::shared_ptr<const Weights::HeldVersion> heldVersion(const std::string &manifestDigest) const;
-    /// Every version whose manifest is verified here.
+    /// Returns every version whose manifest was verified here.
     std::vector<KnownVersion> knownVersions() const;
-    /// Manifest digests of every whole version.
+    /// Returns the manifest digests of all complete versions.
     std::vector<std::string> heldDigests() const;
-    /// Lets go of a whole version unless it is wanted.
+    /// Drops a complete version unless it is wanted.
     void release(const std::string &manifestDigest);
 
-    /// One entry for each wanted or held version.
+    /// Returns the progress of each wanted or held version.
     std::vector<Protocol::TransferProgress> progress() const;
 
-    /// Replaces the origin.
+    /// Replaces the origin's address.
     void setOrigin(const Core::Address &origin);
-    /// Hands over a manifest that was found on this instance; taken if its digest is that of a wanted version.
+    /// Passes in a manifest that was found on this instance. It is accepted if its digest is that of a wanted version.
     void offerManifest(const std::string &manifestDigest, std::string encoded);
-    /// Hands over a chunk that was found on this instance; taken if it verifies. Saves drawing it, and lets peers draw it from here.
+    /// Passes in a chunk that was found on this instance. It is accepted if it matches its digest; it then need not be downloaded, and peers can fetch it from
+    /// here.
     void offerChunk(const std::string &manifestDigest, Weights::ChunkIndex chunk, std::string bytes);
 
-    /// Called with the manifest digest when a version's manifest is verified, on a duty's thread. Set before start().
+    /// Sets the callback for a version whose manifest was verified; its argument is the manifest digest. Called on a worker's thread. Must be set before
+    /// start().
     void onManifestVerified(std::function<void(const std::string &manifestDigest)> callback);
-    /// Called with the manifest digest when a version becomes whole, on a duty's thread. Set before start().
+    /// Sets the callback for a version that became complete; its argument is the manifest digest. Called on a worker's thread. Must be set before start().
     void onVersionComplete(std::function<void(const std::string &manifestDigest)> callback);
 
-    /// Live traffic used this many bytes of the instance's link; transfer gives way for as many.
+    /// Records that live traffic used this many bytes of the instance's link. Transfers are reduced by the same amount.
     void recordLiveBytes(std::uint64_t bytes);
 
-    /// For the state dump.
+    /// Returns the state for the dump page.
     Poco::JSON::Object::Ptr dump() const;
 
 private:
--- a/Libraries/LibTransfer/TransferSettings.cpp
+++ b/Libraries/LibTransfer/TransferSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the "transfer" section.
+/// @file Reads the "transfer" section.
 
 #include "LibTransfer/TransferSettings.h"
 
--- a/Libraries/LibTransfer/TransferSettings.h
+++ b/Libraries/LibTransfer/TransferSettings.h
@@ -9,36 +9,37 @@
 
 namespace Transfer {
 
-/// How weights travel.
+/// Strategy by which weights are distributed to the replicas.
 enum class Strategy {
-    Swarm = 0, ///< Chunks among the replicas, each chunk drawn from the origin by few.
-    Origin = 1, ///< Baseline: every replica draws everything from the origin.
-    Tree = 2, ///< Baseline: the whole file down a tree, each replica forwarding once it holds all.
+    Swarm = 0, ///< Replicas exchange chunks; each chunk is downloaded from the origin by few of them.
+    Origin = 1, ///< Baseline: every replica downloads all chunks from the origin.
+    Tree = 2, ///< Baseline: replicas form a tree, and each forwards the weights once it holds all of them.
 };
 
 struct TransferSettings
 {
     Strategy m_strategy = Strategy::Swarm;
-    std::uint64_t m_uploadBytesPerSecond = 0; ///< What transfer may use of the instance's link, up; 0 means no limit.
-    std::uint64_t m_downloadBytesPerSecond = 0; ///< The same, down.
-    std::uint64_t m_burstBytes = 128 << 10; ///< That may be moved at once after a pause, each way. On a slow link a small one keeps live traffic's wait short.
-    std::uint64_t m_originBytesPerSecond = 0; ///< Rate of the origin's link, by which draws are spread over time; 0 if unknown.
-    std::uint32_t m_memoryMebibytes = 4096; ///< Bound on all chunks in memory, of every version held or in transfer.
-    std::uint32_t m_uploadSlots = 2; ///< Chunks that are sent at the same time.
-    std::uint32_t m_queuedUploads = 12; ///< Requests that wait for a slot; more are refused as busy.
-    std::uint32_t m_concurrentPeerRequests = 10; ///< Chunks asked of peers at the same time.
+    std::uint64_t m_uploadBytesPerSecond = 0; ///< Upload rate that transfers may use on the instance's link; 0 means no limit.
+    std::uint64_t m_downloadBytesPerSecond = 0; ///< The same for downloads.
+    /// Bytes that may be transferred at once after a pause, in each direction. On a slow link a small value limits the delay of live traffic.
+    std::uint64_t m_burstBytes = 128 << 10;
+    std::uint64_t m_originBytesPerSecond = 0; ///< Rate of the origin's link, used to spread downloads over time; 0 if unknown.
+    std::uint32_t m_memoryMebibytes = 4096; ///< Limit on the memory for chunks of all versions held or in transfer.
+    std::uint32_t m_uploadSlots = 2; ///< Chunks uploaded concurrently.
+    std::uint32_t m_queuedUploads = 12; ///< Requests that wait for an upload slot. Further requests are refused as busy.
+    std::uint32_t m_concurrentPeerRequests = 10; ///< Chunks requested from peers concurrently.
     std::uint32_t m_neighbours = 10; ///< Peers whose holdings are followed.
-    std::uint32_t m_originConnections = 2; ///< Simultaneous requests to the origin.
-    Core::Duration m_stallLimit{1500}; ///< A chunk on its way without a byte for this long is asked of somebody else.
+    std::uint32_t m_originConnections = 2; ///< Concurrent requests to the origin.
+    Core::Duration m_stallLimit{1500}; ///< A requested chunk that makes no progress for this long is requested elsewhere.
     Core::Duration m_originTimeout{5000}; ///< Longest wait for a byte from the origin.
 
     bool operator==(const TransferSettings &) const = default;
 };
 
-/// Reads the section; every field has a default.
+/// Reads the section. All fields are optional.
 TransferSettings readTransferSettings(Settings::Reader &reader);
 
-/// Name of a strategy as settings spell it.
+/// Returns the name of a strategy as used in settings.
 std::string strategyName(Strategy strategy);
 
 }
--- a/Libraries/LibTransfer/UploadQueue.cpp
+++ b/Libraries/LibTransfer/UploadQueue.cpp
@@ -23,9 +23,9 @@
 
 bool canQueueUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits)
 {
-    const std::ptrdiff_t alike =
+    const std::ptrdiff_t sameKind =
         std::count_if(waiting.begin(), waiting.end(), [forRegion](const QueuedUpload &upload) { return upload.m_forRegion == forRegion; });
-    return static_cast<std::size_t>(alike) < (forRegion ? limits.m_waitingForRegion : limits.m_waiting);
+    return static_cast<std::size_t>(sameKind) < (forRegion ? limits.m_waitingForRegion : limits.m_waiting);
 }
 
 std::optional<std::size_t> selectNextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent)
--- a/Libraries/LibTransfer/UploadQueue.h
+++ b/Libraries/LibTransfer/UploadQueue.h
@@ -1,4 +1,4 @@
-/// @file Which requests of peers are taken, and which goes next: pure decisions.
+/// @file Decides which requests of peers are queued and which is served next. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace Transfer {
 
-/// What the decision needs to know of one request.
+/// A queued request, as far as it matters for the decision.
 struct QueuedUpload
 {
-    std::uint64_t m_sequence = 0; ///< Order of arrival.
+    std::uint64_t m_sequence = 0; ///< Position in the order of arrival.
     std::string m_digest;
     std::uint32_t m_chunk = 0;
     bool m_forRegion = false;
@@ -20,24 +20,24 @@
     bool operator==(const QueuedUpload &) const = default;
 };
 
-/// Bounds of a queue.
+/// Limits of a queue.
 struct UploadLimits
 {
     std::size_t m_waiting = 6;
-    std::size_t m_waitingForRegion = 32; ///< First copies for other regions are few and must not be turned away by the crowd.
+    std::size_t m_waitingForRegion = 32; ///< First copies for other regions are few and must not be refused because many other requests are queued.
 };
 
-/// True if one more request may wait.
+/// Returns whether another request may be queued.
 bool canQueueUpload(const std::vector<QueuedUpload> &waiting, bool forRegion, const UploadLimits &limits);
 
 /// How often each chunk of a version has been sent.
 using SentCounts = std::map<std::uint32_t, std::uint32_t>;
 
 /**
- * Position of the request to serve next; empty if none waits.
+ * Returns the position of the request to serve next, or nothing if none is queued.
  *
- * First copies for other regions go first, because a whole region waits for each; then the chunk that was sent least, because it
- * is likely the rarest and its receiver can pass it on; then the oldest request.
+ * First copies for other regions go first, because a whole region waits for each of them. Then comes the chunk that was sent least often, because it is
+ * probably the rarest and its receiver can pass it on, and then the oldest request.
  */
 std::optional<std::size_t> selectNextUpload(const std::vector<QueuedUpload> &waiting, const std::map<std::string, SentCounts> &sent);
 
--- a/Libraries/LibTransfer/UploadWorker.cpp
+++ b/Libraries/LibTransfer/UploadWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the upload duty.
+/// @file Implementation of the upload worker.
 
 #include "LibTransfer/UploadWorker.h"
 
@@ -6,16 +6,16 @@
 
 namespace {
 
-constexpr std::size_t PieceBytes = 16 << 10;
-constexpr std::size_t MaximumBacklog = 64 << 10; ///< Bytes that wait at one stream before others go first.
+constexpr std::size_t FragmentBytes = 16 << 10;
+constexpr std::size_t MaximumBacklog = 64 << 10; ///< Bytes queued at one stream before other streams are served first.
 constexpr std::size_t MaximumActive = 32;
-constexpr Core::Duration StuckAfter{200}; ///< A stream that takes nothing for this long no longer holds a slot.
-constexpr Core::Duration GiveUpAfter{5000};
-constexpr Core::Duration BlockedPause{2};
-constexpr Core::Duration IdlePause{500};
+constexpr Core::Duration StalledAfter{200}; ///< A stream that accepts no bytes for this long no longer occupies a slot.
+constexpr Core::Duration AbandonAfter{5000};
+constexpr Core::Duration BlockedWait{2};
+constexpr Core::Duration IdleWait{500};
 constexpr std::size_t MaximumCountedVersions = 16;
 
-Core::Error busy()
+Core::Error busyError()
 {
     return Core::makeError(Core::ErrorCode::Overloaded, "send chunk", "", "busy");
 }
@@ -66,7 +66,7 @@
         limits.m_waiting = m_settings.m_queuedUploads;
         if (!m_running || !canQueueUpload(waiting, job.m_upload.m_forRegion, limits)) {
             m_refused.add();
-            job.m_responder.fail(busy());
+            job.m_responder.fail(busyError());
             return;
         }
         job.m_upload.m_sequence = m_nextSequence++;
@@ -89,10 +89,10 @@
 
 std::size_t UploadWorker::countProgressingUploads(Core::Instant now) const
 {
-    // A receiver that froze must not take a slot from those that still listen.
-    const std::ptrdiff_t moving =
-        std::count_if(m_active.begin(), m_active.end(), [now](const ActiveUpload &active) { return now - active.m_progressAt < StuckAfter; });
-    return static_cast<std::size_t>(moving);
+    // A frozen receiver must not take a slot from receivers that make progress.
+    const std::ptrdiff_t progressing =
+        std::count_if(m_active.begin(), m_active.end(), [now](const ActiveUpload &active) { return now - active.m_progressAt < StalledAfter; });
+    return static_cast<std::size_t>(progressing);
 }
 
 void UploadWorker::fillSlots(Core::Instant now)
@@ -122,7 +122,7 @@
             it = m_active.erase(it);
             continue;
         }
-        if (now - it->m_progressAt > GiveUpAfter) {
+        if (now - it->m_progressAt > AbandonAfter) {
             m_abandoned.add();
             it->m_job.m_responder.fail(Core::makeError(Core::ErrorCode::Timeout, "send chunk", "", "the receiver takes nothing"));
             it = m_active.erase(it);
@@ -132,7 +132,7 @@
     }
 }
 
-/// Sends a piece of the first stream that takes one; false if none does.
+/// Sends a fragment on the first stream that accepts one. Returns false if no stream does.
 bool UploadWorker::sendFragment(Core::Instant now)
 {
     for (std::list<ActiveUpload>::iterator it = m_active.begin(); it != m_active.end(); ++it) {
@@ -140,13 +140,13 @@
             continue;
         }
         const std::string_view rest = std::string_view(*it->m_job.m_bytes).substr(it->m_sentBytes);
-        const std::string_view piece = rest.substr(0, PieceBytes);
-        if (!m_pacer.tryTake(piece.size(), now)) {
+        const std::string_view fragment = rest.substr(0, FragmentBytes);
+        if (!m_pacer.tryTake(fragment.size(), now)) {
             return true;
         }
-        it->m_job.m_responder.send(std::string(piece));
-        m_bytesSent.add(piece.size());
-        it->m_sentBytes += piece.size();
+        it->m_job.m_responder.send(std::string(fragment));
+        m_bytesSent.add(fragment.size());
+        it->m_sentBytes += fragment.size();
         it->m_progressAt = now;
         if (it->m_sentBytes == it->m_job.m_bytes->size()) {
             it->m_job.m_responder.finish();
@@ -167,7 +167,7 @@
         removeEndedUploads(now);
         fillSlots(now);
         if (m_active.empty()) {
-            m_changed.wait_for(lock, IdlePause);
+            m_changed.wait_for(lock, IdleWait);
             continue;
         }
         const Core::Duration pause = m_pacer.timeUntilReady(now);
@@ -176,14 +176,14 @@
             continue;
         }
         if (!sendFragment(now)) {
-            m_changed.wait_for(lock, BlockedPause);
+            m_changed.wait_for(lock, BlockedWait);
         }
     }
     for (const UploadJob &job : m_waiting) {
-        job.m_responder.fail(busy());
+        job.m_responder.fail(busyError());
     }
     for (const ActiveUpload &active : m_active) {
-        active.m_job.m_responder.fail(busy());
+        active.m_job.m_responder.fail(busyError());
     }
     m_waiting.clear();
     m_active.clear();
--- a/Libraries/LibTransfer/UploadWorker.h
+++ b/Libraries/LibTransfer/UploadWorker.h
@@ -1,4 +1,4 @@
-/// @file The duty that sends chunks to peers, paced and a few at a time.
+/// @file The worker that sends chunks to peers, with limits on the rate and on concurrent uploads.
 #pragma once
 
 #include "LibTelemetry/Metrics.h"
@@ -15,7 +15,7 @@
 
 namespace Transfer {
 
-/// One chunk on its way to one peer.
+/// One chunk to be sent to one peer.
 struct UploadJob
 {
     QueuedUpload m_upload;
@@ -23,7 +23,7 @@
     Wire::Responder m_responder;
 };
 
-/// Thread-safe.
+/// Queues and sends chunks on its own thread. Thread-safe.
 class UploadWorker
 {
 public:
@@ -33,11 +33,11 @@
     void start();
     void stop();
 
-    /// Takes the job, or ends it as busy.
+    /// Queues the job, or ends it with the error Overloaded.
     void offer(UploadJob job);
-    /// Jobs that wait or are being sent.
+    /// Returns the number of jobs that are queued or being sent.
     std::uint32_t uploadCount() const;
-    /// Live traffic used the link.
+    /// Charges bytes of live traffic on the link.
     void charge(std::uint64_t bytes);
 
 private:
@@ -63,8 +63,8 @@
     bool m_running = false;
     Pacer m_pacer;
     std::uint64_t m_nextSequence = 0;
-    std::vector<UploadJob> m_waiting; ///< Bounded by admitsUpload().
-    std::list<ActiveUpload> m_active; ///< The next one to send is in front.
+    std::vector<UploadJob> m_waiting; ///< Bounded by canQueueUpload().
+    std::list<ActiveUpload> m_active; ///< The first element is the next to send.
     std::map<std::string, SentCounts> m_sentCounts;
     std::thread m_thread;
 };
--- a/Tests/Benchmarks/Burst/BurstOptions.cpp
+++ b/Tests/Benchmarks/Burst/BurstOptions.cpp
@@ -1,4 +1,4 @@
-/// @file The command line of the burst measurement.
+/// @file The command line of burst-bench.
 
 #include "BurstOptions.h"
 
@@ -10,25 +10,25 @@
 std::optional<Options> parseOptions(int argc, char **argv)
 {
     const Options defaults;
-    cxxopts::Options options("burst-bench", "Measures how long new weights take to N serving replicas, with real processes");
+    cxxopts::Options options("burst-bench", "Measures the time until N replicas serve new weights, with real processes");
     options.add_options()("programs", "directory of the binaries", cxxopts::value<std::string>())(
         "agents", "replicas", cxxopts::value<int>()->default_value(std::to_string(defaults.m_agents)))(
         "policy", "bytes or time", cxxopts::value<std::string>()->default_value(defaults.m_policy))(
         "strategy", "swarm, origin or tree", cxxopts::value<std::string>()->default_value(defaults.m_strategy))(
-        "mebibytes", "size of the weights", cxxopts::value<std::uint64_t>()->default_value(std::to_string(defaults.m_mebibytes)))(
+        "mebibytes", "size of the weights in MiB", cxxopts::value<std::uint64_t>()->default_value(std::to_string(defaults.m_mebibytes)))(
         "link",
-        "KiB a second of an instance's link; the other links keep their proportion to it",
+        "KiB per second of an instance's link; other links are scaled in proportion",
         cxxopts::value<std::uint64_t>()->default_value(std::to_string(defaults.m_linkKibibytes)))(
-        "chunk", "KiB of a chunk", cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.m_chunkKibibytes)))(
+        "chunk", "size of a chunk in KiB", cxxopts::value<std::uint32_t>()->default_value(std::to_string(defaults.m_chunkKibibytes)))(
         "kill", "percent of the agents killed after a third of the bound", cxxopts::value<int>()->default_value("0"))(
         "corrupt", "percent of the origin's answers damaged", cxxopts::value<int>()->default_value("0"))(
         "stall", "percent of the agents frozen after a third of the bound", cxxopts::value<int>()->default_value("0"))(
-        "down-after-copies", "the origin goes down after as many copies", cxxopts::value<double>()->default_value("0"))(
-        "live", "requests a second beside the burst", cxxopts::value<double>()->default_value("0"))(
-        "patience", "seconds until the run is given up", cxxopts::value<double>()->default_value("300"))(
+        "down-after-copies", "the origin goes down after this many copies", cxxopts::value<double>()->default_value("0"))(
+        "live", "requests per second during the burst", cxxopts::value<double>()->default_value("0"))(
+        "patience", "timeout of the run in seconds", cxxopts::value<double>()->default_value("300"))(
         "plot", "SVG of serving replicas over time", cxxopts::value<std::string>()->default_value(""))(
-        "keep", "directory for the processes' dumps", cxxopts::value<std::string>()->default_value(""))("direct", "without the gateway that shapes links")(
-        "help", "print this text");
+        "keep", "directory for the logs and dumps of the processes", cxxopts::value<std::string>()->default_value(""))(
+        "direct", "without the gateway that shapes links")("help", "print this text");
     try {
         const cxxopts::ParseResult parsed = options.parse(argc, argv);
         if (parsed.count("help") > 0 || parsed.count("programs") == 0) {
--- a/Tests/Benchmarks/Burst/BurstRun.cpp
+++ b/Tests/Benchmarks/Burst/BurstRun.cpp
@@ -21,15 +21,15 @@
 constexpr std::uint32_t BytesPerKibibyte = 1 << 10;
 constexpr int Percent = 100;
 constexpr Core::Duration PollInterval{100};
-constexpr Core::Duration CommandPatience{60000};
-constexpr Core::Duration MembersPatience{60000};
+constexpr Core::Duration CommandTimeout{60000};
+constexpr Core::Duration MembersTimeout{60000};
 constexpr double BaselineSeconds = 10;
-constexpr double LiveSeconds = 20;
+constexpr double BurstLoadSeconds = 20;
 constexpr double FaultAtBoundShare = 1.0 / 3;
 constexpr int ProbeThreads = 4;
-constexpr Core::Duration QuietInterval{1000};
-constexpr int MaximumQuietTurns = 60;
-constexpr std::uint64_t QuietBytes = 2048; ///< Across regions, for each agent and second.
+constexpr Core::Duration IdleCheckInterval{1000};
+constexpr int MaximumIdleChecks = 60;
+constexpr std::uint64_t IdleBytesPerAgent = 2048; ///< Bytes between regions, for each agent and second.
 
 Core::Result<Poco::JSON::Object::Ptr> parseObject(const std::string &text, const std::string &step)
 {
@@ -86,7 +86,7 @@
         Bench::Process::start(m_options.m_programs + "/oriolerail",
                               {"publish", path, "--operator", "bench", "--log", layout.m_log.toString(), "--origin", layout.m_origin.toString()},
                               log));
-    const std::optional<int> code = process.wait(CommandPatience);
+    const std::optional<int> code = process.wait(CommandTimeout);
     if (code != 0) {
         return Core::makeError(Core::ErrorCode::Unavailable, "publish version " + version, "", readFile(log));
     }
@@ -102,11 +102,11 @@
     return manifest.m_contentDigest;
 }
 
-/// Waits until every entry has seen every agent.
+/// Waits until every entry knows every agent.
 Core::Result<void> Run::awaitMembers()
 {
     const std::size_t expected = m_fleet->ofKind(Bench::ProcessKind::Agent).size();
-    const bool known = Bench::waitUntil(
+    const bool areMembersKnown = Bench::waitUntil(
         [this, expected] {
             for (const Bench::ProcessSpec *entry : m_fleet->ofKind(Bench::ProcessKind::Entry)) {
                 const Core::Result<std::string> dump = Bench::httpGet(entry->m_admin, "/dump");
@@ -120,14 +120,14 @@
             }
             return true;
         },
-        MembersPatience);
-    if (!known) {
+        MembersTimeout);
+    if (!areMembersKnown) {
         return Core::makeError(Core::ErrorCode::Timeout, "await members", "", "the entries do not know every agent");
     }
     return Core::success();
 }
 
-/// Waits until the members' greetings are over, so that the burst alone is measured.
+/// Waits until the initial traffic between members has ended, so that only the burst is measured.
 void Run::awaitIdleNetwork()
 {
     const auto total = [this] {
@@ -138,15 +138,15 @@
         return sum;
     };
     std::uint64_t before = total();
-    for (int turn = 0; turn < MaximumQuietTurns; ++turn) {
-        std::this_thread::sleep_for(QuietInterval);
+    for (int check = 0; check < MaximumIdleChecks; ++check) {
+        std::this_thread::sleep_for(IdleCheckInterval);
         const std::uint64_t now = total();
-        if (now - before < QuietBytes * static_cast<std::uint64_t>(m_options.m_agents)) {
+        if (now - before < IdleBytesPerAgent * static_cast<std::uint64_t>(m_options.m_agents)) {
             return;
         }
         before = now;
     }
-    std::cerr << "the network did not become quiet\n";
+    std::cerr << "the network did not become idle\n";
 }
 
 bool Run::serves(const Bench::ProcessSpec &engine, const std::string &contentDigest) const
@@ -177,9 +177,9 @@
     for (std::size_t index = 0; index < killed + frozen; ++index) {
         const Bench::ProcessSpec &agent = *agents[index * agents.size() / (killed + frozen)];
         m_faultyInstances.insert(agent.m_instance);
-        const Core::Result<void> broken = index < killed ? m_fleet->kill(agent.m_name) : m_fleet->freeze(agent.m_name);
-        if (!broken) {
-            std::cerr << broken.error() << "\n";
+        const Core::Result<void> result = index < killed ? m_fleet->kill(agent.m_name) : m_fleet->freeze(agent.m_name);
+        if (!result) {
+            std::cerr << result.error() << "\n";
         }
     }
 }
@@ -196,11 +196,11 @@
     for (const Bench::ProcessSpec *engine : m_fleet->ofKind(Bench::ProcessKind::Engine)) {
         all.push_back(Waiting{engine, engine->m_name.substr(engine->m_name.find(':') + 1), {}});
     }
-    bool isBroken = !hasFaults;
+    bool areFaultsInjected = !hasFaults;
     const auto elapsed = [this] { return Core::secondsBetween(m_publishedAt, Core::Clock::now()); };
     while (elapsed() < m_options.m_timeoutSeconds) {
-        if (!isBroken && elapsed() >= figures.m_boundSeconds * FaultAtBoundShare) {
-            isBroken = true;
+        if (!areFaultsInjected && elapsed() >= figures.m_boundSeconds * FaultAtBoundShare) {
+            areFaultsInjected = true;
             injectFaults();
         }
         std::vector<std::thread> threads;
@@ -219,7 +219,7 @@
         }
         const bool isDone =
             std::all_of(all.begin(), all.end(), [this](const Waiting &waiting) { return waiting.m_seconds || m_faultyInstances.contains(waiting.m_instance); });
-        if (isDone && isBroken) {
+        if (isDone && areFaultsInjected) {
             break;
         }
         std::this_thread::sleep_for(PollInterval);
@@ -257,7 +257,7 @@
 
 Core::Result<LoadFigures> Run::readLoad(Bench::Process &process, double seconds, const std::string &name)
 {
-    process.wait(Core::Duration(static_cast<std::int64_t>(seconds * 1000)) + CommandPatience);
+    process.wait(Core::Duration(static_cast<std::int64_t>(seconds * 1000)) + CommandTimeout);
     const std::string text = readFile(m_fleet->directory() + "/" + name + ".log");
     const std::size_t brace = text.rfind("\n{");
     const Poco::JSON::Object::Ptr report = BOOST_OUTCOME_TRYX(parseObject(text.substr(brace == std::string::npos ? 0 : brace + 1), "read load report"));
@@ -359,14 +359,14 @@
 
     std::optional<Bench::Process> load;
     if (figures.m_hasLoad) {
-        load.emplace(BOOST_OUTCOME_TRYX(startLoad(LiveSeconds, "load-during")));
+        load.emplace(BOOST_OUTCOME_TRYX(startLoad(BurstLoadSeconds, "load-during")));
     }
     BOOST_OUTCOME_TRYV(publish(version));
     m_publishedAt = Core::Clock::now();
     LOG(INFO) << "published";
     awaitServing(digest, figures, m_options.m_killPercent + m_options.m_stallPercent > 0);
     if (load) {
-        figures.m_burstLoad = BOOST_OUTCOME_TRYX(readLoad(*load, LiveSeconds, "load-during"));
+        figures.m_burstLoad = BOOST_OUTCOME_TRYX(readLoad(*load, BurstLoadSeconds, "load-during"));
     }
     figures.m_processorSeconds = agentProcessorSeconds() - processorBefore;
     figures.m_originCopies = static_cast<double>(originBytes() - originBefore) / weightBytes;
--- a/Tests/Benchmarks/Burst/BurstRun.h
+++ b/Tests/Benchmarks/Burst/BurstRun.h
@@ -1,4 +1,4 @@
-/// @file One measured burst: a fleet, a published version, and what became of it.
+/// @file One measured burst: starts a fleet, publishes a version and records its distribution.
 #pragma once
 
 #include "BurstOptions.h"
@@ -11,22 +11,22 @@
 
 namespace Burst {
 
-/// Outcome of a load run.
+/// Result of a load run.
 struct LoadFigures
 {
     std::uint64_t m_sent = 0;
-    std::uint64_t m_failed = 0; ///< Everything but whole answers.
-    double m_p99Ms = 0; ///< Of whole answers.
+    std::uint64_t m_failed = 0; ///< All requests without a complete answer.
+    double m_p99Ms = 0; ///< 99th percentile of the time to complete answers, in milliseconds.
 };
 
 struct Figures
 {
-    std::vector<double> m_servingSeconds; ///< When each surviving replica served, ascending, after the publication.
-    std::size_t m_expected = 0; ///< Replicas that should serve in the end.
+    std::vector<double> m_servingSeconds; ///< Time from the publication until each surviving replica served, ascending.
+    std::size_t m_expected = 0; ///< Replicas that should serve at the end.
     double m_boundSeconds = 0;
     double m_originCopies = 0;
-    double m_regionCopies = 0; ///< The largest of all ordered pairs; all traffic counts.
-    double m_processorSeconds = 0; ///< Of all agents together, during the burst.
+    double m_regionCopies = 0; ///< The largest value over all ordered pairs of regions; includes all traffic.
+    double m_processorSeconds = 0; ///< Processor time of all agents during the burst.
     LoadFigures m_baselineLoad;
     LoadFigures m_burstLoad;
     bool m_hasLoad = false;
--- a/Tests/Benchmarks/Burst/Main.cpp
+++ b/Tests/Benchmarks/Burst/Main.cpp
@@ -1,4 +1,4 @@
-/// @file burst-bench: measures one burst with real processes behind shaped links; started by Meta/measure-burst.
+/// @file burst-bench: measures one burst with real processes and shaped links. Started by Meta/measure-burst.
 
 #include "BurstRun.h"
 #include "Plot.h"
--- a/Tests/Benchmarks/Burst/Plot.h
+++ b/Tests/Benchmarks/Burst/Plot.h
@@ -1,4 +1,4 @@
-/// @file Draws serving replicas over time against the bound.
+/// @file Plots the number of serving replicas over time against the bound.
 #pragma once
 
 #include "BurstRun.h"
@@ -7,7 +7,7 @@
 
 namespace Burst {
 
-/// An SVG picture.
+/// Returns an SVG image.
 std::string drawPlot(const Options &options, const Figures &figures);
 
 }
--- a/Tests/Benchmarks/SwarmTrial/Main.cpp
+++ b/Tests/Benchmarks/SwarmTrial/Main.cpp
@@ -1,6 +1,7 @@
-/// @file swarm-trial: a burst among transfer managers in one process, each pacing its own link. For quick looks at the policy; Meta/measure-burst measures.
+/// @file swarm-trial: runs a burst between transfer managers in one process, each of which paces its own link. For quick comparisons of settings;
+/// Meta/measure-burst runs the actual measurement.
 
-#include "../../LibTransfer/Replicas.h"
+#include "../../LibTransfer/ReplicaCluster.h"
 
 #include "LibCore/Random.h"
 
@@ -28,8 +29,8 @@
     Transfer::TransferSettings m_settings;
 };
 
-/// Sizes and links of a site of today: 48 chunks, an origin with 15 Mbit/s, instances with 9.4 Mbit/s, and what agents use of them.
-void applySiteShape(TrialOptions &trial)
+/// Applies the sizes and links of a typical fleet: 48 chunks, an origin with 15 Mbit/s and instances with 9.4 Mbit/s, with the agents' shares of the links.
+void applyFleetShape(TrialOptions &trial)
 {
     constexpr std::uint32_t chunks = 48;
     constexpr double bytesPerMegabit = 1e6 / 8;
@@ -70,25 +71,25 @@
     trial.m_settings.m_uploadBytesPerSecond = BytesPerMebibyte;
     trial.m_settings.m_downloadBytesPerSecond = BytesPerMebibyte;
     if (arguments["shape"].as<std::string>() == "site") {
-        applySiteShape(trial);
+        applyFleetShape(trial);
     }
     for (const Transfer::Strategy strategy : {Transfer::Strategy::Swarm, Transfer::Strategy::Origin, Transfer::Strategy::Tree}) {
         if (Transfer::strategyName(strategy) == trial.m_strategy) {
             trial.m_settings.m_strategy = strategy;
         }
     }
-    const auto adjust = [&arguments](const std::string &name, std::uint32_t &field) {
+    const auto overrideIfSet = [&arguments](const std::string &name, std::uint32_t &field) {
         const std::uint32_t value = arguments[name].as<std::uint32_t>();
         field = value > 0 ? value : field;
     };
-    adjust("slots", trial.m_settings.m_uploadSlots);
-    adjust("queue", trial.m_settings.m_queuedUploads);
-    adjust("ahead", trial.m_settings.m_concurrentPeerRequests);
-    adjust("neighbours", trial.m_settings.m_neighbours);
+    overrideIfSet("slots", trial.m_settings.m_uploadSlots);
+    overrideIfSet("queue", trial.m_settings.m_queuedUploads);
+    overrideIfSet("ahead", trial.m_settings.m_concurrentPeerRequests);
+    overrideIfSet("neighbours", trial.m_settings.m_neighbours);
     return trial;
 }
 
-std::size_t countKnowing(TestBench::ReplicaCluster &replicas)
+std::size_t countWithManifest(TransferTest::ReplicaCluster &replicas)
 {
     std::size_t count = 0;
     for (std::size_t index = 0; index < replicas.size(); ++index) {
@@ -106,7 +107,7 @@
     origin.m_bytesPerSecond = options.m_originBytesPerSecond;
     origin.m_chunkBytes = options.m_chunkBytes;
     origin.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "1", bytes, 1, 0, 100});
-    TestBench::ReplicaCluster replicas(origin);
+    TransferTest::ReplicaCluster replicas(origin);
     const std::vector<std::string> regions = {"hcm", "hanoi", "danang"};
     for (std::size_t index = 0; index < options.m_agents; ++index) {
         replicas.addReplica(regions[index % regions.size()]);
@@ -133,7 +134,7 @@
         if (options.m_verbose && Core::Clock::now() >= nextSample) {
             nextSample += std::chrono::milliseconds(MillisecondsPerSample);
             std::cout << std::fixed << std::setprecision(2) << seconds << "s up_MiB=" << replicas.counterTotal("transfer_bytes_uploaded_total") / 1048576.0
-                      << " origin_MiB=" << replicas.counterTotal("transfer_bytes_from_origin_total") / 1048576.0 << " know=" << countKnowing(replicas)
+                      << " origin_MiB=" << replicas.counterTotal("transfer_bytes_from_origin_total") / 1048576.0 << " know=" << countWithManifest(replicas)
                       << " whole=" << replicas.countHolders(deployment.m_digest) << " refused=" << replicas.counterTotal("transfer_uploads_refused_total")
                       << "\n";
         }
--- a/Tests/LibTransfer/ReplicaCluster.h
+++ b/Tests/LibTransfer/ReplicaCluster.h
@@ -1,4 +1,4 @@
-/// @file Several transfer managers in one process, each with a node and an address of its own, and an origin.
+/// @file A cluster of transfer managers in one process, each with its own node and address, and an origin.
 #pragma once
 
 #include "LibOriginStandIn/OriginServer.h"
@@ -12,12 +12,12 @@
 #include <unistd.h>
 #include <vector>
 
-namespace TestBench {
+namespace TransferTest {
 
-/// Waits for a condition; false if it does not come about.
-inline bool waitFor(const std::function<bool()> &condition, std::chrono::seconds patience = std::chrono::seconds(60))
+/// Waits for a condition. Returns false if it is not met in time.
+inline bool waitFor(const std::function<bool()> &condition, std::chrono::seconds timeout = std::chrono::seconds(60))
 {
-    const Core::Instant end = Core::Clock::now() + patience;
+    const Core::Instant end = Core::Clock::now() + timeout;
     while (!condition()) {
         if (Core::Clock::now() > end) {
             return false;
@@ -39,7 +39,7 @@
         stop();
     }
 
-    /// Ends it as a crash would: every connection closes.
+    /// Stops the replica as a crash would: all connections are closed.
     void stop()
     {
         if (m_node) {
@@ -63,7 +63,7 @@
         m_server->start().value();
     }
 
-    /// Plans a replica without starting it.
+    /// Adds a replica to the plan without starting it.
     void addReplica(const std::string &region)
     {
         const std::size_t number = m_replicas.size() + 1;
@@ -72,7 +72,7 @@
             Control::PlannedReplica{"instance-" + std::to_string(number), region, region + "-a", Core::Address{host(number), WirePort}};
     }
 
-    /// Starts a planned replica, or starts it anew with nothing.
+    /// Starts a planned replica, or restarts it without any held chunks.
     void start(std::size_t index, const Transfer::TransferSettings &settings)
     {
         Replica &replica = *m_replicas[index];
@@ -98,7 +98,7 @@
         replica.m_node->start().value();
     }
 
-    /// The deployment of a stored version to every planned replica.
+    /// Returns the deployment of a stored version to every planned replica.
     Control::Deployment deployment(const std::string &model, const std::string &version)
     {
         Control::Deployment deployment;
@@ -129,7 +129,7 @@
         return count;
     }
 
-    /// Sum of a counter over all replicas.
+    /// Returns the sum of a counter over all replicas.
     std::uint64_t counterTotal(const std::string &counter) const
     {
         std::uint64_t sum = 0;
@@ -139,7 +139,7 @@
         return sum;
     }
 
-    /// What the origin holds now.
+    /// Returns the content that the origin has now.
     std::string content(const std::string &model, const std::string &version)
     {
         return m_store->manifest(model, version).m_object->m_content;
@@ -162,7 +162,7 @@
     static constexpr std::uint16_t OriginPort = 7400;
     static constexpr std::uint16_t WirePort = 7000;
 
-    /// An address of the loopback range that no other running test uses.
+    /// Returns a loopback address that no other running test uses.
     static std::string host(std::size_t number)
     {
         constexpr int firstSlot = 64;
--- a/Tests/LibTransfer/TestBurst.cpp
+++ b/Tests/LibTransfer/TestBurst.cpp
@@ -1,4 +1,4 @@
-/// @file Bursts between real transfer managers, without limits on the links: what arrives, and what it costs the origin.
+/// @file Tests of bursts between transfer managers without limits on the links: what arrives, and how many bytes the origin sends.
 
 #include "ReplicaCluster.h"
 
@@ -19,16 +19,16 @@
 
 }
 
-TEST_CASE("a burst reaches every replica whole, with one copy from the origin")
+TEST_CASE("A burst completes on every replica with one copy from the origin")
 {
-    TestBench::ReplicaCluster replicas(originSettings());
+    TransferTest::ReplicaCluster replicas(originSettings());
     for (int index = 0; index < 9; ++index) {
         replicas.addReplica(index % 3 == 0 ? "hcm" : index % 3 == 1 ? "hanoi" : "danang");
         replicas.start(static_cast<std::size_t>(index), Transfer::TransferSettings{});
     }
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.setTargets({deployment});
-    REQUIRE(TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); }));
     for (std::size_t index = 0; index < replicas.size(); ++index) {
         REQUIRE(replicas.at(index).m_manager->heldVersion(deployment.m_digest)->fullContent() == replicas.content("drafts", "1"));
     }
--- a/Tests/LibTransfer/TestDecisions.cpp
+++ b/Tests/LibTransfer/TestDecisions.cpp
@@ -1,4 +1,4 @@
-/// @file The picker, the upload queue and the pacer.
+/// @file Tests of chunk selection, the upload queue and the pacer.
 
 #include "LibCore/Random.h"
 #include "LibTransfer/ChunkSelection.h"
@@ -8,7 +8,7 @@
 #include <catch2/catch.hpp>
 #include <random>
 
-TEST_CASE("a pick is always a wanted chunk that a usable, least loaded holder has, and crosses regions only to import")
+TEST_CASE("A selected chunk is wanted and held by a usable, least loaded peer, and crosses regions only for an import")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
@@ -35,35 +35,35 @@
                 wanted.push_back(Transfer::WantedChunk{chunk, random.below(2) == 0});
             }
         }
-        const std::optional<Transfer::ChunkSelection> pick = Transfer::selectChunk(wanted, peers, random);
-        const auto isNearHeld = [&](Weights::ChunkIndex chunk) {
+        const std::optional<Transfer::ChunkSelection> selection = Transfer::selectChunk(wanted, peers, random);
+        const auto isHeldInRegion = [&](Weights::ChunkIndex chunk) {
             return std::any_of(peers.begin(), peers.end(), [chunk](const Transfer::SourcePeer &peer) { return peer.m_isSameRegion && (*peer.m_holds)[chunk]; });
         };
-        const auto mayTake = [&](const Transfer::WantedChunk &chunk, const Transfer::SourcePeer &peer) {
-            const bool fits = peer.m_isSameRegion || (chunk.m_mayImport && !isNearHeld(chunk.m_chunk));
+        const auto maySelect = [&](const Transfer::WantedChunk &chunk, const Transfer::SourcePeer &peer) {
+            const bool fits = peer.m_isSameRegion || (chunk.m_mayImport && !isHeldInRegion(chunk.m_chunk));
             return peer.m_isUsable && fits && (*peer.m_holds)[chunk.m_chunk];
         };
         bool possible = false;
         for (const Transfer::WantedChunk &chunk : wanted) {
             for (const Transfer::SourcePeer &peer : peers) {
-                possible = possible || mayTake(chunk, peer);
+                possible = possible || maySelect(chunk, peer);
             }
         }
-        REQUIRE(pick.has_value() == possible);
-        if (!pick) {
+        REQUIRE(selection.has_value() == possible);
+        if (!selection) {
             continue;
         }
-        const std::vector<Transfer::WantedChunk>::const_iterator chunk =
-            std::find_if(wanted.begin(), wanted.end(), [&pick](const Transfer::WantedChunk &candidate) { return candidate.m_chunk == pick->m_chunk; });
+        const std::vector<Transfer::WantedChunk>::const_iterator chunk = std::find_if(
+            wanted.begin(), wanted.end(), [&selection](const Transfer::WantedChunk &candidate) { return candidate.m_chunk == selection->m_chunk; });
         REQUIRE(chunk != wanted.end());
-        REQUIRE(mayTake(*chunk, peers[pick->m_peer]));
+        REQUIRE(maySelect(*chunk, peers[selection->m_peer]));
         for (const Transfer::SourcePeer &peer : peers) {
-            REQUIRE((!mayTake(*chunk, peer) || peer.m_load >= peers[pick->m_peer].m_load));
+            REQUIRE((!maySelect(*chunk, peer) || peer.m_load >= peers[selection->m_peer].m_load));
         }
     }
 }
 
-TEST_CASE("among equally loaded peers the rarest chunk goes first")
+TEST_CASE("Among equally loaded peers the rarest chunk is selected")
 {
     Core::Random random(1);
     const std::vector<bool> both = {true, true};
@@ -75,7 +75,7 @@
     }
 }
 
-TEST_CASE("uploads for other regions go first, then what was sent least, then the oldest")
+TEST_CASE("Uploads for other regions go first, then the chunk sent least often, then the oldest request")
 {
     const std::map<std::string, Transfer::SentCounts> sent = {{"v", {{1, 3}, {2, 1}}}};
     std::vector<Transfer::QueuedUpload> waiting = {{1, "v", 1, false}, {2, "v", 2, false}, {3, "v", 3, false}, {4, "v", 4, false}, {5, "v", 1, true}};
@@ -87,17 +87,17 @@
     REQUIRE_FALSE(Transfer::selectNextUpload({}, sent));
 }
 
-TEST_CASE("a crowd of neighbours cannot keep out the first copy for another region")
+TEST_CASE("Many requests of neighbours do not prevent the first copy for another region from being queued")
 {
-    // Every neighbour asks a drawer for its newest chunk at once. If the queue were one, a whole region would wait behind them.
+    // All neighbours request a downloader's newest chunk at the same time. With a single queue, a whole region would wait behind them.
     Transfer::UploadLimits limits;
     limits.m_waiting = 2;
-    const std::vector<Transfer::QueuedUpload> crowd = {{1, "v", 1, false}, {2, "v", 1, false}};
-    REQUIRE_FALSE(Transfer::canQueueUpload(crowd, false, limits));
-    REQUIRE(Transfer::canQueueUpload(crowd, true, limits));
+    const std::vector<Transfer::QueuedUpload> waiting = {{1, "v", 1, false}, {2, "v", 1, false}};
+    REQUIRE_FALSE(Transfer::canQueueUpload(waiting, false, limits));
+    REQUIRE(Transfer::canQueueUpload(waiting, true, limits));
 }
 
-TEST_CASE("whatever is asked of it, the pacer lets through no more than its rate and one burst")
+TEST_CASE("The pacer never admits more than its rate and one burst")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
@@ -109,20 +109,20 @@
     Transfer::Pacer pacer(rate, burst, start);
     Core::Instant now = start;
     std::uint64_t taken = 0;
-    std::uint64_t live = 0;
+    std::uint64_t charged = 0;
     for (int step = 0; step < 5000; ++step) {
         now += Core::Duration(random.below(20));
         if (random.below(50) == 0) {
             const std::uint64_t bytes = random.below(largest);
             pacer.charge(bytes, now);
-            live += bytes;
+            charged += bytes;
         }
         const std::uint64_t bytes = 1 + random.below(largest);
         taken += pacer.tryTake(bytes, now) ? bytes : 0;
         const double allowed = static_cast<double>(rate) * Core::secondsBetween(start, now) + burst + largest;
-        REQUIRE(static_cast<double>(taken + live) <= allowed + 2 * burst);
+        REQUIRE(static_cast<double>(taken + charged) <= allowed + 2 * burst);
     }
-    // And it does not starve what stays below the rate.
+    // Usage below the rate is always admitted.
     now += Core::Duration(1000);
     REQUIRE(pacer.timeUntilReady(now) == Core::Duration(0));
     REQUIRE(pacer.tryTake(1, now));
--- a/Tests/LibTransfer/TestFaults.cpp
+++ b/Tests/LibTransfer/TestFaults.cpp
@@ -1,4 +1,4 @@
-/// @file Bursts among real transfer managers while something goes wrong: each ends, and nothing partial or foreign is ever handed out.
+/// @file Tests of bursts between transfer managers with faults: each burst ends, and incomplete or foreign versions are never returned.
 
 #include "LibTransfer/Messages.h"
 #include "LibWire/Pack.h"
@@ -27,13 +27,13 @@
     return settings;
 }
 
-/// A replica that announces every chunk of a version and answers requests as the test says.
-class Liar
+/// A replica that announces every chunk of a version and answers requests as the test specifies.
+class MisbehavingPeer
 {
 public:
     using Answer = std::function<void(const Transfer::ChunkRequest &, const std::string &chunk, const Wire::Responder &)>;
 
-    Liar(const Core::Address &address, const Weights::Manifest &manifest, const std::string &content, const Answer &answer)
+    MisbehavingPeer(const Core::Address &address, const Weights::Manifest &manifest, const std::string &content, const Answer &answer)
     {
         Wire::NodeSettings settings;
         settings.m_listen = address;
@@ -50,61 +50,61 @@
         });
         m_node->handle("transfer.chunk", [this, manifest, content, answer](const Wire::IncomingCall &call) {
             const Transfer::ChunkRequest request = Wire::unpack<Transfer::ChunkRequest>(call.m_body, call.m_peer).value();
-            ++m_asked;
+            ++m_requestCount;
             answer(request, content.substr(manifest.chunkOffset(request.m_chunk), manifest.chunkLength(request.m_chunk)), call.m_responder);
         });
         m_node->start().value();
     }
 
-    ~Liar()
+    ~MisbehavingPeer()
     {
         m_node->stop();
     }
 
-    int asked() const
+    int requestCount() const
     {
-        return m_asked;
+        return m_requestCount;
     }
 
 private:
     Telemetry::Metrics m_metrics;
-    std::vector<Wire::Responder> m_followers; ///< Keeps the streams open; used on the node's thread only.
-    std::atomic<int> m_asked = 0;
+    std::vector<Wire::Responder> m_followers; ///< Keeps the streams open. Used on the node's thread only.
+    std::atomic<int> m_requestCount = 0;
     std::unique_ptr<Wire::Node> m_node;
 };
 
-/// Two honest replicas and a planned third one whose place a liar takes.
-struct LiarBench
+/// Two correct replicas and a planned third one in whose place the misbehaving peer runs.
+struct MisbehavingPeerFixture
 {
-    TestBench::ReplicaCluster m_replicas{originSettings()};
+    TransferTest::ReplicaCluster m_replicas{originSettings()};
     Control::Deployment m_deployment;
-    std::unique_ptr<Liar> m_liar;
+    std::unique_ptr<MisbehavingPeer> m_peer;
 
-    explicit LiarBench(const Liar::Answer &answer)
+    explicit MisbehavingPeerFixture(const MisbehavingPeer::Answer &answer)
     {
         for (int index = 0; index < 3; ++index) {
             m_replicas.addReplica("hcm");
         }
         m_deployment = m_replicas.deployment("drafts", "1");
-        const std::shared_ptr<const StandIn::StoredObject> object = m_replicas.origin().manifest("drafts", "1").m_object;
-        m_liar = std::make_unique<Liar>(m_replicas.at(2).m_planned.m_wire, object->m_manifest, object->m_content, answer);
+        const std::shared_ptr<const StandIn::StoredObject> stored = m_replicas.origin().manifest("drafts", "1").m_object;
+        m_peer = std::make_unique<MisbehavingPeer>(m_replicas.at(2).m_planned.m_wire, stored->m_manifest, stored->m_content, answer);
         m_replicas.start(0, quickSettings());
         m_replicas.start(1, quickSettings());
         m_replicas.setTargets({m_deployment});
     }
 
-    bool ends()
+    bool completes()
     {
-        return TestBench::waitFor([this] { return m_replicas.countHolders(m_deployment.m_digest) == 2; });
+        return TransferTest::waitFor([this] { return m_replicas.countHolders(m_deployment.m_digest) == 2; });
     }
 
-    bool isWhole(std::size_t index)
+    bool isComplete(std::size_t index)
     {
         return m_replicas.at(index).m_manager->heldVersion(m_deployment.m_digest)->fullContent() == m_replicas.content("drafts", "1");
     }
 };
 
-void startAll(TestBench::ReplicaCluster &replicas, std::size_t count, const Transfer::TransferSettings &settings = quickSettings())
+void startAll(TransferTest::ReplicaCluster &replicas, std::size_t count, const Transfer::TransferSettings &settings = quickSettings())
 {
     for (std::size_t index = 0; index < count; ++index) {
         replicas.addReplica(index % 2 == 0 ? "hcm" : "hanoi");
@@ -112,177 +112,178 @@
     }
 }
 
-bool endsEverywhere(TestBench::ReplicaCluster &replicas, const Control::Deployment &deployment)
+bool completesEverywhere(TransferTest::ReplicaCluster &replicas, const Control::Deployment &deployment)
 {
-    return TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); });
+    return TransferTest::waitFor([&] { return replicas.countHolders(deployment.m_digest) == replicas.size(); });
 }
 
 }
 
-TEST_CASE("damaged chunks from one peer never become part of a version")
+TEST_CASE("Damaged chunks from one peer never become part of a version")
 {
-    // A peer's memory is bad: the first chunk, the last one, or all that it sends are damaged. An engine that loaded them would
-    // write drafts from weights that nobody published.
+    // A peer with faulty memory damages the first chunk, the last one, or all chunks that it sends. An engine that loaded them would serve weights that nobody
+    // published.
     const Weights::ChunkIndex damaged = GENERATE(Weights::ChunkIndex{0}, Weights::ChunkIndex{24}, ~Weights::ChunkIndex{0});
-    LiarBench bench([damaged](const Transfer::ChunkRequest &request, std::string chunk, const Wire::Responder &responder) {
+    MisbehavingPeerFixture fixture([damaged](const Transfer::ChunkRequest &request, std::string chunk, const Wire::Responder &responder) {
         if (damaged == request.m_chunk || damaged == ~Weights::ChunkIndex{0}) {
             chunk[chunk.size() / 2] ^= 1;
         }
         responder.reply(chunk);
     });
-    REQUIRE(bench.ends());
-    REQUIRE(bench.isWhole(0));
-    REQUIRE(bench.isWhole(1));
+    REQUIRE(fixture.completes());
+    REQUIRE(fixture.isComplete(0));
+    REQUIRE(fixture.isComplete(1));
     if (damaged == ~Weights::ChunkIndex{0}) {
-        REQUIRE(bench.m_replicas.counterTotal("transfer_chunks_bad_total") > 0);
-        // Each honest replica sets the peer aside at once; only what was already asked still comes.
-        REQUIRE(bench.m_liar->asked() <= 8);
+        REQUIRE(fixture.m_replicas.counterTotal("transfer_chunks_bad_total") > 0);
+        // Each correct replica excludes the peer immediately. Only requests that were already sent still reach it.
+        REQUIRE(fixture.m_peer->requestCount() <= 8);
     }
 }
 
-TEST_CASE("chunks that are cut short or too long are not taken")
+TEST_CASE("Chunks that are too short or too long are rejected")
 {
     const bool isShort = GENERATE(true, false);
-    LiarBench bench([isShort](const Transfer::ChunkRequest &, const std::string &chunk, const Wire::Responder &responder) {
+    MisbehavingPeerFixture fixture([isShort](const Transfer::ChunkRequest &, const std::string &chunk, const Wire::Responder &responder) {
         responder.reply(isShort ? chunk.substr(0, chunk.size() / 2) : chunk + chunk);
     });
-    REQUIRE(bench.ends());
-    REQUIRE(bench.isWhole(0));
-    REQUIRE(bench.isWhole(1));
+    REQUIRE(fixture.completes());
+    REQUIRE(fixture.isComplete(0));
+    REQUIRE(fixture.isComplete(1));
 }
 
-TEST_CASE("a peer that never answers does not hold up the burst")
+TEST_CASE("A peer that never answers does not delay the burst")
 {
-    // The peer froze. Its connection stays open, so that only the missing progress shows it.
-    LiarBench bench([kept = std::make_shared<std::vector<Wire::Responder>>()](
-                        const Transfer::ChunkRequest &, const std::string &, const Wire::Responder &responder) { kept->push_back(responder); });
-    REQUIRE(bench.ends());
-    REQUIRE(bench.isWhole(0));
-    REQUIRE(bench.isWhole(1));
+    // The peer is frozen. Its connection stays open, so the fault shows only as missing progress.
+    MisbehavingPeerFixture fixture(
+        [keptResponders = std::make_shared<std::vector<Wire::Responder>>()](
+            const Transfer::ChunkRequest &, const std::string &, const Wire::Responder &responder) { keptResponders->push_back(responder); });
+    REQUIRE(fixture.completes());
+    REQUIRE(fixture.isComplete(0));
+    REQUIRE(fixture.isComplete(1));
 }
 
-TEST_CASE("a version that changed under its name is never handed out")
+TEST_CASE("A version that was replaced under the same name is never returned")
 {
-    // The store's object is replaced after the version was published. Its chunks are sound in themselves, but not those that were published.
-    TestBench::ReplicaCluster replicas(originSettings());
+    // The origin's object is replaced after the version was published. Its chunks are consistent, but they are not the published ones.
+    TransferTest::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment published = replicas.deployment("drafts", "1");
     const std::string content = replicas.content("drafts", "1");
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":99}})").value();
     replicas.setTargets({published});
-    // Every replica has seen the foreign manifest and refused it, more than once.
-    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_manifests_bad_total") >= 2; }));
+    // The replicas have received and rejected the foreign manifest more than once.
+    REQUIRE(TransferTest::waitFor([&] { return replicas.counterTotal("transfer_manifests_bad_total") >= 2; }));
     REQUIRE(replicas.countHolders(published.m_digest) == 0);
 }
 
-TEST_CASE("a version that changes while it is fetched is never mixed, and completes once the store has it again")
+TEST_CASE("A version that is replaced while it is fetched is never mixed, and completes once the origin has it again")
 {
-    TestBench::ReplicaCluster replicas(originSettings());
+    TransferTest::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 4, settings);
     const Control::Deployment published = replicas.deployment("drafts", "1");
     const std::string content = replicas.content("drafts", "1");
     replicas.setTargets({published});
-    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":99}})").value();
-    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_chunks_bad_total") > 0; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.counterTotal("transfer_chunks_bad_total") > 0; }));
     REQUIRE(replicas.countHolders(published.m_digest) == 0);
     replicas.origin().setFaults(R"({"swap":{"model":"drafts","version":"1","seed":7}})").value();
-    REQUIRE(endsEverywhere(replicas, published));
+    REQUIRE(completesEverywhere(replicas, published));
     REQUIRE(replicas.at(0).m_manager->heldVersion(published.m_digest)->fullContent() == content);
 }
 
-TEST_CASE("once one copy is out, the burst ends without the origin, and a replaced replica is served by its peers")
+TEST_CASE("After one copy has left the origin, the burst completes without it, and a replaced replica is served by its peers")
 {
-    // The store goes down for a long time in the middle of a burst. What the replicas hold together is enough.
-    TestBench::ReplicaCluster replicas(originSettings());
+    // The origin goes down for a long time during a burst. Together the replicas hold every chunk.
+    TransferTest::ReplicaCluster replicas(originSettings());
     startAll(replicas, 6);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.origin().setFaults(R"({"down_after_copies":1.0})").value();
     replicas.setTargets({deployment});
-    REQUIRE(endsEverywhere(replicas, deployment));
+    REQUIRE(completesEverywhere(replicas, deployment));
     replicas.start(3, quickSettings());
     REQUIRE(replicas.at(3).m_manager->heldVersion(deployment.m_digest) == nullptr);
     replicas.at(3).m_manager->setTargets({deployment});
-    REQUIRE(endsEverywhere(replicas, deployment));
+    REQUIRE(completesEverywhere(replicas, deployment));
     REQUIRE(replicas.at(3).m_metrics->counter("transfer_bytes_from_origin_total").value() == 0);
 }
 
-TEST_CASE("a burst waits for an origin that is down and ends once it is back")
+TEST_CASE("A burst waits for an origin that is down and completes after its recovery")
 {
-    TestBench::ReplicaCluster replicas(originSettings());
+    TransferTest::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.origin().setFaults(R"({"down":true})").value();
     replicas.setTargets({deployment});
-    REQUIRE(TestBench::waitFor([&] { return replicas.origin().journalJson().find("\"manifest_requests\":0") == std::string::npos; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.origin().journalJson().find("\"manifest_requests\":0") == std::string::npos; }));
     REQUIRE(replicas.countHolders(deployment.m_digest) == 0);
     replicas.origin().setFaults(R"({"down":false,"slow_ms":20,"truncate_percent":20})").value();
-    REQUIRE(endsEverywhere(replicas, deployment));
+    REQUIRE(completesEverywhere(replicas, deployment));
 }
 
-TEST_CASE("the burst ends for the others when replicas die in the middle")
+TEST_CASE("A burst completes on the other replicas if some die during it")
 {
-    // Among the dead are drawers and importers of chunks that nobody else has yet.
-    TestBench::ReplicaCluster replicas(originSettings());
+    // The dead replicas include downloaders and importers of chunks that no other replica holds yet.
+    TransferTest::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 8, settings);
     const Control::Deployment deployment = replicas.deployment("drafts", "1");
     replicas.setTargets({deployment});
-    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     for (const std::size_t dead : {std::size_t{1}, std::size_t{2}}) {
         replicas.at(dead).stop();
         replicas.at(dead).m_manager.reset();
     }
-    REQUIRE(TestBench::waitFor([&] { return replicas.countHolders(deployment.m_digest) == 6; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.countHolders(deployment.m_digest) == 6; }));
     REQUIRE(replicas.at(0).m_manager->heldVersion(deployment.m_digest)->fullContent() == replicas.content("drafts", "1"));
 }
 
-TEST_CASE("a superseded version stops at once, and chunks that the new one shares are not fetched again")
+TEST_CASE("A superseded version stops immediately, and chunks that the new version shares are not fetched again")
 {
-    // Operators publish a correction while a burst is under way. Going on with the old version would take the links from the new one.
-    TestBench::ReplicaCluster replicas(originSettings());
+    // Operators publish a correction during a burst. Continuing with the old version would take bandwidth from the new one.
+    TransferTest::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
     settings.m_originBytesPerSecond = 100'000;
     startAll(replicas, 4, settings);
     const Control::Deployment first = replicas.deployment("drafts", "1");
     const Control::Deployment second = replicas.deployment("drafts", "2");
     replicas.setTargets({first});
-    REQUIRE(TestBench::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.counterTotal("transfer_bytes_from_origin_total") > 4 * ChunkSize; }));
     replicas.setTargets({second});
-    REQUIRE(endsEverywhere(replicas, second));
+    REQUIRE(completesEverywhere(replicas, second));
     REQUIRE(replicas.countHolders(first.m_digest) == 0);
     for (std::size_t index = 0; index < replicas.size(); ++index) {
         REQUIRE(replicas.at(index).m_manager->progress().size() == 1);
     }
 }
 
-TEST_CASE("a rollback to a held version moves no bytes")
+TEST_CASE("A rollback to a held version transfers no bytes")
 {
-    TestBench::ReplicaCluster replicas(originSettings());
+    TransferTest::ReplicaCluster replicas(originSettings());
     startAll(replicas, 4);
     const Control::Deployment first = replicas.deployment("drafts", "1");
     const Control::Deployment second = replicas.deployment("drafts", "2");
     replicas.setTargets({first});
-    REQUIRE(endsEverywhere(replicas, first));
+    REQUIRE(completesEverywhere(replicas, first));
     replicas.setTargets({second});
-    REQUIRE(endsEverywhere(replicas, second));
-    // A quarter of the chunks differ; the others came from the version that was held.
+    REQUIRE(completesEverywhere(replicas, second));
+    // A quarter of the chunks differ. The others are reused from the version that was held.
     REQUIRE(replicas.counterTotal("transfer_bytes_reused_total") >= 4 * 17 * ChunkSize);
     const std::uint64_t moved = replicas.counterTotal("transfer_bytes_from_origin_total") + replicas.counterTotal("transfer_bytes_from_peers_total");
     replicas.setTargets({first});
     REQUIRE(replicas.countHolders(first.m_digest) == replicas.size());
     REQUIRE(replicas.counterTotal("transfer_bytes_from_origin_total") + replicas.counterTotal("transfer_bytes_from_peers_total") == moved);
     replicas.at(0).m_manager->release(second.m_digest);
-    REQUIRE(TestBench::waitFor([&] { return replicas.at(0).m_manager->heldVersion(second.m_digest) == nullptr; }));
+    REQUIRE(TransferTest::waitFor([&] { return replicas.at(0).m_manager->heldVersion(second.m_digest) == nullptr; }));
     REQUIRE(replicas.at(0).m_manager->heldVersion(first.m_digest)->fullContent() == replicas.content("drafts", "1"));
 }
 
-TEST_CASE("a version that does not fit into memory waits until another is released")
+TEST_CASE("A version that exceeds the memory limit waits until another version is released")
 {
-    TestBench::ReplicaCluster replicas([] {
+    TransferTest::ReplicaCluster replicas([] {
         StandIn::OriginSettings settings;
         settings.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "1", 700 << 10, 7, 0, 100});
         settings.m_objects.push_back(StandIn::ObjectRecipe{"drafts", "2", 700 << 10, 8, 0, 100});
@@ -294,12 +295,12 @@
     const Control::Deployment first = replicas.deployment("drafts", "1");
     const Control::Deployment second = replicas.deployment("drafts", "2");
     replicas.setTargets({first});
-    REQUIRE(endsEverywhere(replicas, first));
+    REQUIRE(completesEverywhere(replicas, first));
     replicas.setTargets({second});
-    REQUIRE(TestBench::waitFor([&] {
+    REQUIRE(TransferTest::waitFor([&] {
         const Poco::JSON::Object::Ptr dump = replicas.at(0).m_manager->dump();
         return dump->has(second.m_digest) && dump->getObject(second.m_digest)->getValue<bool>("awaits_memory");
     }));
     replicas.at(0).m_manager->release(first.m_digest);
-    REQUIRE(endsEverywhere(replicas, second));
+    REQUIRE(completesEverywhere(replicas, second));
 }
--- a/Tests/LibTransfer/TestRendezvousRanking.cpp
+++ b/Tests/LibTransfer/TestRendezvousRanking.cpp
@@ -1,4 +1,4 @@
-/// @file Properties of the ranking and of the choice of neighbours, on random sets of replicas.
+/// @file Tests of the ranking and the neighbour selection with random sets of replicas.
 
 #include "LibCore/Random.h"
 #include "LibTransfer/RendezvousRanking.h"
@@ -21,7 +21,7 @@
 
 }
 
-TEST_CASE("every replica works out the same ranking, whatever order it learned the replicas in")
+TEST_CASE("Every replica computes the same ranking, regardless of the order of its list")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
@@ -38,42 +38,42 @@
     }
 }
 
-TEST_CASE("when a replica goes, only the chunks that it ranked first for change hands, each to its successor")
+TEST_CASE("When a replica leaves, only the chunks for which it was ranked first move, each to its successor")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
     Core::Random random(seed);
     const std::vector<Transfer::Candidate> candidates = makeCandidates(random, 3 + random.below(100));
-    const Transfer::PeerIndex gone = static_cast<Transfer::PeerIndex>(random.below(candidates.size()));
+    const Transfer::PeerIndex leaving = static_cast<Transfer::PeerIndex>(random.below(candidates.size()));
     std::vector<Transfer::Candidate> remaining = candidates;
-    std::erase_if(remaining, [gone](const Transfer::Candidate &candidate) { return candidate.m_peer == gone; });
+    std::erase_if(remaining, [leaving](const Transfer::Candidate &candidate) { return candidate.m_peer == leaving; });
     for (std::uint32_t chunk = 0; chunk < 100; ++chunk) {
         const std::uint64_t item = Transfer::itemHash("digest", chunk);
         const std::vector<Transfer::PeerIndex> before = Transfer::topRanked(item, candidates, 2);
-        REQUIRE(Transfer::topRanked(item, remaining, 1).front() == (before[0] == gone ? before[1] : before[0]));
+        REQUIRE(Transfer::topRanked(item, remaining, 1).front() == (before[0] == leaving ? before[1] : before[0]));
     }
 }
 
-TEST_CASE("the first drawer is also the first importer of its own region")
+TEST_CASE("The first downloader is also the first importer of its own region")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
     Core::Random random(seed);
-    const std::vector<Transfer::Candidate> everybody = makeCandidates(random, 30);
+    const std::vector<Transfer::Candidate> candidates = makeCandidates(random, 30);
     for (std::uint32_t chunk = 0; chunk < 50; ++chunk) {
         const std::uint64_t item = Transfer::itemHash("digest", chunk);
-        const Transfer::PeerIndex drawer = Transfer::topRanked(item, everybody, 1).front();
+        const Transfer::PeerIndex downloader = Transfer::topRanked(item, candidates, 1).front();
         std::vector<Transfer::Candidate> region;
-        for (const Transfer::Candidate &candidate : everybody) {
-            if (candidate.m_peer % 3 == drawer % 3) {
+        for (const Transfer::Candidate &candidate : candidates) {
+            if (candidate.m_peer % 3 == downloader % 3) {
                 region.push_back(candidate);
             }
         }
-        REQUIRE(Transfer::topRanked(item, region, 1).front() == drawer);
+        REQUIRE(Transfer::topRanked(item, region, 1).front() == downloader);
     }
 }
 
-TEST_CASE("neighbours are few, nobody is followed by more than the degree, and every replica can be reached")
+TEST_CASE("Neighbours are few, no replica has more followers than the degree, and every replica is reachable")
 {
     const std::uint64_t seed = std::random_device{}();
     CAPTURE(seed);
