--- a/Libraries/LibWeights/HeldVersion.cpp
+++ b/Libraries/LibWeights/HeldVersion.cpp
@@ -1,4 +1,4 @@
-/// @file Putting verified chunks together to a whole version.
+/// @file Assembles verified chunks into a complete version.
 
 #include "LibWeights/HeldVersion.h"
 
@@ -27,7 +27,7 @@
         digest.update(*chunk);
     }
     const std::string content = digest.finishHex();
-    // Without a digest of the whole, the digests of the chunks and their order in the manifest say as much.
+    // Without a content digest, the digests of the chunks and their order in the manifest are an equivalent check.
     if (!manifest.m_contentDigest.empty() && content != manifest.m_contentDigest) {
         return Core::makeError(
             Core::ErrorCode::Corrupt, "assemble weights", "", "the content's digest is " + content + ", the manifest says " + manifest.m_contentDigest);
--- a/Libraries/LibWeights/HeldVersion.h
+++ b/Libraries/LibWeights/HeldVersion.h
@@ -1,4 +1,4 @@
-/// @file A version of the weights that is complete and verified.
+/// @file A complete and verified version of the weights.
 #pragma once
 
 #include "LibCore/Digest.h"
@@ -10,21 +10,21 @@
 
 namespace Weights {
 
-/// Bytes of one verified chunk; versions that have a chunk in common share it.
+/// Bytes of one verified chunk. Versions with a common chunk share it.
 using ChunkBytes = std::shared_ptr<const std::string>;
 
-/// Whole weights. Exists only once every chunk and the whole content have been verified; never changes.
+/// A complete version of the weights. Immutable; exists only once every chunk and the complete content are verified.
 struct HeldVersion
 {
-    std::string m_manifestDigest; ///< Identity of the version.
+    std::string m_manifestDigest; ///< Identifies the version.
     Manifest m_manifest;
-    std::vector<ChunkBytes> m_chunks; ///< In order; none is null. Their concatenation is the content.
+    std::vector<ChunkBytes> m_chunks; ///< In order; never null. Their concatenation is the content.
 
-    /// The weights in one piece, for an order that needs them so.
+    /// Returns the complete weights as one string, for load orders that need them in this form.
     std::string fullContent() const;
 };
 
-/// Puts a version together. Fails with Corrupt unless the chunks' concatenation has the manifest's content digest, if that is stated.
+/// Assembles a version. Fails with Corrupt unless the concatenated chunks have the manifest's content digest, if the manifest states one.
 Core::Result<std::shared_ptr<const HeldVersion>> assembleVersion(std::string manifestDigest, const Manifest &manifest, std::vector<ChunkBytes> chunks);
 
 }
--- a/Libraries/LibWeights/Manifest.cpp
+++ b/Libraries/LibWeights/Manifest.cpp
@@ -1,4 +1,4 @@
-/// @file Building, encoding and checking of manifests.
+/// @file Builds, encodes and validates manifests.
 
 #include "LibWeights/Manifest.h"
 
@@ -14,8 +14,8 @@
     return (totalBytes + chunkBytes - 1) / chunkBytes;
 }
 
-/// What is wrong with a manifest's fields; empty if nothing is.
-std::string findFault(const Manifest &manifest)
+/// Returns why a manifest's fields are invalid, or an empty string if they are valid.
+std::string validationError(const Manifest &manifest)
 {
     if (manifest.m_model.empty() || manifest.m_model.size() > MaximumNameLength || manifest.m_version.empty()
         || manifest.m_version.size() > MaximumNameLength) {
@@ -68,7 +68,7 @@
         manifest.m_chunkDigests.push_back(Core::sha256Raw(content.substr(offset, chunkBytes)));
     }
     manifest.m_contentDigest = Core::sha256Hex(content);
-    const std::string fault = findFault(manifest);
+    const std::string fault = validationError(manifest);
     if (!fault.empty()) {
         return Core::makeError(Core::ErrorCode::InvalidInput, "build manifest", "", fault);
     }
@@ -86,7 +86,7 @@
         return Core::makeError(Core::ErrorCode::Corrupt, "decode manifest", peer, "the manifest is too large");
     }
     Manifest manifest = BOOST_OUTCOME_TRYX(Wire::unpack<Manifest>(encoded, peer));
-    const std::string fault = findFault(manifest);
+    const std::string fault = validationError(manifest);
     if (!fault.empty()) {
         return Core::makeError(Core::ErrorCode::Corrupt, "decode manifest", peer, fault);
     }
