--- a/Libraries/LibGossip/DeclarationAge.cpp
+++ b/Libraries/LibGossip/DeclarationAge.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the age of declarations without a statement.
+/// @file Implementation of the estimate of a declaration's age.
 
 #include "LibGossip/DeclarationAge.h"
 
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr Core::Duration SettledAfter{3000}; ///< A process that has known the log for less may have missed declarations from before.
-constexpr Core::Duration LongestCounted{1500}; ///< The list is confirmed at least so often while the log answers; what is longer is an outage.
+constexpr Core::Duration MinimumSyncTime{3000}; ///< A process that has been up to date for less may have missed earlier declarations.
+constexpr Core::Duration AgeLimit{1500}; ///< While the log answers, the list is confirmed at least this often; a longer time is an outage.
 
 }
 
-std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &knowledge, Core::Instant now)
+std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &syncState, Core::Instant now)
 {
-    if (!knowledge.m_firstSyncedAt || !knowledge.m_lastConfirmedAt || now - *knowledge.m_firstSyncedAt < SettledAfter) {
+    if (!syncState.m_firstSyncedAt || !syncState.m_lastConfirmedAt || now - *syncState.m_firstSyncedAt < MinimumSyncTime) {
         return std::nullopt;
     }
-    const Core::Duration unwatched = std::chrono::duration_cast<Core::Duration>(now - *knowledge.m_lastConfirmedAt);
-    return std::clamp(unwatched, Core::Duration(0), LongestCounted);
+    const Core::Duration sinceConfirmed = std::chrono::duration_cast<Core::Duration>(now - *syncState.m_lastConfirmedAt);
+    return std::clamp(sinceConfirmed, Core::Duration(0), AgeLimit);
 }
 
 }
--- a/Libraries/LibGossip/DeclarationAge.h
+++ b/Libraries/LibGossip/DeclarationAge.h
@@ -1,4 +1,4 @@
-/// @file How old a declaration can be of which nobody states when it was accepted: a pure decision.
+/// @file Estimates the age of a declaration whose acceptance time is unknown. A pure function.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -7,23 +7,23 @@
 
 namespace Gossip {
 
-/// How well a process has known the log so far.
+/// How up to date with the log a process has been.
 struct LogSyncState
 {
-    std::optional<Core::Instant> m_firstSyncedAt; ///< When it first knew the newest state of the log; empty if it never did.
-    std::optional<Core::Instant> m_lastConfirmedAt; ///< When it was last known to know the newest state.
+    std::optional<Core::Instant> m_firstSyncedAt; ///< When it was first up to date with the log; empty if it never was.
+    std::optional<Core::Instant> m_lastConfirmedAt; ///< When it was last confirmed to be up to date with the log.
 
     bool operator==(const LogSyncState &) const = default;
 };
 
 /**
- * The most that a declaration can be old that is news to this process; empty if it cannot tell.
+ * Returns the maximum age of a declaration that is new to this process; empty if it is unknown.
  *
- * A process that starts during an outage of the log finds the declaration there afterwards and cannot tell its age, so that its bound must count as passed.
- * If the others took that over, they would refuse every request until engines have the new version: 4 s for a whole site, seen when entries were restarted
- * while the log was away. A process that knew the log until the outage tells that the declaration is younger than that; and as nobody could have heard of it
- * while the log was away, that time does not count.
+ * A process that starts during an outage of the log finds the declaration when the log returns and cannot tell its age, so it must treat the deadline of the
+ * declaration as passed. If other processes adopted that, they would refuse every request until engines have loaded the new version: when entries were
+ * restarted during an outage of the log, a whole cluster refused requests for 4 s. A process that was up to date until the outage knows that the declaration
+ * is younger than that. The duration of the outage is not counted, because no process could have learned of the declaration during it.
  */
-std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &knowledge, Core::Instant now);
+std::optional<Core::Duration> maximumDeclarationAge(const LogSyncState &syncState, Core::Instant now);
 
 }
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the heartbeats.
+/// @file Implementation of heartbeats and engine updates.
 
 #include "LibGossip/GossipService.h"
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::size_t FewMembers = 3; ///< With fewer, a process is still finding the others.
-constexpr Core::Duration VersionHorizon{30000}; ///< Versions declared within it are told one by one: a few times the bound on old versions.
-constexpr Core::Duration NewcomerInterval{200}; ///< Between large samples to one newcomer.
-constexpr std::size_t WideFanOut = 8; ///< Members of each role that each entry tells of new declarations: together they reach everyone several times.
+constexpr std::size_t MinimumKnownMembers = 3; ///< With fewer live members, a process is still discovering the fleet.
+constexpr Core::Duration RecentVersionWindow{30000}; ///< Heartbeats list all versions declared within it; a few times the version bound.
+constexpr Core::Duration NewcomerAnswerInterval{200}; ///< Minimum time between large samples sent to one newcomer.
+constexpr std::size_t AnnouncementFanOut = 8; ///< Targets of each role for new declarations: the announcements of all entries reach each member several times.
 
 }
 
@@ -86,7 +86,7 @@
         if (!*alive || error == Asio::error::operation_aborted) {
             return;
         }
-        // An error here tells of an earlier datagram that found no listener; the next one may.
+        // An error here reports that an earlier datagram found no listener; the next receive may succeed.
         if (!error) {
             handleDatagram(std::string_view(m_buffer.data(), size));
         }
@@ -130,20 +130,20 @@
     }
 }
 
-/// Asks for members of which only a note was heard. In a large fleet, chance alone takes a minute to name the last of them in full.
-void GossipService::requestMembers(std::vector<std::uint32_t> incarnations, const Member &knower)
+/// Requests full descriptions of members that are known only by a digest. In a large fleet, random samples alone take a minute to cover all members.
+void GossipService::requestMembers(std::vector<std::uint32_t> incarnations, const Member &source)
 {
     std::erase(incarnations, m_self.m_incarnation);
     if (incarnations.empty()) {
         return;
     }
     incarnations.resize(std::min(incarnations.size(), m_settings.m_sampledForNewcomers));
-    Heartbeat question = makeHeartbeat(0);
-    question.m_requestedMembers = std::move(incarnations);
-    sendTo(knower.m_peers, Wire::pack(question));
+    Heartbeat request = makeHeartbeat(0);
+    request.m_requestedMembers = std::move(incarnations);
+    sendTo(source.m_peers, Wire::pack(request));
 }
 
-void GossipService::sendMembers(std::vector<std::uint32_t> incarnations, const Member &asker)
+void GossipService::sendMembers(std::vector<std::uint32_t> incarnations, const Member &requester)
 {
     incarnations.resize(std::min(incarnations.size(), m_settings.m_sampledForNewcomers));
     if (incarnations.empty()) {
@@ -151,36 +151,36 @@
     }
     Heartbeat answer = makeHeartbeat(0);
     answer.m_members = m_members.find(incarnations);
-    sendTo(asker.m_peers, Wire::pack(answer));
+    sendTo(requester.m_peers, Wire::pack(answer));
 }
 
 void GossipService::handleEngineUpdates(const Heartbeat &heartbeat)
 {
-    const bool isFirstHand = heartbeat.m_sender.m_role == Role::Agent;
+    const bool isDirect = heartbeat.m_sender.m_role == Role::Agent;
     const Core::Instant now = Core::Clock::now();
-    std::vector<EngineUpdate> fresh;
-    for (const EngineUpdate &news : heartbeat.m_engineUpdates) {
-        if (!recordIfNewer(news)) {
+    std::vector<EngineUpdate> newer;
+    for (const EngineUpdate &update : heartbeat.m_engineUpdates) {
+        if (!recordIfNewer(update)) {
             continue;
         }
-        m_members.markAlive(news.m_agentIncarnation, now);
-        fresh.push_back(news);
-        if (isFirstHand && m_self.m_role == Role::Entry) {
-            queueForRelay(news);
+        m_members.markAlive(update.m_agentIncarnation, now);
+        newer.push_back(update);
+        if (isDirect && m_self.m_role == Role::Entry) {
+            queueForRelay(update);
         }
     }
-    if (!fresh.empty() && m_onEngineUpdates) {
-        m_onEngineUpdates(fresh);
+    if (!newer.empty() && m_onEngineUpdates) {
+        m_onEngineUpdates(newer);
     }
 }
 
-bool GossipService::recordIfNewer(const EngineUpdate &news)
+bool GossipService::recordIfNewer(const EngineUpdate &update)
 {
-    std::uint64_t &heard = m_receivedSequenceNumbers[news.m_agentIncarnation]; // Reports are numbered from 1.
-    if (news.m_sequenceNumber <= heard) {
+    std::uint64_t &newest = m_receivedSequenceNumbers[update.m_agentIncarnation]; // Sequence numbers start at 1.
+    if (update.m_sequenceNumber <= newest) {
         return false;
     }
-    heard = news.m_sequenceNumber;
+    newest = update.m_sequenceNumber;
     return true;
 }
 
@@ -191,11 +191,11 @@
     return members;
 }
 
-void GossipService::queueForRelay(const EngineUpdate &news)
+void GossipService::queueForRelay(const EngineUpdate &update)
 {
-    m_relayQueue.push_back(news);
+    m_relayQueue.push_back(update);
     if (m_relayQueue.size() > 1) {
-        return; // The timer is running.
+        return; // The timer is already running.
     }
     m_relayTimer.expires_after(m_settings.m_relayDelay);
     m_relayTimer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
@@ -223,24 +223,24 @@
 
 void GossipService::answerNewcomer(const Heartbeat &heartbeat)
 {
-    constexpr double muchLess = 0.7; // Of what is known here.
-    const std::function<bool(std::size_t)> knowsMuchLess = [&heartbeat](std::size_t known) {
-        return static_cast<double>(heartbeat.m_knownMemberCount) < static_cast<double>(known) * muchLess;
+    constexpr double newcomerRatio = 0.7; // A process that knows a smaller share of the local member count is a newcomer.
+    const std::function<bool(std::size_t)> knowsFarFewer = [&heartbeat](std::size_t known) {
+        return static_cast<double>(heartbeat.m_knownMemberCount) < static_cast<double>(known) * newcomerRatio;
     };
     const Core::Instant now = Core::Clock::now();
-    // To find out who lives takes a look at every member, and nearly every datagram comes from a process that knows as many.
-    if (!knowsMuchLess(m_members.countKnown()) || !knowsMuchLess(m_members.countAlive(now))) {
+    // countAlive() visits every member, and nearly every datagram comes from a process that knows as many. The cheaper check is therefore first.
+    if (!knowsFarFewer(m_members.countKnown()) || !knowsFarFewer(m_members.countAlive(now))) {
         return;
     }
-    Core::Instant &answered = m_newcomerAnswerTimes[heartbeat.m_sender.m_id];
-    if (now - answered < NewcomerInterval) {
+    Core::Instant &lastAnswerAt = m_newcomerAnswerTimes[heartbeat.m_sender.m_id];
+    if (now - lastAnswerAt < NewcomerAnswerInterval) {
         return;
     }
-    answered = now;
+    lastAnswerAt = now;
     sendTo(heartbeat.m_sender.m_peers, Wire::pack(makeHeartbeat(m_settings.m_sampledForNewcomers)));
 }
 
-Heartbeat GossipService::makeHeartbeat(std::size_t sampled)
+Heartbeat GossipService::makeHeartbeat(std::size_t sampledMembers)
 {
     const Core::Instant now = Core::Clock::now();
     ++m_self.m_heartbeatCount;
@@ -252,18 +252,18 @@
     const std::optional<Core::Duration> age = listAge();
     heartbeat.m_listAgeMilliseconds = age ? std::optional<std::uint64_t>(age->count()) : std::nullopt;
     for (const Fleet::DeclaredWeights &declared : m_parts.m_fleetState.declarations().m_weights) {
-        // A process that has just started finds only the newest version in the log, yet the bound of the one before may be near.
-        for (const std::pair<std::uint64_t, Core::Duration> &recent : m_parts.m_versions.recentVersions(declared.m_model, VersionHorizon, now)) {
+        // A process that has just started finds only the newest version in the log, although the deadline of the previous one may be near.
+        for (const std::pair<std::uint64_t, Core::Duration> &recent : m_parts.m_versions.recentVersions(declared.m_model, RecentVersionWindow, now)) {
             if (recent.first != declared.m_version) {
                 const Fleet::DeclaredWeights older{declared.m_model, recent.first, 0};
                 heartbeat.m_weights.push_back(AgedWeights{older, static_cast<std::uint64_t>(recent.second.count())});
             }
         }
-        const std::optional<Core::Duration> stated = m_parts.m_versions.knownAge(declared.m_model, declared.m_version, now);
-        const std::optional<std::uint64_t> milliseconds = stated ? std::optional<std::uint64_t>(stated->count()) : std::nullopt;
+        const std::optional<Core::Duration> knownAge = m_parts.m_versions.knownAge(declared.m_model, declared.m_version, now);
+        const std::optional<std::uint64_t> milliseconds = knownAge ? std::optional<std::uint64_t>(knownAge->count()) : std::nullopt;
         heartbeat.m_weights.push_back(AgedWeights{declared, milliseconds});
     }
-    heartbeat.m_members = m_members.sample(sampled, now, m_parts.m_random);
+    heartbeat.m_members = m_members.sample(sampledMembers, now, m_parts.m_random);
     return heartbeat;
 }
 
@@ -274,7 +274,7 @@
     if (!error) {
         m_socket.send_to(Asio::buffer(encoded), Asio::ip::udp::endpoint(host, peer.m_port), 0, error);
     }
-    // A datagram that could not be sent is as one that was lost on its way: the next heartbeat makes up for it.
+    // A failed send is treated like a lost datagram: the next heartbeat makes up for it.
     m_datagramsSent.add(error ? 0 : 1);
 }
 
@@ -296,7 +296,7 @@
 {
     const Core::Instant now = Core::Clock::now();
     std::vector<Core::Address> targets;
-    if (m_members.countAlive(now) >= FewMembers && !m_members.alive(Role::Entry, now).empty()) {
+    if (m_members.countAlive(now) >= MinimumKnownMembers && !m_members.alive(Role::Entry, now).empty()) {
         return targets;
     }
     for (const std::string &host : m_settings.m_seedHosts) {
@@ -319,7 +319,7 @@
 {
     const Core::Instant now = Core::Clock::now();
     Heartbeat heartbeat = makeHeartbeat(m_settings.m_sampledMembers);
-    // Entries hear of agents by their reports already.
+    // Entries already learn of live agents from their engine updates.
     heartbeat.m_digests = m_members.sampleDigests(m_settings.m_sampledDigests, Role::Entry, now, m_parts.m_random);
     sendHeartbeatTo(heartbeat, sampleTargets(Role::Entry));
     heartbeat.m_digests = m_members.sampleDigests(m_settings.m_sampledDigests, std::nullopt, now, m_parts.m_random);
@@ -355,14 +355,15 @@
 {
     const Core::Instant now = Core::Clock::now();
     m_members.removeExpired(now);
-    std::erase_if(m_receivedSequenceNumbers, [this](const std::pair<const std::uint32_t, std::uint64_t> &heard) { return !m_members.contains(heard.first); });
-    std::erase_if(m_newcomerAnswerTimes, [now](const std::pair<const std::string, Core::Instant> &entry) { return now - entry.second > NewcomerInterval; });
+    std::erase_if(m_receivedSequenceNumbers, [this](const std::pair<const std::uint32_t, std::uint64_t> &newest) { return !m_members.contains(newest.first); });
+    std::erase_if(m_newcomerAnswerTimes,
+                  [now](const std::pair<const std::string, Core::Instant> &entry) { return now - entry.second > NewcomerAnswerInterval; });
     sendHeartbeats(ReportUrgency::Regular);
     if (m_onMembersChanged) {
         m_onMembersChanged();
     }
-    const bool isAlone = m_members.countAlive(now) < FewMembers;
-    m_timer.expires_after(isAlone ? m_settings.m_discoveryInterval : m_settings.m_interval);
+    const bool isDiscovering = m_members.countAlive(now) < MinimumKnownMembers;
+    m_timer.expires_after(isDiscovering ? m_settings.m_discoveryInterval : m_settings.m_interval);
     m_timer.async_wait([this, alive = m_isAlive](const boost::system::error_code &error) {
         if (*alive && !error) {
             tick();
@@ -400,11 +401,11 @@
     }
 }
 
-void GossipService::setEngineUpdate(EngineUpdate news, ReportUrgency urgency)
+void GossipService::setEngineUpdate(EngineUpdate update, ReportUrgency urgency)
 {
-    news.m_agentIncarnation = m_self.m_incarnation;
-    news.m_sequenceNumber = ++m_ownSequenceNumber;
-    m_engineUpdate = std::move(news);
+    update.m_agentIncarnation = m_self.m_incarnation;
+    update.m_sequenceNumber = ++m_ownSequenceNumber;
+    m_engineUpdate = std::move(update);
     if (urgency != ReportUrgency::Regular) {
         sendHeartbeats(urgency);
     }
@@ -417,7 +418,7 @@
     std::vector<Member> targets = membersInOwnDomain(Role::Entry);
     for (const Role role : {Role::Entry, Role::Agent}) {
         std::vector<Member> others = m_members.alive(role, now);
-        keepRandom(others, WideFanOut, m_parts.m_random);
+        keepRandom(others, AnnouncementFanOut, m_parts.m_random);
         targets.insert(targets.end(), others.begin(), others.end());
     }
     for (const Member &member : targets) {
@@ -428,7 +429,7 @@
 void GossipService::announceStateChangeToAgents()
 {
     std::vector<Member> agents = m_members.alive(Role::Agent, Core::Clock::now());
-    keepRandom(agents, WideFanOut, m_parts.m_random);
+    keepRandom(agents, AnnouncementFanOut, m_parts.m_random);
     const std::string encoded = Wire::pack(makeHeartbeat(0));
     for (const Member &agent : agents) {
         sendTo(agent.m_peers, encoded);
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -1,4 +1,4 @@
-/// @file Heartbeats among the system's processes, and the state that they hand each other.
+/// @file Exchanges heartbeats and fleet state between the processes of the system.
 #pragma once
 
 #include "LibCore/Random.h"
@@ -22,31 +22,32 @@
 
 struct GossipSettings
 {
-    std::vector<std::string> m_seedHosts; ///< Instances to begin with; their processes use the same port as this one. May be stale.
-    Core::Duration m_interval{500}; ///< Between heartbeats.
-    Core::Duration m_discoveryInterval{150}; ///< Between heartbeats while few members are known.
-    /// Members of its own failure domain that an entry's heartbeat goes to, for each role: callers are told of these first, and the links are its own.
+    std::vector<std::string> m_seedHosts; ///< Hosts to contact first; their processes listen on the same port as this one. May be out of date.
+    Core::Duration m_interval{500}; ///< Time between heartbeats.
+    Core::Duration m_discoveryInterval{150}; ///< Time between heartbeats while few members are known.
+    /// Heartbeat targets of each role in the sender's own failure domain: callers are directed to these entries first, and the traffic stays on the
+    /// domain's own links.
     std::size_t m_ownDomainFanOut = 2;
-    std::size_t m_fleetFanOut = 1; ///< The same among all members.
-    std::size_t m_sampledMembers = 6; ///< Others that a heartbeat names: with the rest, half a datagram.
-    std::size_t m_sampledDigests = 40; ///< Members of which a heartbeat has a note only: what fits beside the others.
-    std::size_t m_sampledForNewcomers = 11; ///< The same for a process that knows few: what fits into a datagram of 1,400 bytes.
-    Core::Duration m_pullInterval{300}; ///< Least time between two requests for state.
+    std::size_t m_fleetFanOut = 1; ///< Heartbeat targets of each role among all members.
+    std::size_t m_sampledMembers = 6; ///< Members that a heartbeat describes in full; with the other fields they fill half a datagram.
+    std::size_t m_sampledDigests = 40; ///< Members that a heartbeat lists as digests; as many as fit beside the full descriptions.
+    std::size_t m_sampledForNewcomers = 11; ///< Members described in full to a process that knows few; as many as fit into a datagram of 1,400 bytes.
+    Core::Duration m_pullInterval{300}; ///< Minimum time between two state requests.
     Core::Duration m_pullTimeout{1000};
     ReportFanOut m_reportFanOut;
-    Core::Duration m_relayDelay{60}; ///< For which reports that are to be passed on are collected: a fraction of their interval.
-    std::size_t m_relayBatchSize = 10; ///< Reports in one datagram: what fits into 1,400 bytes.
+    Core::Duration m_relayDelay{60}; ///< Time for which engine updates are collected before they are relayed; a fraction of the interval between updates.
+    std::size_t m_relayBatchSize = 10; ///< Engine updates in one datagram; as many as fit into 1,400 bytes.
 
     bool operator==(const GossipSettings &) const = default;
 };
 
-/// Hosts of the addresses under "seeds"; their ports may belong to other interfaces.
+/// Returns the hosts of the addresses under "seeds". The ports are ignored because they may belong to other interfaces.
 std::vector<std::string> readSeedHosts(Settings::Reader &section);
 
-/// Settings of a node that listens on @p peers and calls from the same host.
+/// Returns the settings of a node that listens on @p peers and makes its calls from the same host.
 Wire::NodeSettings nodeSettings(const Core::Address &peers);
 
-/// What the service works with. Everything outlives it.
+/// Objects that the service uses. All of them must outlive it.
 struct GossipParts
 {
     Http::EventLoop &m_loop;
@@ -59,10 +60,11 @@
 };
 
 /**
- * Spreads membership, declared weights and engines' loads by datagrams, and fetches configuration and endpoints from a peer that has newer ones.
+ * Spreads membership, declared weights and engine load by datagrams, and fetches configuration and endpoints from a peer that has newer ones.
  *
- * Datagrams fit where a lost message is made up for by the next one; a connection that has gone silent would hide for seconds what a missing
- * heartbeat shows at once. State goes over a call, since it must come whole. Used on the loop's thread, but for the node's handlers.
+ * Heartbeats use datagrams because the next heartbeat makes up for a lost one, and because a missing heartbeat reveals a failure at once, while a silent
+ * connection would hide it for seconds. State is transferred by calls because it must arrive complete. Used on the loop's thread, except for the handlers
+ * that the node calls.
  */
 class GossipService
 {
@@ -73,38 +75,39 @@
     GossipService(const GossipService &) = delete;
     GossipService &operator=(const GossipService &) = delete;
 
-    /// Registers the method fleet.state; before the node is started.
+    /// Registers the method fleet.state. Must be called before the node is started.
     void registerMethods();
     Core::Result<void> start();
 
-    /// Called after state from a peer has been applied.
+    /// Sets the callback that is called after state from a peer has been applied.
     void onStateApplied(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
-    /// Called with the engine reports of a datagram that are newer than all before.
-    void onEngineUpdates(std::function<void(const std::vector<EngineUpdate> &news)> callback);
-    /// Called when the set of live members may have changed.
+    /// Sets the callback that receives the engine updates of a datagram that are newer than all earlier ones.
+    void onEngineUpdates(std::function<void(const std::vector<EngineUpdate> &updates)> callback);
+    /// Sets the callback that is called when the set of live members may have changed.
     void onMembersChanged(std::function<void()> callback);
 
     void setReady(bool isReady);
-    /// Requests of callers per second, told with the next heartbeats.
+    /// Sets the rate of caller requests, in requests per second, that the next heartbeats report.
     void setRequestRate(std::uint32_t perSecond);
-    /// Replaces the instances to begin with, as changed settings say.
+    /// Replaces the seed hosts after the settings have been reloaded.
     void setSeedHosts(std::vector<std::string> hosts);
-    /// Tells everybody at once that this process takes no new work.
+    /// Announces to all live members at once that this process takes no new work.
     void announceLeaving();
-    /// Sends this engine report with the next heartbeats, and now unless it is ReportUrgency::Regular.
-    void setEngineUpdate(EngineUpdate news, ReportUrgency urgency);
-    /// Sends a heartbeat to many, since the beliefs have changed.
+    /// Sends @p update with the next heartbeats, and also immediately unless @p urgency is ReportUrgency::Regular.
+    void setEngineUpdate(EngineUpdate update, ReportUrgency urgency);
+    /// Sends a heartbeat to many entries and agents after the fleet state has changed.
     void announceStateChange();
-    /// The same to agents alone, on news that came from a peer. Few entries read the log, and what they send reaches two in five agents; the others would
-    /// begin to draw a new version up to half a second later.
+    /// Sends a heartbeat to agents only, after a peer has delivered a change. Few entries read the log, and their announcements reach two in five agents;
+    /// without this call the others would start to download a new version up to half a second later.
     void announceStateChangeToAgents();
-    /// Notes that the list of endpoints is known here as of @p asked, and tells the entries nearby, which then need not read it.
-    void announceListRead(Core::Instant asked);
-    /// Time since what is known here of the list was known to be its newest state; empty if it never was.
+    /// Records that the endpoint list is up to date as of @p sentAt, and sends a heartbeat to the entries of the own failure domain, which then need not
+    /// read the list.
+    void announceListRead(Core::Instant sentAt);
+    /// Returns the time since the local endpoint list was last confirmed to be up to date; empty if it never was.
     std::optional<Core::Duration> listAge() const;
-    /// Asked since when entries may have lapsed from the list as known here; empty if they have not.
-    void setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> doubtfulSince);
-    /// Asks a live entry for what it knows, since the log is out of reach.
+    /// Sets the query that returns since when the local endpoint list may lack live endpoints, or empty if it does not.
+    void setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> query);
+    /// Requests the state of a live entry. Used while the log is unreachable.
     void pullFromAnyEntry();
 
     const Member &self() const
@@ -115,7 +118,7 @@
     {
         return m_members;
     }
-    /// Time since any entry was heard; empty if none ever was.
+    /// Returns the time since the last heartbeat of any entry; empty if none was ever received.
     std::optional<Core::Duration> timeSinceEntryHeartbeat() const;
 
 private:
@@ -123,27 +126,27 @@
     void handleDatagram(std::string_view bytes);
     void handleHeartbeat(const Heartbeat &heartbeat);
     void applyWeights(const std::vector<AgedWeights> &weights);
-    void requestMembers(std::vector<std::uint32_t> incarnations, const Member &knower);
-    void sendMembers(std::vector<std::uint32_t> incarnations, const Member &asker);
+    void requestMembers(std::vector<std::uint32_t> incarnations, const Member &source);
+    void sendMembers(std::vector<std::uint32_t> incarnations, const Member &requester);
     void pullOrConfirmState(const Heartbeat &heartbeat);
-    void confirmList(Core::Instant at);
+    void confirmList(Core::Instant confirmedAt);
     void recordAge(const AgedWeights &aged, Core::Instant now);
     void handleEngineUpdates(const Heartbeat &heartbeat);
-    /// Whether a report is newer than all that were heard of its engine's agent.
-    bool recordIfNewer(const EngineUpdate &news);
-    void queueForRelay(const EngineUpdate &news);
+    /// Records the sequence number of @p update if it is newer than all earlier ones of the same agent. Returns whether it is.
+    bool recordIfNewer(const EngineUpdate &update);
+    void queueForRelay(const EngineUpdate &update);
     void relayQueued();
     void tick();
     void sendHeartbeats(ReportUrgency urgency);
-    /// With @p sampled members in full and without notes.
-    Heartbeat makeHeartbeat(std::size_t sampled);
+    /// Builds a heartbeat with @p sampledMembers members described in full and without digests.
+    Heartbeat makeHeartbeat(std::size_t sampledMembers);
     void sendTo(const Core::Address &peer, const std::string &encoded);
     void sendHeartbeatTo(Heartbeat heartbeat, const std::vector<Core::Address> &targets);
     void sendEntryHeartbeats();
     void sendAgentHeartbeats(ReportUrgency urgency);
-    /// The seeds, if this process still has to find the others.
+    /// Returns the seeds if this process knows few members or no entry; otherwise empty.
     std::vector<Core::Address> seedTargets() const;
-    /// Some members of a role, near ones above all.
+    /// Returns some members of a role, chosen at random from the own failure domain and from the whole fleet.
     std::vector<Core::Address> sampleTargets(Role role);
     std::vector<Member> membersInOwnDomain(Role role) const;
     void pullFrom(const Core::Address &peer);
@@ -157,19 +160,19 @@
     Membership m_members;
     boost::asio::ip::udp::socket m_socket;
     boost::asio::ip::udp::endpoint m_datagramSender;
-    std::array<char, 2048> m_buffer; ///< Larger than any datagram of ours.
+    std::array<char, 2048> m_buffer; ///< Larger than any datagram that this system sends.
     Http::Timer m_timer;
     std::optional<EngineUpdate> m_engineUpdate;
-    std::uint64_t m_ownSequenceNumber = 0; ///< Of the newest report of this agent.
-    std::unordered_map<std::uint32_t, std::uint64_t> m_receivedSequenceNumbers; ///< Number of the newest report, by incarnation of the agent.
+    std::uint64_t m_ownSequenceNumber = 0; ///< Of the newest engine update of this agent.
+    std::unordered_map<std::uint32_t, std::uint64_t> m_receivedSequenceNumbers; ///< Of the newest engine update, by incarnation of the agent.
     std::vector<EngineUpdate> m_relayQueue;
     Http::Timer m_relayTimer;
     std::optional<Core::Instant> m_lastEntryHeartbeatAt;
     Core::Instant m_nextPull;
-    std::map<std::string, Core::Instant> m_newcomerAnswerTimes; ///< When a newcomer was last sent a large sample; pruned with each heartbeat.
+    std::map<std::string, Core::Instant> m_newcomerAnswerTimes; ///< When each newcomer was last sent a large sample; pruned with each heartbeat.
     bool m_isPulling = false;
     std::function<void(const Fleet::FleetStateUpdate &)> m_onStateApplied;
-    LogSyncState m_logSyncState; ///< When what is known of the list was known to be its newest state.
+    LogSyncState m_logSyncState; ///< When the local endpoint list was known to be up to date.
     std::function<std::optional<Core::Instant>()> m_listUncertainSince;
     std::function<void(const std::vector<EngineUpdate> &)> m_onEngineUpdates;
     std::function<void()> m_onMembersChanged;
@@ -177,7 +180,7 @@
     Telemetry::Counter &m_datagramsBad;
     Telemetry::Counter &m_pulls;
     Telemetry::Counter &m_pullsFailed;
-    std::shared_ptr<bool> m_isAlive; ///< False once the service is gone; callbacks of the node and the loop can outlive it.
+    std::shared_ptr<bool> m_isAlive; ///< False once the service is destroyed; callbacks of the node and the loop can outlive it.
 };
 
 }
--- a/Libraries/LibGossip/GossipState.cpp
+++ b/Libraries/LibGossip/GossipState.cpp
@@ -1,4 +1,4 @@
-/// @file The part of the gossip service that hands state over: what a process lacks is fetched from a peer that has it.
+/// @file Implementation of the state transfer: a process fetches state that it lacks from a peer that has it.
 
 #include "LibGossip/GossipService.h"
 
@@ -24,9 +24,9 @@
             call.m_responder.fail(request.error());
             return;
         }
-        Asio::post(m_parts.m_loop, [this, alive, asked = request.value(), responder = call.m_responder] {
+        Asio::post(m_parts.m_loop, [this, alive, received = request.value(), responder = call.m_responder] {
             if (*alive) {
-                responder.reply(Wire::pack(makeStateAnswer(asked)));
+                responder.reply(Wire::pack(makeStateAnswer(received)));
             }
         });
     });
@@ -53,15 +53,15 @@
     }
 }
 
-void GossipService::confirmList(Core::Instant at)
+void GossipService::confirmList(Core::Instant confirmedAt)
 {
     m_logSyncState.m_firstSyncedAt = m_logSyncState.m_firstSyncedAt.value_or(Core::Clock::now());
-    m_logSyncState.m_lastConfirmedAt = std::max(m_logSyncState.m_lastConfirmedAt.value_or(at), at);
+    m_logSyncState.m_lastConfirmedAt = std::max(m_logSyncState.m_lastConfirmedAt.value_or(confirmedAt), confirmedAt);
 }
 
-void GossipService::announceListRead(Core::Instant asked)
+void GossipService::announceListRead(Core::Instant sentAt)
 {
-    confirmList(asked);
+    confirmList(sentAt);
     const std::string encoded = Wire::pack(makeHeartbeat(0));
     for (const Member &entry : membersInOwnDomain(Role::Entry)) {
         sendTo(entry.m_peers, encoded);
@@ -76,9 +76,9 @@
     return std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_logSyncState.m_lastConfirmedAt);
 }
 
-void GossipService::setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> doubtfulSince)
+void GossipService::setListUncertaintyQuery(std::function<std::optional<Core::Instant>()> query)
 {
-    m_listUncertainSince = std::move(doubtfulSince);
+    m_listUncertainSince = std::move(query);
 }
 
 void GossipService::applyWeights(const std::vector<AgedWeights> &weights)
@@ -106,8 +106,8 @@
         return;
     }
     const Fleet::DeclaredWeights *known = m_parts.m_fleetState.declaredWeights(declared.m_model);
-    const bool isNews = !known || known->m_version < declared.m_version;
-    const std::optional<Core::Duration> age = isNews ? maximumDeclarationAge(m_logSyncState, now) : std::nullopt;
+    const bool isNew = !known || known->m_version < declared.m_version;
+    const std::optional<Core::Duration> age = isNew ? maximumDeclarationAge(m_logSyncState, now) : std::nullopt;
     if (age) {
         m_parts.m_versions.recordDeclared(declared.m_model, declared.m_version, *age, now);
     } else {
@@ -142,8 +142,8 @@
         answer.m_endpoints = m_parts.m_fleetState.endpointSnapshot();
         const std::optional<Core::Instant> since = m_listUncertainSince ? m_listUncertainSince() : std::nullopt;
         if (since) {
-            const Core::Duration regained = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *since);
-            answer.m_endpoints.m_millisecondsSinceRecovery = static_cast<std::uint64_t>(regained.count());
+            const Core::Duration sinceRecovery = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *since);
+            answer.m_endpoints.m_millisecondsSinceRecovery = static_cast<std::uint64_t>(sinceRecovery.count());
         }
     }
     return answer;
@@ -188,11 +188,11 @@
     if (answer.value().m_endpoints.m_isSnapshot) {
         const Fleet::EndpointChanges &endpoints = answer.value().m_endpoints;
         const Core::Instant now = Core::Clock::now();
-        std::optional<Core::Instant> regainedAt;
+        std::optional<Core::Instant> recoveredAt;
         if (endpoints.m_millisecondsSinceRecovery) {
-            regainedAt = now - Core::Duration(*endpoints.m_millisecondsSinceRecovery);
+            recoveredAt = now - Core::Duration(*endpoints.m_millisecondsSinceRecovery);
         }
-        update.m_endpoints = m_parts.m_fleetState.apply(endpoints, regainedAt, now).m_endpoints;
+        update.m_endpoints = m_parts.m_fleetState.apply(endpoints, recoveredAt, now).m_endpoints;
     }
     if (update.any() && m_onStateApplied) {
         m_onStateApplied(update);
--- a/Libraries/LibGossip/Membership.cpp
+++ b/Libraries/LibGossip/Membership.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the table of members.
+/// @file Implementation of the membership table.
 
 #include "LibGossip/Membership.h"
 
@@ -12,7 +12,7 @@
 {
 }
 
-bool Membership::merge(const Member &member, bool isFirstHand, Core::Instant now)
+bool Membership::merge(const Member &member, bool isDirect, Core::Instant now)
 {
     if (member.m_id == m_self || member.m_id.empty()) {
         return false;
@@ -24,28 +24,28 @@
     }
     KnownMember &entry = known->second;
     if (entry.m_member.m_incarnation != member.m_incarnation) {
-        // Hearsay of an incarnation that is no more must not replace the one that just spoke.
+        // A report by others of an earlier incarnation must not replace one that sent a heartbeat recently.
         const bool isSilent = now - entry.m_lastHeardAt > m_settings.m_replacementTimeout;
-        if (!isFirstHand && !isSilent) {
+        if (!isDirect && !isSilent) {
             return false;
         }
         m_byIncarnation.erase(entry.m_member.m_incarnation);
         insertOrReplace(member, now);
         return true;
     }
-    const std::uint64_t beat = std::max(member.m_heartbeatCount, entry.m_member.m_heartbeatCount);
+    const std::uint64_t heartbeatCount = std::max(member.m_heartbeatCount, entry.m_member.m_heartbeatCount);
     if (member.m_heartbeatCount > entry.m_member.m_heartbeatCount) {
         entry.m_member.m_requestsPerSecond = member.m_requestsPerSecond;
         entry.m_lastHeardAt = now;
     }
-    // The count may have come ahead by a note; a description is old only if its revision is.
+    // A digest may have advanced the heartbeat count already. Only the revision shows whether a description is newer.
     const bool isChanged = member.m_revision > entry.m_member.m_revision;
     if (isChanged) {
         const bool wasLeaving = entry.m_member.m_isLeaving;
         entry.m_member = member;
         entry.m_member.m_isLeaving = wasLeaving || member.m_isLeaving;
     }
-    entry.m_member.m_heartbeatCount = beat;
+    entry.m_member.m_heartbeatCount = heartbeatCount;
     return isChanged;
 }
 
@@ -62,21 +62,21 @@
     return found == m_byIncarnation.end() ? nullptr : found->second;
 }
 
-std::vector<std::uint32_t> Membership::mergeDigests(const std::vector<HeartbeatDigest> &beats, Core::Instant now)
+std::vector<std::uint32_t> Membership::mergeDigests(const std::vector<HeartbeatDigest> &digests, Core::Instant now)
 {
-    std::vector<std::uint32_t> lacking;
-    for (const HeartbeatDigest &note : beats) {
-        KnownMember *known = find(note.m_incarnation);
-        if (!known || note.m_revision > known->m_member.m_revision) {
-            lacking.push_back(note.m_incarnation);
+    std::vector<std::uint32_t> missing;
+    for (const HeartbeatDigest &digest : digests) {
+        KnownMember *known = find(digest.m_incarnation);
+        if (!known || digest.m_revision > known->m_member.m_revision) {
+            missing.push_back(digest.m_incarnation);
         }
-        if (known && note.m_heartbeatCount > known->m_member.m_heartbeatCount) {
-            known->m_member.m_heartbeatCount = note.m_heartbeatCount;
-            known->m_member.m_requestsPerSecond = note.m_requestsPerSecond;
+        if (known && digest.m_heartbeatCount > known->m_member.m_heartbeatCount) {
+            known->m_member.m_heartbeatCount = digest.m_heartbeatCount;
+            known->m_member.m_requestsPerSecond = digest.m_requestsPerSecond;
             known->m_lastHeardAt = now;
         }
     }
-    return lacking;
+    return missing;
 }
 
 std::vector<Member> Membership::find(const std::vector<std::uint32_t> &incarnations) const
@@ -116,12 +116,12 @@
 
 std::vector<const Member *> Membership::liveMembers(Core::Instant now) const
 {
-    const HeartbeatTimeouts limits = heartbeatTimeouts();
+    const HeartbeatTimeouts timeouts = heartbeatTimeouts();
     std::vector<const Member *> members;
     members.reserve(m_knownMembers.size());
     for (const std::pair<const std::string, KnownMember> &entry : m_knownMembers) {
-        const Core::Duration limit = entry.second.m_member.m_role == Role::Entry ? limits.m_entry : limits.m_agent;
-        if (now - entry.second.m_lastHeardAt <= limit) {
+        const Core::Duration timeout = entry.second.m_member.m_role == Role::Entry ? timeouts.m_entry : timeouts.m_agent;
+        if (now - entry.second.m_lastHeardAt <= timeout) {
             members.push_back(&entry.second.m_member);
         }
     }
@@ -169,21 +169,21 @@
     std::vector<const Member *> chosen = liveMembers(now);
     std::erase_if(chosen, [role](const Member *member) { return role && member->m_role != *role; });
     keepRandom(chosen, count, random);
-    std::vector<HeartbeatDigest> beats;
+    std::vector<HeartbeatDigest> digests;
     for (const Member *member : chosen) {
-        beats.push_back(HeartbeatDigest{member->m_incarnation, member->m_heartbeatCount, member->m_revision, member->m_requestsPerSecond});
+        digests.push_back(HeartbeatDigest{member->m_incarnation, member->m_heartbeatCount, member->m_revision, member->m_requestsPerSecond});
     }
-    return beats;
+    return digests;
 }
 
 void Membership::removeExpired(Core::Instant now)
 {
     std::erase_if(m_knownMembers, [this, now](const std::pair<const std::string, KnownMember> &entry) {
-        const bool isOld = now - entry.second.m_lastHeardAt > m_settings.m_removalTimeout;
-        if (isOld) {
+        const bool isExpired = now - entry.second.m_lastHeardAt > m_settings.m_removalTimeout;
+        if (isExpired) {
             m_byIncarnation.erase(entry.second.m_member.m_incarnation);
         }
-        return isOld;
+        return isExpired;
     });
 }
 
--- a/Libraries/LibGossip/Membership.h
+++ b/Libraries/LibGossip/Membership.h
@@ -1,4 +1,4 @@
-/// @file Which processes of the system are alive, as heartbeats tell: a pure table.
+/// @file Table of the processes of the system that are alive according to heartbeats. It does no input or output.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -17,25 +17,25 @@
 
 enum class Role {
     Entry = 0, ///< Answers callers.
-    Agent = 1, ///< Stands beside an engine.
+    Agent = 1, ///< Runs beside an engine.
 };
 
-/// One process as it describes itself, with a count that grows while it lives.
+/// Description of one process by itself, with a heartbeat count that grows while the process is alive.
 struct Member
 {
     std::string m_id; ///< Name of the instance.
     std::uint32_t m_incarnation = 0; ///< Random for each start of the process.
     std::uint64_t m_heartbeatCount = 0; ///< Grows with each heartbeat of an incarnation.
-    std::uint32_t m_revision = 0; ///< Grows with each change of what follows, but for the rate of requests.
+    std::uint32_t m_revision = 0; ///< Grows with each change of the fields below, except for the request rate.
     Role m_role = Role::Entry;
     std::string m_region;
     std::string m_failureDomain;
     std::string m_service; ///< Of the engine beside an agent; empty for entries.
-    Core::Address m_peers; ///< Where it answers other processes, by datagrams and by calls.
-    Core::Address m_callers; ///< Where it answers callers; empty for agents.
-    std::uint32_t m_requestsPerSecond = 0; ///< Of callers, lately; changes all the time.
-    bool m_isReady = false; ///< It answers callers with an accepted configuration; or, for an agent, it is up.
-    bool m_isLeaving = false; ///< It takes no new work. Stays true for an incarnation.
+    Core::Address m_peers; ///< Where it receives datagrams and calls of other processes.
+    Core::Address m_callers; ///< Where it receives requests of callers; empty for agents.
+    std::uint32_t m_requestsPerSecond = 0; ///< Recent rate of caller requests; changes continuously.
+    bool m_isReady = false; ///< An entry answers callers with an accepted configuration; an agent is up.
+    bool m_isLeaving = false; ///< It takes no new work. Once true, stays true for the incarnation.
 
     bool operator==(const Member &) const = default;
 
@@ -56,10 +56,10 @@
                          m_isLeaving);
 };
 
-/// What changes all the time of a member, for those who know the member already.
+/// The fields of a member that change continuously, for receivers that already know the member.
 struct HeartbeatDigest
 {
-    std::uint32_t m_incarnation = 0; ///< Random for each start of a process, so it names the member too.
+    std::uint32_t m_incarnation = 0; ///< Random for each start of a process, so it also identifies the member.
     std::uint64_t m_heartbeatCount = 0;
     std::uint32_t m_revision = 0;
     std::uint32_t m_requestsPerSecond = 0;
@@ -69,17 +69,18 @@
     MSGPACK_DEFINE_ARRAY(m_incarnation, m_heartbeatCount, m_revision, m_requestsPerSecond);
 };
 
-/// How long a member may be silent.
+/// Times without a heartbeat after which a member is replaced, counted as dead or removed.
 struct MembershipSettings
 {
-    Core::Duration m_heartbeatTimeout{4000}; ///< After it a member counts as dead: eight heartbeats, of which some get lost or come by others.
+    Core::Duration m_heartbeatTimeout{4000}; ///< After it a member counts as dead. Eight heartbeat intervals; some are lost or arrive only through others.
     /**
-     * The same for each member of its role, if that is more. A heartbeat notes 40 members, and an entry hears six a second: with 150 entries each is
-     * heard of 1.6 times a second, and in one window of 10 s in ten millions not at all.
+     * Multiplied by the number of members of the role; used if the product exceeds m_heartbeatTimeout. A heartbeat carries digests of 40 members, and an
+     * entry receives six heartbeats a second: with 150 entries it hears of each one 1.6 times a second, and misses one for 10 s in one of ten million
+     * windows of that length.
      */
     Core::Duration m_heartbeatTimeoutPerMember{70};
-    Core::Duration m_removalTimeout{20000}; ///< After it the member is dropped from the table.
-    Core::Duration m_replacementTimeout{1500}; ///< Hearsay of a new incarnation replaces one that was silent for so long.
+    Core::Duration m_removalTimeout{20000}; ///< After it the member is removed from the table.
+    Core::Duration m_replacementTimeout{1500}; ///< After it an incarnation may be replaced by a different one that others report.
 
     bool operator==(const MembershipSettings &) const = default;
 };
@@ -90,43 +91,44 @@
 public:
     explicit Membership(std::string self, MembershipSettings settings = {});
 
-    /// Takes what was heard. @p isFirstHand: from the member itself. True if the member is new or has changed in more than its count.
-    bool merge(const Member &member, bool isFirstHand, Core::Instant now);
-    /// Takes notes that were heard from others. Returns the incarnations that are unknown here, or known by an older revision.
-    std::vector<std::uint32_t> mergeDigests(const std::vector<HeartbeatDigest> &beats, Core::Instant now);
-    /// Takes a sign of life of an incarnation other than its count.
+    /// Merges a received description. @p isDirect: it came from the member itself. Returns whether the member is new, or has changed in more than its
+    /// heartbeat count and request rate.
+    bool merge(const Member &member, bool isDirect, Core::Instant now);
+    /// Merges digests received from other members. Returns the incarnations that are unknown or known only with an older revision.
+    std::vector<std::uint32_t> mergeDigests(const std::vector<HeartbeatDigest> &digests, Core::Instant now);
+    /// Records that an incarnation is alive, from a message other than a heartbeat.
     void markAlive(std::uint32_t incarnation, Core::Instant now);
     bool contains(std::uint32_t incarnation) const;
-    /// Those of the incarnations that are known here.
+    /// Returns the members with the given incarnations; unknown ones are skipped.
     std::vector<Member> find(const std::vector<std::uint32_t> &incarnations) const;
-    /// Every other member that is not dead, in order of id.
+    /// Returns every other member that is not dead, in order of id.
     std::vector<Member> alive(Core::Instant now) const;
     std::vector<Member> alive(Role role, Core::Instant now) const;
     std::size_t countAlive(Core::Instant now) const;
-    /// Every other member that is known, also those that are dead and not yet forgotten.
+    /// Returns the number of other members in the table, including dead ones that have not been removed yet.
     std::size_t countKnown() const
     {
         return m_knownMembers.size();
     }
-    /// Notes of up to @p count live members, chosen at random; of one role only if it is given.
+    /// Returns digests of up to @p count live members, chosen at random; only of @p role if it is given.
     std::vector<HeartbeatDigest> sampleDigests(std::size_t count, std::optional<Role> role, Core::Instant now, Core::Random &random) const;
-    /// Up to @p count live members, chosen at random.
+    /// Returns up to @p count live members, chosen at random.
     std::vector<Member> sample(std::size_t count, Core::Instant now, Core::Random &random) const;
-    /// Drops members that have been silent for long.
+    /// Removes members that have been silent for longer than the removal timeout.
     void removeExpired(Core::Instant now);
 
 private:
     struct KnownMember
     {
         Member m_member;
-        Core::Instant m_lastHeardAt; ///< When the count last grew.
+        Core::Instant m_lastHeardAt; ///< When its heartbeat count last grew or it was marked alive.
     };
 
     void insertOrReplace(const Member &member, Core::Instant now);
-    /// Null if no member has this incarnation.
+    /// Returns null if no member has this incarnation.
     KnownMember *find(std::uint32_t incarnation);
     std::vector<const Member *> liveMembers(Core::Instant now) const;
-    /// Silence after which members are dead.
+    /// Times without a heartbeat after which members of each role count as dead.
     struct HeartbeatTimeouts
     {
         Core::Duration m_entry;
@@ -137,11 +139,11 @@
 
     const std::string m_self;
     const MembershipSettings m_settings;
-    std::map<std::string, KnownMember> m_knownMembers; ///< By id; never holds this process.
-    std::unordered_map<std::uint32_t, KnownMember *> m_byIncarnation; ///< Exactly one for each entry of m_known, to which it points.
+    std::map<std::string, KnownMember> m_knownMembers; ///< By id; never contains this process.
+    std::unordered_map<std::uint32_t, KnownMember *> m_byIncarnation; ///< Exactly one for each entry of m_knownMembers, to which it points.
 };
 
-/// Moves a random choice of @p count elements to the front and cuts the rest off.
+/// Keeps a random choice of @p count elements and removes the others.
 template <typename T>
 void keepRandom(std::vector<T> &items, std::size_t count, Core::Random &random)
 {
--- a/Libraries/LibGossip/Messages.h
+++ b/Libraries/LibGossip/Messages.h
@@ -1,4 +1,4 @@
-/// @file Messages between the system's processes about the fleet.
+/// @file Messages about the fleet between the processes of the system.
 #pragma once
 
 #include "LibFleet/FleetState.h"
@@ -9,24 +9,24 @@
 
 namespace Gossip {
 
-/// A declared version with the time since it was accepted, which every process would otherwise count from when it heard of it.
+/// A declared version with the time since it was accepted. Without this time, each process would count from when it received the declaration.
 struct AgedWeights
 {
     Fleet::DeclaredWeights m_declared;
-    std::optional<std::uint64_t> m_ageMilliseconds; ///< Empty if the sender found the version declared and does not know since when.
+    std::optional<std::uint64_t> m_ageMilliseconds; ///< Time since acceptance; empty if the sender found the version declared and does not know since when.
 
     bool operator==(const AgedWeights &) const = default;
 
     MSGPACK_DEFINE_ARRAY(m_declared, m_ageMilliseconds);
 };
 
-/// What an agent says of its engine.
+/// State of an engine as reported by its agent.
 struct EngineUpdate
 {
     Core::Address m_address;
     std::uint64_t m_startedMilliseconds = 0; ///< Incarnation of the engine.
-    std::uint32_t m_agentIncarnation = 0; ///< Of the agent that says so.
-    std::uint64_t m_sequenceNumber = 0; ///< Grows with each report of an agent's incarnation: reports take several ways and may overtake each other.
+    std::uint32_t m_agentIncarnation = 0; ///< Of the reporting agent.
+    std::uint64_t m_sequenceNumber = 0; ///< Grows with each update of an agent's incarnation: updates take several paths and may arrive out of order.
     Placement::EngineReport m_report;
 
     bool operator==(const EngineUpdate &) const = default;
@@ -34,19 +34,19 @@
     MSGPACK_DEFINE_ARRAY(m_address.m_host, m_address.m_port, m_startedMilliseconds, m_agentIncarnation, m_sequenceNumber, m_report);
 };
 
-/// One datagram.
+/// Content of one datagram.
 struct Heartbeat
 {
     Member m_sender;
-    std::uint32_t m_knownMemberCount = 0; ///< Live members that the sender knows.
-    std::uint64_t m_configurationRevisionOffset = 0; ///< Of the configuration that the sender holds; see Declarations::configurationMark().
-    Fleet::Offset m_endpointsRevisionOffset = 0; ///< See Beliefs::endpointsMark().
-    std::optional<std::uint64_t> m_listAgeMilliseconds; ///< Since the sender's knowledge of the list was confirmed; empty if it never was.
+    std::uint32_t m_knownMemberCount = 0; ///< Number of live members that the sender knows.
+    std::uint64_t m_configurationRevisionOffset = 0; ///< Of the configuration that the sender holds; see Declarations::configurationRevisionOffset().
+    Fleet::Offset m_endpointsRevisionOffset = 0; ///< See FleetState::endpointsRevisionOffset().
+    std::optional<std::uint64_t> m_listAgeMilliseconds; ///< Time since the sender's endpoint list was confirmed to be up to date; empty if it never was.
     std::vector<AgedWeights> m_weights;
-    std::vector<Member> m_members; ///< Some others that the sender knows.
-    std::vector<HeartbeatDigest> m_digests; ///< More others, in short: enough to tell a receiver that knows them that they live.
-    std::vector<std::uint32_t> m_requestedMembers; ///< Incarnations that the sender asks to be told of in full.
-    std::vector<EngineUpdate> m_engineUpdates; ///< From an agent that of its own engine; from an entry those that it passes on.
+    std::vector<Member> m_members; ///< Full descriptions of some members that the sender knows.
+    std::vector<HeartbeatDigest> m_digests; ///< Digests of further members; enough to show a receiver that knows them that they are alive.
+    std::vector<std::uint32_t> m_requestedMembers; ///< Incarnations of which the sender requests full descriptions.
+    std::vector<EngineUpdate> m_engineUpdates; ///< From an agent, the update of its own engine; from an entry, the updates that it relays.
 
     bool operator==(const Heartbeat &) const = default;
 
@@ -62,19 +62,19 @@
                          m_engineUpdates);
 };
 
-/// Asks for what the asker lacks (method fleet.state).
+/// Requests state that the sender lacks (method fleet.state).
 struct StateRequest
 {
-    bool m_forAgent = false; ///< Services and weights are enough: no routes, accounts or endpoints.
-    std::uint64_t m_configurationRevisionOffset = 0; ///< Of the configuration that the asker holds; see Declarations::configurationMark().
-    Fleet::Offset m_endpointsRevisionOffset = 0; ///< Of the list of endpoints that the asker holds.
+    bool m_forAgent = false; ///< Only services and weights are needed: no routes, accounts or endpoints.
+    std::uint64_t m_configurationRevisionOffset = 0; ///< Of the configuration that the sender holds; see Declarations::configurationRevisionOffset().
+    Fleet::Offset m_endpointsRevisionOffset = 0; ///< Of the endpoint list that the sender holds.
 
     bool operator==(const StateRequest &) const = default;
 
     MSGPACK_DEFINE_ARRAY(m_forAgent, m_configurationRevisionOffset, m_endpointsRevisionOffset);
 };
 
-/// Answers a StateRequest; parts that the asker has already are empty.
+/// Answers a StateRequest; parts that the requesting process already has are empty.
 struct StateAnswer
 {
     Fleet::Declarations m_declarations;
--- a/Libraries/LibGossip/ReportFanOut.cpp
+++ b/Libraries/LibGossip/ReportFanOut.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the ways that reports take.
+/// @file Implementation of the distribution of engine reports.
 
 #include "LibGossip/ReportFanOut.h"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// The entries of one failure domain that take reports for it: the same ones whichever agent works it out.
-std::vector<Member> relaysOf(std::vector<Member> entries, std::size_t count)
+/// Returns the entries of one failure domain that relay reports. Every agent selects the same ones.
+std::vector<Member> selectRelays(std::vector<Member> entries, std::size_t count)
 {
     std::sort(
         entries.begin(), entries.end(), [](const Member &left, const Member &right) { return Core::stableHash(left.m_id) < Core::stableHash(right.m_id); });
@@ -39,7 +39,7 @@
             continue;
         }
         if (isRelayed) {
-            chosen = relaysOf(std::move(chosen), fanOut.m_relaysPerDomain);
+            chosen = selectRelays(std::move(chosen), fanOut.m_relaysPerDomain);
             keepRandom(chosen, urgency == ReportUrgency::Critical ? fanOut.m_criticalCopies : 1, random);
         }
         for (const Member &entry : chosen) {
--- a/Libraries/LibGossip/ReportFanOut.h
+++ b/Libraries/LibGossip/ReportFanOut.h
@@ -1,42 +1,44 @@
-/// @file Which entries an engine's report goes to, and when an entry passes it on: pure decisions.
+/// @file Decides which entries receive an engine report and when an entry relays it. Pure functions.
 #pragma once
 
 #include "LibGossip/Membership.h"
 
 namespace Gossip {
 
-/// How soon the entries need a report.
+/// How soon the entries need an engine report.
 enum class ReportUrgency {
-    Regular, ///< With the next heartbeat.
-    Prompt, ///< Now, in the engine's own failure domain above all; the next one makes up for it if it is lost.
-    Critical, ///< Now, and it must reach every entry: what it says decides where requests may go.
+    Regular, ///< Sent with the next heartbeat.
+    Prompt, ///< Sent immediately, but not to other large failure domains; the next report makes up for a lost one.
+    Critical, ///< Sent immediately and must reach every entry, since it decides where requests may be sent.
 };
 
 /**
- * How reports of engines reach every entry.
+ * Settings of the distribution of engine reports to all entries.
  *
- * If each agent told each entry, the datagrams would grow with the product of both: 58 agents and 52 entries at three reports a second would make 9,000 a
- * second, and the links between regions carry each one alone. In a large failure domain a few entries therefore take the reports and pass them on in batches,
- * and those between two heartbeats stay in the engine's own one, whose entries send it most of its requests.
+ * If each agent sent its reports to each entry, the number of datagrams would grow with the product of both: 58 agents and 52 entries at three reports a
+ * second would send 9,000 datagrams a second, each of them separately over the links between regions. In a large failure domain, a few entries therefore
+ * receive the reports and relay them in batches. Reports between two heartbeats are not sent to other large failure domains, because the entries of the
+ * engine's own domain send it most of its requests.
  */
 struct ReportFanOut
 {
-    std::size_t m_maximumDirectEntries = 8; ///< Entries of a failure domain up to which each gets every report from the agent itself: a few datagrams.
+    /// Up to this number of entries in a failure domain, agents send every report to each entry directly, since that takes only a few datagrams.
+    std::size_t m_maximumDirectEntries = 8;
     /**
-     * Entries of a larger failure domain among which the reports are dealt out at random. With three, one that has died costs a third of the reports
-     * until it is noticed; the next report of the same engine probably takes another way.
+     * Entries of a larger failure domain that relay reports; each report goes to a random one. With three relays, a dead relay loses a third of the reports
+     * until its death is detected; the next report of the same engine probably goes to another relay.
      */
     std::size_t m_relaysPerDomain = 3;
-    std::size_t m_criticalCopies = 2; ///< Relays of each failure domain that get a report which must not be lost.
+    std::size_t m_criticalCopies = 2; ///< Relays of each large failure domain that receive a critical report.
 
     bool operator==(const ReportFanOut &) const = default;
 };
 
-/// Entries that a report of an engine in @p failureDomain is sent to.
+/// Returns the entries that receive a report of an engine in @p failureDomain.
 std::vector<Core::Address>
 reportTargets(const std::vector<Member> &entries, const std::string &failureDomain, ReportUrgency urgency, const ReportFanOut &fanOut, Core::Random &random);
 
-/// Whether an entry passes on what agents report to it. @p entriesInDomain: in its failure domain, itself included.
+/// Returns whether an entry relays the reports of agents. @p entriesInDomain: number of entries in its failure domain, including itself.
 bool relaysReports(std::size_t entriesInDomain, const ReportFanOut &fanOut);
 
 }
--- a/Tests/LibGossip/TestMembership.cpp
+++ b/Tests/LibGossip/TestMembership.cpp
@@ -1,4 +1,4 @@
-/// @file Who is alive, as heartbeats and hearsay tell.
+/// @file Tests which members count as alive after direct and indirect heartbeats.
 
 #include "LibGossip/Membership.h"
 
@@ -8,21 +8,21 @@
 
 const Core::Instant Start = Core::Instant() + Core::Duration(1000000);
 
-Gossip::Member member(const std::string &id, std::uint32_t incarnation, std::uint64_t beat)
+Gossip::Member member(const std::string &id, std::uint32_t incarnation, std::uint64_t heartbeatCount)
 {
-    Gossip::Member made;
-    made.m_id = id;
-    made.m_incarnation = incarnation;
-    made.m_heartbeatCount = beat;
-    made.m_isReady = true;
-    return made;
+    Gossip::Member result;
+    result.m_id = id;
+    result.m_incarnation = incarnation;
+    result.m_heartbeatCount = heartbeatCount;
+    result.m_isReady = true;
+    return result;
 }
 
 }
 
-TEST_CASE("a member whose count stands still dies, whoever repeats it")
+TEST_CASE("A member whose heartbeat count stays the same counts as dead, even if others still report it")
 {
-    // A process that froze is named by others for a while. If hearsay kept it alive, callers would be sent to it for as long as anybody talks of it.
+    // Others report a frozen process for a while. If such reports kept it alive, callers would be directed to it for as long as any member reports it.
     Gossip::Membership table("self");
     table.merge(member("a", 1, 5), true, Start);
     table.merge(member("a", 1, 5), false, Start + Core::Duration(3000));
@@ -32,7 +32,7 @@
     CHECK(table.alive(Start + Core::Duration(5100)).size() == 1);
 }
 
-TEST_CASE("hearsay of an earlier incarnation does not replace the one that spoke")
+TEST_CASE("An indirect report of an earlier incarnation does not replace one that sent a heartbeat")
 {
     Gossip::Membership table("self");
     table.merge(member("a", 1, 900), false, Start);
@@ -42,7 +42,7 @@
     CHECK(table.alive(Start + Core::Duration(200))[0].m_incarnation == 2);
 }
 
-TEST_CASE("leaving sticks to an incarnation")
+TEST_CASE("A leaving incarnation stays leaving, and a new incarnation does not inherit it")
 {
     Gossip::Membership table("self");
     Gossip::Member leaving = member("a", 1, 5);
@@ -54,7 +54,7 @@
     CHECK_FALSE(table.alive(Start)[0].m_isLeaving);
 }
 
-TEST_CASE("a process does not list itself, and forgets the dead")
+TEST_CASE("A process does not list itself, and removes dead members")
 {
     Gossip::Membership table("self");
     CHECK_FALSE(table.merge(member("self", 1, 1), false, Start));
@@ -63,7 +63,7 @@
     CHECK(table.merge(member("a", 1, 1), false, Start + Core::Duration(30000)));
 }
 
-TEST_CASE("a sample names live members once")
+TEST_CASE("A sample consists of distinct live members")
 {
     Gossip::Membership table("self");
     for (int index = 0; index < 20; ++index) {
@@ -72,13 +72,13 @@
     Core::Random random(3);
     const std::vector<Gossip::Member> sample = table.sample(6, Start, random);
     std::set<std::string> names;
-    for (const Gossip::Member &named : sample) {
-        names.insert(named.m_id);
+    for (const Gossip::Member &sampled : sample) {
+        names.insert(sampled.m_id);
     }
     CHECK(names.size() == 6);
 }
 
-TEST_CASE("a count that others pass on keeps a known member alive, and one of another incarnation does not")
+TEST_CASE("A digest of the known incarnation keeps a member alive, and a digest of another incarnation does not")
 {
     Gossip::Membership table("self");
     table.merge(member("a", 7, 5), true, Start);
@@ -93,10 +93,10 @@
     CHECK(table.contains(9));
 }
 
-TEST_CASE("a change is taken though the count has come ahead of it")
+TEST_CASE("A newer revision is merged although a digest has already advanced the heartbeat count")
 {
-    // An entry becomes ready, and notes of its later heartbeats arrive before its new description. If the description counted as old, the entry would
-    // be missing from the answers to callers for as long as notes travel faster than descriptions.
+    // An entry becomes ready, and digests of its later heartbeats arrive before its new description. If the description counted as outdated, the entry
+    // would be missing from the answers to callers for as long as digests arrive before descriptions.
     Gossip::Membership table("self");
     Gossip::Member starting = member("a", 1, 5);
     starting.m_isReady = false;
@@ -114,7 +114,7 @@
 
 namespace {
 
-/// One process of a simulated fleet that sends heartbeats.
+/// An entry of a simulated fleet that sends heartbeats.
 struct SimulatedEntry
 {
     explicit SimulatedEntry(int number)
@@ -127,12 +127,12 @@
     Gossip::Membership m_table;
 };
 
-/// Plays heartbeats among @p count entries for a minute; the number of times at which a live entry counted as dead at another.
-std::size_t falseDeaths(int count, std::size_t targets, std::size_t sampledMembers, std::size_t sampledBeats)
+/// Simulates heartbeats among @p count entries for a minute. Returns how often a live entry counted as dead at another, summed over all rounds and entries.
+std::size_t countFalseDeaths(int count, std::size_t targets, std::size_t sampledMembers, std::size_t sampledDigests)
 {
     constexpr Core::Duration interval{500};
     constexpr int rounds = 120;
-    constexpr int settled = 40; // Rounds until everybody has heard of everybody.
+    constexpr int warmUpRounds = 40; // Rounds until each entry knows all others.
     std::vector<SimulatedEntry> fleet;
     for (int number = 0; number < count; ++number) {
         fleet.emplace_back(number);
@@ -144,20 +144,20 @@
         for (SimulatedEntry &sender : fleet) {
             ++sender.m_self.m_heartbeatCount;
             for (std::size_t index = 0; index < targets; ++index) {
-                SimulatedEntry &target = fleet[round < 4 ? random.below(3) : random.below(fleet.size())]; // The first three are the seeds.
+                SimulatedEntry &target = fleet[round < 4 ? random.below(3) : random.below(fleet.size())]; // The first three entries are the seeds.
                 target.m_table.merge(sender.m_self, true, now);
-                for (const Gossip::Member &named : sender.m_table.sample(sampledMembers, now, random)) {
-                    target.m_table.merge(named, false, now);
+                for (const Gossip::Member &sampled : sender.m_table.sample(sampledMembers, now, random)) {
+                    target.m_table.merge(sampled, false, now);
                 }
-                const std::vector<std::uint32_t> lacking =
-                    target.m_table.mergeDigests(sender.m_table.sampleDigests(sampledBeats, Gossip::Role::Entry, now, random), now);
-                for (const Gossip::Member &told : sender.m_table.find(lacking)) {
-                    target.m_table.merge(told, false, now);
+                const std::vector<std::uint32_t> missing =
+                    target.m_table.mergeDigests(sender.m_table.sampleDigests(sampledDigests, Gossip::Role::Entry, now, random), now);
+                for (const Gossip::Member &described : sender.m_table.find(missing)) {
+                    target.m_table.merge(described, false, now);
                 }
             }
         }
         for (const SimulatedEntry &entry : fleet) {
-            deaths += round < settled ? 0 : fleet.size() - 1 - entry.m_table.countAlive(now);
+            deaths += round < warmUpRounds ? 0 : fleet.size() - 1 - entry.m_table.countAlive(now);
         }
     }
     return deaths;
@@ -165,10 +165,10 @@
 
 }
 
-TEST_CASE("in a fleet of 150 no live process counts as dead")
+TEST_CASE("In a fleet of 150 entries no live entry counts as dead")
 {
-    // With a few members in each heartbeat, a large fleet hears of each of them less often than a silent one is given up: live entries vanish from the
-    // answers to callers, who are all sent to the rest, and come back at random.
-    CHECK(falseDeaths(150, 3, 6, 0) > 0);
-    CHECK(falseDeaths(150, 3, 6, 40) == 0);
+    // With only a few members in each heartbeat, entries of a large fleet hear of each other less often than the heartbeat timeout: live entries would
+    // disappear from the answers to callers at random, and all callers would be directed to the remaining ones.
+    CHECK(countFalseDeaths(150, 3, 6, 0) > 0);
+    CHECK(countFalseDeaths(150, 3, 6, 40) == 0);
 }
--- a/Tests/LibGossip/TestMessages.cpp
+++ b/Tests/LibGossip/TestMessages.cpp
@@ -1,4 +1,4 @@
-/// @file Datagrams survive their encoding, fit into one packet, and garbage is refused.
+/// @file Tests that heartbeats are encoded without loss, fit into one packet, and that malformed datagrams are refused.
 
 #include "LibGossip/GossipService.h"
 #include "LibWire/Pack.h"
@@ -11,20 +11,20 @@
 
 Gossip::Member member(int number)
 {
-    Gossip::Member made;
-    made.m_id = "side-brussels-ixelles-" + std::to_string(number);
-    made.m_incarnation = 4000000000U;
-    made.m_heartbeatCount = 100000;
-    made.m_region = "brussels";
-    made.m_failureDomain = "brussels-ixelles";
-    made.m_service = "huvo11a";
-    made.m_peers = Core::Address{"10.200.100.200", 7700};
-    return made;
+    Gossip::Member result;
+    result.m_id = "side-brussels-ixelles-" + std::to_string(number);
+    result.m_incarnation = 4000000000U;
+    result.m_heartbeatCount = 100000;
+    result.m_region = "brussels";
+    result.m_failureDomain = "brussels-ixelles";
+    result.m_service = "huvo11a";
+    result.m_peers = Core::Address{"10.200.100.200", 7700};
+    return result;
 }
 
 }
 
-TEST_CASE("a heartbeat with the largest sample fits into a datagram and comes back as it was")
+TEST_CASE("A heartbeat with the largest sample fits into a datagram and is decoded without loss")
 {
     Gossip::Heartbeat heartbeat;
     heartbeat.m_sender = member(0);
@@ -39,7 +39,7 @@
     CHECK(Wire::unpack<Gossip::Heartbeat>(encoded, "peer").value() == heartbeat);
 }
 
-TEST_CASE("bytes that are no heartbeat are refused")
+TEST_CASE("Bytes that do not encode a heartbeat are refused")
 {
     const std::string encoded = Wire::pack(Gossip::Heartbeat{});
     for (std::size_t length = 0; length < encoded.size(); ++length) {
@@ -48,25 +48,25 @@
     CHECK_FALSE(Wire::unpack<Gossip::Heartbeat>("GET / HTTP/1.1\r\n\r\n", "peer"));
 }
 
-TEST_CASE("a heartbeat with the usual samples, and one with reports that are passed on, fit into a datagram")
+TEST_CASE("A heartbeat with the default samples and a heartbeat with relayed engine updates fit into a datagram")
 {
     const Gossip::GossipSettings settings;
-    Gossip::Heartbeat usual;
-    usual.m_sender = member(0);
-    usual.m_weights = {Gossip::AgedWeights{Fleet::DeclaredWeights{"daka510000", 2, 17}, 1234}};
+    Gossip::Heartbeat regular;
+    regular.m_sender = member(0);
+    regular.m_weights = {Gossip::AgedWeights{Fleet::DeclaredWeights{"daka510000", 2, 17}, 1234}};
     for (std::size_t index = 0; index < settings.m_sampledMembers; ++index) {
-        usual.m_members.push_back(member(static_cast<int>(index)));
+        regular.m_members.push_back(member(static_cast<int>(index)));
     }
-    usual.m_digests.assign(settings.m_sampledDigests, Gossip::HeartbeatDigest{4000000000U, 100000, 3, 120});
-    const std::string encoded = Wire::pack(usual);
+    regular.m_digests.assign(settings.m_sampledDigests, Gossip::HeartbeatDigest{4000000000U, 100000, 3, 120});
+    const std::string encoded = Wire::pack(regular);
     CHECK(encoded.size() < PacketBytes);
-    CHECK(Wire::unpack<Gossip::Heartbeat>(encoded, "peer").value() == usual);
+    CHECK(Wire::unpack<Gossip::Heartbeat>(encoded, "peer").value() == regular);
 
     Gossip::Heartbeat relayed;
     relayed.m_sender = member(0);
-    relayed.m_weights = usual.m_weights;
-    Gossip::EngineUpdate news{Core::Address{"10.200.100.200", 8014}, 1789000000000, 4000000000U, 100000, {12, 24, 1.25, false, {}}};
-    news.m_report.m_weights = {Fleet::LoadedWeights{"daka510000", 2, {Fleet::LayerRange{0, 16}}}};
-    relayed.m_engineUpdates.assign(settings.m_relayBatchSize, news);
+    relayed.m_weights = regular.m_weights;
+    Gossip::EngineUpdate update{Core::Address{"10.200.100.200", 8014}, 1789000000000, 4000000000U, 100000, {12, 24, 1.25, false, {}}};
+    update.m_report.m_weights = {Fleet::LoadedWeights{"daka510000", 2, {Fleet::LayerRange{0, 16}}}};
+    relayed.m_engineUpdates.assign(settings.m_relayBatchSize, update);
     CHECK(Wire::pack(relayed).size() < PacketBytes);
 }
--- a/Tests/LibGossip/TestReportFanOut.cpp
+++ b/Tests/LibGossip/TestReportFanOut.cpp
@@ -1,4 +1,4 @@
-/// @file The ways that engines' reports take to the entries.
+/// @file Tests the distribution of engine reports to the entries.
 
 #include "LibGossip/ReportFanOut.h"
 
@@ -7,10 +7,10 @@
 
 namespace {
 
-std::vector<Gossip::Member> entries(std::size_t domains, std::size_t inEach)
+std::vector<Gossip::Member> entries(std::size_t domains, std::size_t entriesPerDomain)
 {
     std::vector<Gossip::Member> members;
-    for (std::size_t index = 0; index < domains * inEach; ++index) {
+    for (std::size_t index = 0; index < domains * entriesPerDomain; ++index) {
         Gossip::Member member;
         member.m_id = "entry-" + std::to_string(index);
         member.m_failureDomain = "domain-" + std::to_string(index % domains);
@@ -22,7 +22,7 @@
 
 }
 
-TEST_CASE("in small failure domains every entry gets every report itself")
+TEST_CASE("In small failure domains each entry receives every report directly")
 {
     Core::Random random(1);
     const Gossip::ReportFanOut fanOut;
@@ -34,9 +34,9 @@
     CHECK(Gossip::relaysReports(fanOut.m_maximumDirectEntries + 1, fanOut));
 }
 
-TEST_CASE("in large failure domains a report goes to one relay of each, and an urgent one to two")
+TEST_CASE("In each large failure domain one relay receives a regular report and two receive a critical one")
 {
-    // 58 agents that told 52 entries themselves, three times a second, would fill the links between regions; callers would notice by late answers.
+    // If 58 agents reported directly to 52 entries three times a second, the links between regions would be saturated and answers to callers delayed.
     Core::Random random(2);
     const Gossip::ReportFanOut fanOut;
     const std::vector<Gossip::Member> all = entries(3, 18);
@@ -50,9 +50,10 @@
     CHECK(used.size() == 3 * fanOut.m_relaysPerDomain);
 }
 
-TEST_CASE("between two heartbeats the report of a full engine stays in its own large failure domain")
+TEST_CASE("In large failure domains a prompt report is sent only within the engine's own domain")
 {
-    // Guards against reports whose number grows with the product of all engines, all entries and how often engines are full.
+    // Full engines send prompt reports between two heartbeats. Sent to all failure domains, their number would grow with the product of engines, entries and
+    // how often engines are full.
     Core::Random random(4);
     const Gossip::ReportFanOut fanOut;
     const std::vector<Gossip::Member> all = entries(5, 30);
@@ -65,7 +66,7 @@
     }
 }
 
-TEST_CASE("without entries a report goes nowhere")
+TEST_CASE("Without entries a report has no targets")
 {
     Core::Random random(3);
     CHECK(Gossip::reportTargets({}, "domain-0", Gossip::ReportUrgency::Critical, Gossip::ReportFanOut{}, random).empty());
