--- a/Libraries/LibFollow/Follower.cpp
+++ b/Libraries/LibFollow/Follower.cpp
@@ -40,14 +40,14 @@
     m_onUnreachable = std::move(callback);
 }
 
-void Follower::onEndpointsRead(std::function<void(Core::Instant asked)> callback)
+void Follower::onEndpointsRead(std::function<void(Core::Instant sentAt)> callback)
 {
     m_onEndpointsRead = std::move(callback);
 }
 
-void Follower::setRelyOnPeersQuery(std::function<bool()> mayRest)
+void Follower::setRelyOnPeersQuery(std::function<bool()> mayRelyOnPeers)
 {
-    m_mayRelyOnPeers = std::move(mayRest);
+    m_mayRelyOnPeers = std::move(mayRelyOnPeers);
 }
 
 std::optional<Core::Instant> Follower::outageEnd() const
@@ -80,9 +80,9 @@
     });
 }
 
-bool Follower::mayRelyOnPeers(const ReadState &reading) const
+bool Follower::mayRelyOnPeers(const ReadState &state) const
 {
-    return reading.m_nextOffset > 0 && m_mayRelyOnPeers && m_mayRelyOnPeers();
+    return state.m_nextOffset > 0 && m_mayRelyOnPeers && m_mayRelyOnPeers();
 }
 
 void Follower::start()
@@ -99,36 +99,36 @@
     }
 }
 
-void Follower::scheduleRead(ReadState &reading, Core::Duration pause, void (Follower::*read)())
+void Follower::scheduleRead(ReadState &state, Core::Duration delay, void (Follower::*read)())
 {
-    reading.m_timer.expires_after(pause);
-    reading.m_timer.async_wait([this, &reading, read, alive = m_isAlive](const boost::system::error_code &error) {
+    state.m_timer.expires_after(delay);
+    state.m_timer.async_wait([this, &state, read, alive = m_isAlive](const boost::system::error_code &error) {
         if (!*alive || error) {
             return;
         }
-        if (mayRelyOnPeers(reading)) {
-            scheduleRead(reading, m_settings.m_peerCheckInterval, read);
+        if (mayRelyOnPeers(state)) {
+            scheduleRead(state, m_settings.m_peerCheckInterval, read);
             return;
         }
         (this->*read)();
     });
 }
 
-Core::Duration Follower::retryDelay(const ReadState &reading)
+Core::Duration Follower::retryDelay(const ReadState &state)
 {
-    const std::uint32_t doublings = std::min(reading.m_consecutiveFailures, MaximumDoublings);
-    const Core::Duration longest = std::min(m_settings.m_maximumRetryDelay, m_settings.m_initialRetryDelay * (std::int64_t{1} << doublings));
-    // Processes that lost the log together must not all come back to it together.
-    return longest / 2 + Core::Duration(m_parts.m_random.below(static_cast<std::uint64_t>(longest.count() / 2 + 1)));
+    const std::uint32_t doublings = std::min(state.m_consecutiveFailures, MaximumDoublings);
+    const Core::Duration maximumDelay = std::min(m_settings.m_maximumRetryDelay, m_settings.m_initialRetryDelay * (std::int64_t{1} << doublings));
+    // The random part keeps processes that lost the log at the same time from retrying at the same time.
+    return maximumDelay / 2 + Core::Duration(m_parts.m_random.below(static_cast<std::uint64_t>(maximumDelay.count() / 2 + 1)));
 }
 
-void Follower::handleFailure(ReadState &reading, const Core::Error &error, const char *what)
+void Follower::handleFailure(ReadState &state, const Core::Error &error, const char *what)
 {
     m_readsFailed.add();
-    if (reading.m_consecutiveFailures == 0) {
+    if (state.m_consecutiveFailures == 0) {
         m_parts.m_log.write(Telemetry::LogLine("log_unreachable").text("what", what).text("error", error.message()));
     }
-    ++reading.m_consecutiveFailures;
+    ++state.m_consecutiveFailures;
     if (m_onUnreachable) {
         m_onUnreachable();
     }
@@ -175,9 +175,9 @@
     m_declarationsState.m_nextOffset = declarations.m_end;
     recordVersions(declarations, isFirst);
     notifyUpdate(m_parts.m_fleetState.apply(declarations));
-    const bool isEmpty = declarations.m_end == 0; // Nothing was ever declared: look again soon.
-    constexpr Core::Duration emptyPause{300};
-    scheduleRead(m_declarationsState, isEmpty ? emptyPause : Core::Duration(0), &Follower::readDeclarations);
+    const bool isEmpty = declarations.m_end == 0; // Nothing has been declared yet: read again soon.
+    constexpr Core::Duration emptyLogDelay{300};
+    scheduleRead(m_declarationsState, isEmpty ? emptyLogDelay : Core::Duration(0), &Follower::readDeclarations);
 }
 
 void Follower::recordVersions(const Fleet::Declarations &declarations, bool isFirst)
@@ -195,20 +195,20 @@
 void Follower::readEndpoints()
 {
     m_reads.add();
-    EndpointsCallback done = [this, alive = m_isAlive, asked = Core::Clock::now()](Core::Result<Fleet::EndpointChanges> result) {
+    EndpointsCallback done = [this, alive = m_isAlive, sentAt = Core::Clock::now()](Core::Result<Fleet::EndpointChanges> result) {
         if (*alive) {
-            handleEndpoints(std::move(result), asked);
+            handleEndpoints(std::move(result), sentAt);
         }
     };
     if (m_endpointsState.m_nextOffset == 0) {
         m_source.m_readAllEndpoints(std::move(done));
         return;
     }
-    // Peers may have brought this process further while it rested.
+    // Peers may have delivered later changes while this process did not read.
     m_source.m_readEndpoints(std::max(m_endpointsState.m_nextOffset, m_parts.m_fleetState.endpointsEnd()), std::move(done));
 }
 
-void Follower::handleEndpoints(Core::Result<Fleet::EndpointChanges> result, Core::Instant asked)
+void Follower::handleEndpoints(Core::Result<Fleet::EndpointChanges> result, Core::Instant sentAt)
 {
     const Core::Instant now = Core::Clock::now();
     if (!result) {
@@ -227,7 +227,7 @@
     m_endpointsState.m_nextOffset = result.value().m_end;
     notifyUpdate(m_parts.m_fleetState.apply(result.value(), outageEnd(), now));
     if (m_onEndpointsRead) {
-        m_onEndpointsRead(asked);
+        m_onEndpointsRead(sentAt);
     }
     scheduleRead(m_endpointsState, m_settings.m_endpointsInterval, &Follower::readEndpoints);
 }
--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -1,4 +1,4 @@
-/// @file Keeps the beliefs up to date from the log, and says when the log is out of reach.
+/// @file Keeps the fleet state up to date from the log and reports when the log is unreachable.
 #pragma once
 
 #include "LibCore/Random.h"
@@ -14,20 +14,20 @@
 
 struct FollowerSettings
 {
-    bool m_followsEndpoints = true; ///< Agents have no use for the list of endpoints.
-    Core::Duration m_declarationsWaitLimit{12000}; ///< A waiting read that went silent is noticed by then at the latest; peers tell of news sooner.
-    Core::Duration m_endpointsInterval{900}; ///< With the answer's way under half of the time in which a leaving endpoint must be known.
+    bool m_followsEndpoints = true; ///< False for agents, which do not use the endpoint list.
+    Core::Duration m_declarationsWaitLimit{12000}; ///< Maximum wait of one read, and so the time until a hung read is detected; peers deliver changes sooner.
+    Core::Duration m_endpointsInterval{900}; ///< Between list reads; with the network delay, under half of the time in which a leaving endpoint must be known.
     Core::Duration m_initialRetryDelay{150};
     Core::Duration m_maximumRetryDelay{1200};
-    Core::Duration m_peerCheckInterval{200}; ///< Between looks whether this process still may rest: a fraction of the age at which it may not.
-    Core::Duration m_outageGracePeriod{
-        2500}; ///< After an outage, for which entries that vanish may only have lapsed; live endpoints are back within two seconds.
-    Core::Duration m_missingCheckInterval{200}; ///< Between looks for entries that have not come back: an engine behind one may be leaving.
+    Core::Duration m_peerCheckInterval{200}; ///< Between checks whether peers may still be relied on; a fraction of the maximum list age.
+    /// For this long after an outage, the endpoint of a removed list entry may still be live; live endpoints return to the list within two seconds.
+    Core::Duration m_outageGracePeriod{2500};
+    Core::Duration m_missingCheckInterval{200}; ///< Between checks for list entries that have not returned; the engine of such an entry may be leaving.
 
     bool operator==(const FollowerSettings &) const = default;
 };
 
-/// What the follower works with. Everything outlives it.
+/// Objects that the follower uses. All of them must outlive it.
 struct FollowerParts
 {
     Http::EventLoop &m_loop;
@@ -38,7 +38,7 @@
     Core::Random &m_random;
 };
 
-/// Used on the loop's thread.
+/// Reads declarations and the endpoint list from the log and applies them to the fleet state. Used on the loop's thread.
 class Follower
 {
 public:
@@ -48,22 +48,22 @@
     Follower(const Follower &) = delete;
     Follower &operator=(const Follower &) = delete;
 
-    /// Called after every read that changed the beliefs.
+    /// Sets the callback that is called after every read that changed the fleet state.
     void onUpdate(std::function<void(const Fleet::FleetStateUpdate &update)> callback);
-    /// Called with each failed read, so that peers can be asked.
+    /// Sets the callback that is called after each failed read, so that state can be requested from peers.
     void onUnreachable(std::function<void()> callback);
 
-    /// Called after every read of the list of endpoints that succeeded. @p asked: when it was sent, as of which the list is known.
-    void onEndpointsRead(std::function<void(Core::Instant asked)> callback);
-    /// Asked before each read but the first: while it says yes, peers keep this process up to date and nothing is read.
-    void setRelyOnPeersQuery(std::function<bool()> mayRest);
+    /// Sets the callback that is called after every successful read of the endpoint list. @p sentAt: when the read was sent; the list is up to date as of then.
+    void onEndpointsRead(std::function<void(Core::Instant sentAt)> callback);
+    /// Sets the query that is made before each read except the first. While it returns true, peers keep this process up to date and the log is not read.
+    void setRelyOnPeersQuery(std::function<bool()> mayRelyOnPeers);
     /**
-     * When the list came within reach again, or was first read, if that is so short ago that entries may have lapsed from it though their endpoints
-     * live. Now, while it is out of reach.
+     * Returns the time since which the endpoint list may lack live endpoints because their entries expired: when the list became reachable again, or when
+     * this process started, if that is recent; the current time while the list is unreachable; empty otherwise.
      */
     std::optional<Core::Instant> uncertainSince() const;
 
-    /// Begins to read. Without effect once begun.
+    /// Starts reading. Has no effect if already started.
     void start();
     bool isStarted() const
     {
@@ -71,7 +71,7 @@
     }
 
 private:
-    /// One of the two logs that are read.
+    /// Progress in one of the two logs.
     struct ReadState
     {
         explicit ReadState(Http::EventLoop &loop)
@@ -80,24 +80,24 @@
         }
 
         Http::Timer m_timer;
-        Fleet::Offset m_nextOffset = 0; ///< Where the next read begins; 0 before everything was read.
-        std::uint32_t m_consecutiveFailures = 0; ///< In a row.
-        std::optional<Core::Instant> m_recoveredAt; ///< When a read last succeeded after one that had failed.
+        Fleet::Offset m_nextOffset = 0; ///< Where the next read begins; 0 if the next read is a full one.
+        std::uint32_t m_consecutiveFailures = 0; ///< Failed reads since the last successful one.
+        std::optional<Core::Instant> m_recoveredAt; ///< When a read last succeeded after a failed one.
     };
 
     void readDeclarations();
     void handleDeclarations(Core::Result<Fleet::Declarations> result, bool isFirst);
     void recordVersions(const Fleet::Declarations &declarations, bool isFirst);
     void readEndpoints();
-    void handleEndpoints(Core::Result<Fleet::EndpointChanges> result, Core::Instant asked);
-    /// Lets go of endpoints that stay missing, unless the list is out of reach: whether they are back cannot be seen then.
+    void handleEndpoints(Core::Result<Fleet::EndpointChanges> result, Core::Instant sentAt);
+    /// Removes endpoints that stay missing. Does nothing while the list is unreachable, because it then cannot show whether they have returned.
     void removeMissingEndpoints();
-    void handleFailure(ReadState &reading, const Core::Error &error, const char *what);
-    void scheduleRead(ReadState &reading, Core::Duration pause, void (Follower::*read)());
-    bool mayRelyOnPeers(const ReadState &reading) const;
-    /// Like doubtfulSince(), but a process that has only just started is no reason for doubt.
+    void handleFailure(ReadState &state, const Core::Error &error, const char *what);
+    void scheduleRead(ReadState &state, Core::Duration delay, void (Follower::*read)());
+    bool mayRelyOnPeers(const ReadState &state) const;
+    /// Like uncertainSince(), but a recent start of this process does not count.
     std::optional<Core::Instant> outageEnd() const;
-    Core::Duration retryDelay(const ReadState &reading);
+    Core::Duration retryDelay(const ReadState &state);
     void notifyUpdate(const Fleet::FleetStateUpdate &update);
 
     const FollowerParts m_parts;
@@ -109,12 +109,12 @@
     bool m_isStarted = false;
     std::function<void(const Fleet::FleetStateUpdate &)> m_onUpdate;
     std::function<void()> m_onUnreachable;
-    std::function<void(Core::Instant asked)> m_onEndpointsRead;
+    std::function<void(Core::Instant sentAt)> m_onEndpointsRead;
     std::function<bool()> m_mayRelyOnPeers;
     std::optional<Core::Instant> m_startedAt;
     Telemetry::Counter &m_reads;
     Telemetry::Counter &m_readsFailed;
-    std::shared_ptr<bool> m_isAlive; ///< False once the follower is gone; reads can outlive it.
+    std::shared_ptr<bool> m_isAlive; ///< False once the follower is destroyed; reads can outlive it.
 };
 
 }
--- a/Libraries/LibFollow/RecordSource.h
+++ b/Libraries/LibFollow/RecordSource.h
@@ -1,4 +1,4 @@
-/// @file Where declarations and the list of endpoints are read, as the product needs it. Supplied by the adapter of the place it runs on.
+/// @file Interface for reading declarations and the endpoint list. Implemented by the adapter of the platform.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -12,19 +12,19 @@
 using EndpointsCallback = std::function<void(Core::Result<Fleet::EndpointChanges>)>;
 
 /**
- * Reads without blocking; each read calls back exactly once, on the loop's thread.
+ * Reads without blocking; each read calls its callback exactly once, on the loop's thread.
  *
- * Reads from an offset fail with NotFound if records there have been dropped; a read of everything is due then.
+ * Reads from an offset fail with NotFound if the records there have been dropped; a full read is then required.
  */
 struct RecordSource
 {
-    /// The newest configuration and weights.
+    /// Reads the newest configuration and weights.
     std::function<void(DeclarationsCallback done)> m_readAllDeclarations;
-    /// What was declared from an offset on; waits for up to @p patience if there is nothing yet.
-    std::function<void(Fleet::Offset from, Core::Duration patience, DeclarationsCallback done)> m_awaitDeclarations;
-    /// The newest entry of every endpoint.
+    /// Reads the declarations from an offset on; waits for up to @p waitLimit if there are none yet.
+    std::function<void(Fleet::Offset from, Core::Duration waitLimit, DeclarationsCallback done)> m_awaitDeclarations;
+    /// Reads the newest entry of every endpoint.
     std::function<void(EndpointsCallback done)> m_readAllEndpoints;
-    /// Changes of the list from an offset on, without waiting.
+    /// Reads the changes of the endpoint list from an offset on, without waiting.
     std::function<void(Fleet::Offset from, EndpointsCallback done)> m_readEndpoints;
 };
 
