--- a/Libraries/LibServing/Directory.h
+++ b/Libraries/LibServing/Directory.h
@@ -1,4 +1,4 @@
-/// @file Which entries a caller should connect to: a pure decision.
+/// @file Selects the entries that a caller should connect to. A pure function.
 #pragma once
 
 #include "LibGossip/Membership.h"
@@ -10,14 +10,14 @@
 
 struct DirectorySettings
 {
-    std::size_t m_maximumAddresses = 64; ///< In one answer.
-    std::size_t m_minimumNear = 3; ///< With fewer entries near the caller, others are named too, so that one loss leaves a choice.
-    std::uint32_t m_lifetimeSeconds = 2; ///< Of an answer: a dead entry is named for no longer than heartbeats take to show it, and this.
+    std::size_t m_maximumAddresses = 64; ///< Maximum number of addresses in one answer.
+    std::size_t m_minimumNear = 3; ///< With fewer entries near the caller, farther ones are added, so that the caller still has a choice if one fails.
+    std::uint32_t m_lifetimeSeconds = 2; ///< Lifetime of an answer. Callers use a dead entry for at most the heartbeat timeout plus this time.
 
     bool operator==(const DirectorySettings &) const = default;
 };
 
-/// Where the caller stands; empty if it did not say.
+/// Location of a caller; fields that the caller did not state are empty.
 struct CallerLocation
 {
     std::string m_region;
@@ -26,8 +26,9 @@
     bool operator==(const CallerLocation &) const = default;
 };
 
-/// Entries that are ready and not leaving, near ones only if they are enough. @p self is one of those to be named.
+/// Returns the caller addresses of entries that are ready and not leaving, nearest first. Farther ones are included only if there are too few near the caller.
+/// @p self is one of the candidates.
 std::vector<Core::Address>
-chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerLocation &place, const DirectorySettings &settings);
+chooseEntries(const std::vector<Gossip::Member> &others, const Gossip::Member &self, const CallerLocation &location, const DirectorySettings &settings);
 
 }
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Core::Duration TickInterval{200}; ///< Logs are flushed so often.
+constexpr Core::Duration TickInterval{200}; ///< Between log flushes and updates of the request rate.
 constexpr std::size_t PageConnections = 256;
 constexpr std::size_t AdminConnections = 16;
-/// Part of the leaving time during which requests are still taken: callers keep an answer of the directory for some seconds.
-constexpr double TakingShare = 0.4;
-/// Idle connections are closed from here on, when callers have had the time to hear of other entries.
-constexpr double IdleShare = 0.3;
-constexpr Core::Duration LeavingStep{100};
-constexpr Core::Duration LeavingReserve{250}; ///< Before the platform's own end, so that the last lines get out.
-
-Core::Duration share(Core::Duration whole, double part)
+/// Fraction of the leaving time during which requests are still accepted, because callers keep an answer of the directory for some seconds.
+constexpr double AcceptingShare = 0.4;
+/// Fraction of the leaving time after which idle connections are closed. By then callers have had time to learn of other entries.
+constexpr double IdleCloseShare = 0.3;
+constexpr Core::Duration LeavingCheckInterval{100};
+constexpr Core::Duration FinalFlushMargin{250}; ///< Time left before the platform ends the process, so that the last log lines are written.
+
+Core::Duration fractionOf(Core::Duration whole, double part)
 {
     return Core::Duration(static_cast<std::int64_t>(static_cast<double>(whole.count()) * part));
 }
@@ -121,11 +121,11 @@
     addDumpSections();
     m_gossip.registerMethods();
     m_gossip.onStateApplied([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, false); });
-    m_gossip.onEngineUpdates([this](const std::vector<Gossip::EngineUpdate> &news) { handleEngineUpdates(news); });
+    m_gossip.onEngineUpdates([this](const std::vector<Gossip::EngineUpdate> &updates) { handleEngineUpdates(updates); });
     m_gossip.onMembersChanged([this] { updateShares(); });
     m_follower.onUpdate([this](const Fleet::FleetStateUpdate &update) { onFleetStateChanged(update, true); });
     m_gossip.setListUncertaintyQuery([this] { return m_follower.uncertainSince(); });
-    m_follower.onEndpointsRead([this](Core::Instant asked) { m_gossip.announceListRead(asked); });
+    m_follower.onEndpointsRead([this](Core::Instant sentAt) { m_gossip.announceListRead(sentAt); });
     m_follower.setRelyOnPeersQuery([this] {
         const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
         return mayRelyOnPeers(isReader(m_gossip.self(), entries, m_settings.m_readerSelection), m_gossip.listAge(), m_settings.m_readerSelection);
@@ -199,20 +199,20 @@
 void EntryProcess::continueLeaving()
 {
     const Core::Duration since = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - *m_leavingSince);
-    const bool takesRequests = since < share(m_settings.m_leavingTime, TakingShare);
-    if (since >= share(m_settings.m_leavingTime, IdleShare)) {
+    const bool acceptsRequests = since < fractionOf(m_settings.m_leavingTime, AcceptingShare);
+    if (since >= fractionOf(m_settings.m_leavingTime, IdleCloseShare)) {
         m_callerContext->m_isClosing = true;
         m_listeners.front()->closeIdle();
     }
-    if (!takesRequests) {
+    if (!acceptsRequests) {
         m_listeners.front()->stop();
     }
     const bool isIdle = m_relay.openRequests() == 0 && m_listeners.front()->connectionCount() == 0;
-    if ((!takesRequests && isIdle) || since >= m_settings.m_leavingTime - LeavingReserve) {
+    if ((!acceptsRequests && isIdle) || since >= m_settings.m_leavingTime - FinalFlushMargin) {
         stop();
         return;
     }
-    m_leavingTimer.expires_after(LeavingStep);
+    m_leavingTimer.expires_after(LeavingCheckInterval);
     m_leavingTimer.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             continueLeaving();
@@ -276,23 +276,23 @@
     }
 }
 
-void EntryProcess::handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &news)
+void EntryProcess::handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &updates)
 {
     const Core::Instant now = Core::Clock::now();
-    for (const Gossip::EngineUpdate &one : news) {
-        applyEngineUpdate(one, now);
+    for (const Gossip::EngineUpdate &update : updates) {
+        applyEngineUpdate(update, now);
     }
     m_relay.onSlotsChanged();
 }
 
-void EntryProcess::applyEngineUpdate(const Gossip::EngineUpdate &news, Core::Instant now)
+void EntryProcess::applyEngineUpdate(const Gossip::EngineUpdate &update, Core::Instant now)
 {
-    for (const std::string &id : m_endpointsByAddress.idsAt(news.m_address)) {
+    for (const std::string &id : m_endpointsByAddress.idsAt(update.m_address)) {
         const Fleet::Endpoint &endpoint = m_fleetState.endpoints().at(id).m_endpoint;
-        // An engine that does not state its start in reports is told by its address alone.
-        if (news.m_startedMilliseconds == 0 || endpoint.m_startedMilliseconds == news.m_startedMilliseconds) {
-            m_endpointTracker.recordEngineReport(endpoint, news.m_report, now);
-            recordSlots(endpoint, news.m_report, now);
+        // An engine that does not state its start time in reports is identified by its address alone.
+        if (update.m_startedMilliseconds == 0 || endpoint.m_startedMilliseconds == update.m_startedMilliseconds) {
+            m_endpointTracker.recordEngineReport(endpoint, update.m_report, now);
+            recordSlots(endpoint, update.m_report, now);
         }
     }
 }
@@ -303,23 +303,23 @@
     if (!service || service->m_engine.m_slots == 0) {
         return;
     }
-    Placement::ReportedSlots places = Placement::reportedSlots(service->m_engine, report.m_running, report.m_waiting, report.m_pace);
+    Placement::ReportedSlots slots = Placement::reportedSlots(service->m_engine, report.m_running, report.m_waiting, report.m_pace);
     if (report.m_isLoading || report.m_weights.empty() || endpoint.m_isLeaving) {
-        places = Placement::ReportedSlots{};
+        slots = Placement::ReportedSlots{};
     }
-    m_slotTracker.recordReport(endpoint.m_id, places, now);
+    m_slotTracker.recordReport(endpoint.m_id, slots, now);
 }
 
 void EntryProcess::updateShares()
 {
     const std::vector<Gossip::Member> entries = m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now());
     m_retryBudgets.setProcessCount(entries.size() + 1);
-    const double own = m_gossip.self().m_requestsPerSecond + 1.0;
-    double all = own;
+    const double ownRate = m_gossip.self().m_requestsPerSecond + 1.0;
+    double totalRate = ownRate;
     for (const Gossip::Member &entry : entries) {
-        all += entry.m_isLeaving ? 0 : entry.m_requestsPerSecond + 1.0;
+        totalRate += entry.m_isLeaving ? 0 : entry.m_requestsPerSecond + 1.0;
     }
-    m_slotTracker.setShare(own / all);
+    m_slotTracker.setShare(ownRate / totalRate);
 }
 
 bool EntryProcess::isReady() const
@@ -332,8 +332,8 @@
     PageView view;
     view.m_isReady = [this] { return isReady(); };
     view.m_lifetimeSeconds = m_settings.m_directory.m_lifetimeSeconds;
-    view.m_entries = [this](const CallerLocation &place) {
-        return chooseEntries(m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now()), m_gossip.self(), place, m_settings.m_directory);
+    view.m_entries = [this](const CallerLocation &location) {
+        return chooseEntries(m_gossip.members().alive(Gossip::Role::Entry, Core::Clock::now()), m_gossip.self(), location, m_settings.m_directory);
     };
     PageAnswer answer = m_adapter.m_answerPage(request, view);
     connection->answer(answer.m_status, {Http::HeaderField{"Content-Type", answer.m_contentType}}, std::move(answer.m_body));
@@ -341,7 +341,7 @@
 
 void EntryProcess::updateRequestRate()
 {
-    // A moving average over about two seconds: short against a burst, long against the gaps between requests of one entry.
+    // A moving average over about two seconds: short compared to a burst, long compared to the gaps between requests at a single entry.
     constexpr double weight = 0.1;
     const std::uint64_t requests = m_relay.requests();
     constexpr double ticksPerSecond = 1000.0 / TickInterval.count();
--- a/Libraries/LibServing/EntryProcess.h
+++ b/Libraries/LibServing/EntryProcess.h
@@ -1,4 +1,4 @@
-/// @file The process on an entry instance: answers callers on one event loop and keeps its beliefs up to date.
+/// @file The entry process: answers callers on one event loop and keeps its fleet state up to date.
 #pragma once
 
 #include "LibFleet/EndpointIndex.h"
@@ -13,7 +13,7 @@
 
 namespace Serving {
 
-/// Answer of a page.
+/// Answer of one page of the platform's interface.
 struct PageAnswer
 {
     int m_status = 200;
@@ -21,15 +21,15 @@
     std::string m_body;
 };
 
-/// What the pages of a place may ask of the entry.
+/// Queries that the pages of the platform's interface may make of the entry.
 struct PageView
 {
     std::function<bool()> m_isReady;
-    std::function<std::vector<Core::Address>(const CallerLocation &place)> m_entries;
-    std::uint32_t m_lifetimeSeconds = 0; ///< Of an answer with entries.
+    std::function<std::vector<Core::Address>(const CallerLocation &location)> m_entries;
+    std::uint32_t m_lifetimeSeconds = 0; ///< Lifetime of an answer with entries.
 };
 
-/// What an adapter supplies for the place where the entry runs.
+/// Functions that the adapter of a platform supplies.
 struct EntryAdapter
 {
     std::function<Follow::RecordSource(Http::EventLoop &loop, const Core::Address &log, Telemetry::Metrics &metrics)> m_makeSource;
@@ -37,15 +37,15 @@
     std::function<PageAnswer(const Http::ServerRequest &request, const PageView &view)> m_answerPage;
 };
 
-/// Runs on the thread that calls run(), and on the node's.
+/// Runs on the thread that calls run() and on the threads of its node.
 class EntryProcess
 {
 public:
     EntryProcess(EntrySettings settings, EntryAdapter adapter);
 
-    /// Runs until the process has been told to end and its requests have ended. 0 if all went well.
+    /// Runs until a termination signal was received and the requests have ended or the leaving time is over. Returns 0 on success, 1 if the start failed.
     int run();
-    /// Called with SIGHUP: reads the settings again.
+    /// Sets the function that reads the settings again on SIGHUP.
     void onReload(std::function<std::optional<EntrySettings>()> reload);
 
 private:
@@ -57,13 +57,13 @@
     void continueLeaving();
     void stop();
     void onFleetStateChanged(const Fleet::FleetStateUpdate &update, bool isFromLog);
-    void handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &news);
-    void applyEngineUpdate(const Gossip::EngineUpdate &news, Core::Instant now);
+    void handleEngineUpdates(const std::vector<Gossip::EngineUpdate> &updates);
+    void applyEngineUpdate(const Gossip::EngineUpdate &update, Core::Instant now);
     void applyLimits();
     void answerPage(const std::shared_ptr<Http::ServerConnection> &connection, const Http::ServerRequest &request);
-    /// Takes a report of an engine's load into the ledger of places.
+    /// Records the free slots of an engine from a report of its load.
     void recordSlots(const Fleet::Endpoint &endpoint, const Placement::EngineReport &report, Core::Instant now);
-    /// Works out this entry's parts of what all entries share.
+    /// Updates this entry's shares of the retry budgets and slots that all entries share.
     void updateShares();
     void updateRequestRate();
     void tick();
@@ -78,7 +78,7 @@
     Telemetry::EventLog m_log;
     Core::Random m_random;
     Fleet::FleetState m_fleetState;
-    Fleet::EndpointIndex m_endpointsByAddress; ///< Of the endpoints in m_beliefs.
+    Fleet::EndpointIndex m_endpointsByAddress; ///< Of the endpoints in m_fleetState.
     Placement::EndpointTracker m_endpointTracker;
     Placement::RetryBudgets m_retryBudgets;
     Placement::VersionDeadlines m_versions;
@@ -92,14 +92,14 @@
     std::shared_ptr<Http::ServerContext> m_callerContext;
     std::shared_ptr<Http::ServerContext> m_pageContext;
     std::shared_ptr<Http::ServerContext> m_adminContext;
-    std::vector<std::unique_ptr<Http::Listener>> m_listeners; ///< The callers' first.
+    std::vector<std::unique_ptr<Http::Listener>> m_listeners; ///< The first one is for callers.
     boost::asio::signal_set m_signals;
     Http::Timer m_tickTimer;
     Http::Timer m_leavingTimer;
     std::function<std::optional<EntrySettings>()> m_reload;
-    std::optional<Core::Instant> m_leavingSince; ///< Set once the process has been told to end.
+    std::optional<Core::Instant> m_leavingSince; ///< Set once a termination signal was received.
     double m_requestRate = 0; ///< Requests per second, as a moving average.
-    std::uint64_t m_countedRequests = 0; ///< That the average has taken in.
+    std::uint64_t m_countedRequests = 0; ///< Number of requests already included in m_requestRate.
 };
 
 }
--- a/Libraries/LibServing/EntrySettings.cpp
+++ b/Libraries/LibServing/EntrySettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the entry's settings.
+/// @file Implementation of reading the entry's settings.
 
 #include "LibServing/EntrySettings.h"
 
--- a/Libraries/LibServing/EntrySettings.h
+++ b/Libraries/LibServing/EntrySettings.h
@@ -14,15 +14,15 @@
     std::string m_instance; ///< Name of the instance.
     std::string m_region;
     std::string m_failureDomain;
-    Core::Address m_callers; ///< Where callers are answered.
-    std::vector<Core::Address> m_pages; ///< Where the pages of the place's own interface are answered.
-    Core::Address m_peers; ///< Where other processes of the system are answered.
-    Core::Address m_admin; ///< Metrics, state dump and health.
-    Core::Address m_log; ///< The platform's log.
-    std::size_t m_connections = 2000; ///< Of callers.
-    Core::Duration m_leavingTime{8000}; ///< From the signal to the end at the latest.
-    Core::Duration m_versionBound{8000}; ///< From a version's acceptance until no request may begin on an older one.
-    Core::Duration m_versionMargin{2000}; ///< Kept from the bound: at a full engine a request waits for nearly as long before it begins.
+    Core::Address m_callers; ///< Listen address for callers.
+    std::vector<Core::Address> m_pages; ///< Listen addresses for the pages of the platform's interface.
+    Core::Address m_peers; ///< Listen address for other processes of the system.
+    Core::Address m_admin; ///< Listen address for metrics, state dump and health.
+    Core::Address m_log; ///< Address of the platform's log.
+    std::size_t m_connections = 2000; ///< Maximum number of caller connections.
+    Core::Duration m_leavingTime{8000}; ///< Maximum time from the termination signal to the end of the process.
+    Core::Duration m_versionBound{8000}; ///< Time from the acceptance of a version until no request may start on an older one.
+    Core::Duration m_versionMargin{2000}; ///< Subtracted from m_versionBound, because a request waits almost this long at a full engine before it starts.
     Placement::RetryBudgetSettings m_retryBudgets;
     Gossip::GossipSettings m_gossip;
     DirectorySettings m_directory;
--- a/Libraries/LibServing/ReaderSelection.cpp
+++ b/Libraries/LibServing/ReaderSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the choice of readers.
+/// @file Implementation of the selection of readers.
 
 #include "LibServing/ReaderSelection.h"
 
--- a/Libraries/LibServing/ReaderSelection.h
+++ b/Libraries/LibServing/ReaderSelection.h
@@ -1,4 +1,4 @@
-/// @file Which entries read the platform's log, and which are kept up to date by those: a pure decision.
+/// @file Selects the entries that read the platform's log; these keep the other entries up to date. Pure functions.
 #pragma once
 
 #include "LibGossip/Membership.h"
@@ -6,25 +6,25 @@
 namespace Serving {
 
 /**
- * Every read of the log costs the same whoever makes it, and its link and its rate are shared. Two entries of each failure domain read; they tell the
- * others nearby after each read, and hand over what has changed.
+ * Every read of the log has the same cost, and all readers share its link and its rate limit. Therefore only two entries of each failure domain read it.
+ * After each read they send a heartbeat to the other entries of the domain, which then fetch the changes from them.
  */
 struct ReaderSelectionSettings
 {
-    std::size_t m_readersPerDomain = 2; ///< One may be cut off from the log or dead without a gap.
+    std::size_t m_readersPerDomain = 2; ///< With two, one may be dead or cut off from the log without interrupting the updates.
     /**
-     * An entry whose list has not been confirmed for so long reads it itself: three intervals of the readers, two of which may be lost, and with a
-     * read of its own well within the two seconds in which a leaving endpoint must be known.
+     * An entry reads the endpoint list itself if the list has not been confirmed for this long. This is three intervals between reads of the readers, so that
+     * two confirmations may be lost, and with a read of its own it is well within the two seconds in which a leaving endpoint must be known.
      */
     Core::Duration m_maximumListAge{1300};
 
     bool operator==(const ReaderSelectionSettings &) const = default;
 };
 
-/// Whether @p self is one of the readers among the entries of its failure domain. @p others: any members.
+/// Returns whether @p self is one of the readers of its failure domain. @p others may contain any members.
 bool isReader(const Gossip::Member &self, const std::vector<Gossip::Member> &others, const ReaderSelectionSettings &settings);
 
-/// Whether an entry may leave the reading to others. @p listAge: since its list was confirmed; empty if it never was.
+/// Returns whether an entry may rely on the readers instead of reading. @p listAge: time since its list was confirmed; empty if it never was.
 bool mayRelyOnPeers(bool isReader, std::optional<Core::Duration> listAge, const ReaderSelectionSettings &settings);
 
 }
--- a/Tests/LibServing/TestDirectory.cpp
+++ b/Tests/LibServing/TestDirectory.cpp
@@ -1,4 +1,4 @@
-/// @file Which entries callers are sent to.
+/// @file Tests the selection of entries for a caller.
 
 #include "LibServing/Directory.h"
 
@@ -8,14 +8,14 @@
 
 Gossip::Member entry(std::uint16_t port, const std::string &region)
 {
-    Gossip::Member made;
-    made.m_id = "entry-" + std::to_string(port);
-    made.m_role = Gossip::Role::Entry;
-    made.m_region = region;
-    made.m_failureDomain = region + "-a";
-    made.m_callers = Core::Address{"127.0.0.1", port};
-    made.m_isReady = true;
-    return made;
+    Gossip::Member result;
+    result.m_id = "entry-" + std::to_string(port);
+    result.m_role = Gossip::Role::Entry;
+    result.m_region = region;
+    result.m_failureDomain = region + "-a";
+    result.m_callers = Core::Address{"127.0.0.1", port};
+    result.m_isReady = true;
+    return result;
 }
 
 std::vector<std::uint16_t> ports(const std::vector<Core::Address> &addresses)
@@ -31,20 +31,20 @@
 
 }
 
-TEST_CASE("callers are sent to near entries if there are enough of them")
+TEST_CASE("Callers are directed to near entries if there are enough of them")
 {
     const std::vector<Gossip::Member> others{entry(1, "south"), entry(2, "north"), entry(3, "north"), entry(4, "east")};
     CHECK(ports(Serving::chooseEntries(others, entry(5, "north"), North, {})) == std::vector<std::uint16_t>{2, 3, 5});
 }
 
-TEST_CASE("with few near entries others are named too")
+TEST_CASE("With few near entries farther ones are included")
 {
-    // A region with two entries would lose half of its callers with one, and all with both.
+    // Otherwise a region with two entries would lose half of its callers if one entry fails, and all of them if both fail.
     const std::vector<Gossip::Member> others{entry(1, "south"), entry(2, "north"), entry(3, "south")};
     CHECK(ports(Serving::chooseEntries(others, entry(5, "north"), North, {})) == std::vector<std::uint16_t>{2, 5, 1, 3});
 }
 
-TEST_CASE("entries that leave, or know no configuration, are not named")
+TEST_CASE("Leaving entries, entries that are not ready and agents are not included")
 {
     std::vector<Gossip::Member> others{entry(1, "north"), entry(2, "north"), entry(3, "north")};
     others[0].m_isLeaving = true;
--- a/Tests/LibServing/TestReaderSelection.cpp
+++ b/Tests/LibServing/TestReaderSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Who reads the log, and who may leave it to others.
+/// @file Tests which entries read the log and which may rely on other readers.
 
 #include "LibServing/ReaderSelection.h"
 
@@ -15,17 +15,17 @@
     return member;
 }
 
-std::vector<Gossip::Member> fleet(std::size_t inEach)
+std::vector<Gossip::Member> fleet(std::size_t entriesPerDomain)
 {
     std::vector<Gossip::Member> members;
-    for (std::size_t index = 0; index < inEach; ++index) {
+    for (std::size_t index = 0; index < entriesPerDomain; ++index) {
         members.push_back(entry("north-" + std::to_string(index), "north"));
         members.push_back(entry("south-" + std::to_string(index), "south"));
     }
     return members;
 }
 
-std::size_t readers(const std::vector<Gossip::Member> &members)
+std::size_t countReaders(const std::vector<Gossip::Member> &members)
 {
     const Serving::ReaderSelectionSettings settings;
     return static_cast<std::size_t>(
@@ -34,14 +34,14 @@
 
 }
 
-TEST_CASE("two entries of each failure domain read, however large it is")
+TEST_CASE("Two entries of each failure domain read the log, regardless of its size")
 {
-    // If every entry read the log, the calls would grow with the fleet: 76 entries made 7,000 in a minute, more than anything else that the place bills.
-    CHECK(readers(fleet(1)) == 2);
-    CHECK(readers(fleet(19)) == 4);
+    // If every entry read the log, the calls would grow with the fleet: 76 entries made 7,000 calls a minute, more than any other item that the platform bills.
+    CHECK(countReaders(fleet(1)) == 2);
+    CHECK(countReaders(fleet(19)) == 4);
 }
 
-TEST_CASE("an entry that leaves or is not ready passes its duty on")
+TEST_CASE("A leaving reader is replaced by another entry of its failure domain")
 {
     std::vector<Gossip::Member> members = fleet(10);
     for (Gossip::Member &member : members) {
@@ -50,16 +50,16 @@
             break;
         }
     }
-    const std::int64_t serving = std::count_if(members.begin(), members.end(), [&members](const Gossip::Member &member) {
+    const std::int64_t readerCount = std::count_if(members.begin(), members.end(), [&members](const Gossip::Member &member) {
         return !member.m_isLeaving && Serving::isReader(member, members, Serving::ReaderSelectionSettings{});
     });
-    CHECK(serving == 4);
+    CHECK(readerCount == 4);
 }
 
-TEST_CASE("who has not heard from a reader for too long reads itself")
+TEST_CASE("An entry whose list has not been confirmed within the limit reads the log itself")
 {
-    // The readers of a failure domain die together. Nobody would tell the others that an engine leaves, and requests would reach it after it should
-    // get none.
+    // The readers of a failure domain die at the same time. Without this rule the other entries would not learn that an engine leaves, and would still
+    // send it requests when it should receive none.
     const Serving::ReaderSelectionSettings settings;
     CHECK(Serving::mayRelyOnPeers(false, Core::Duration(900), settings));
     CHECK_FALSE(Serving::mayRelyOnPeers(false, settings.m_maximumListAge, settings));
