--- a/Libraries/LibTelemetry/AdminServer.cpp
+++ b/Libraries/LibTelemetry/AdminServer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the administrative listener on POCO's HTTP server.
+/// @file Implementation of the administrative server on POCO's HTTP server.
 
 #include "LibTelemetry/AdminServer.h"
 
@@ -21,7 +21,7 @@
 constexpr int ServerThreads = 4;
 constexpr int MaximumQueued = 32;
 
-/// Reads at most one byte over the limit, so that the caller can tell an oversized body.
+/// Reads at most one byte over the limit, so that the caller can detect an oversized body.
 std::string readBounded(std::istream &stream)
 {
     std::string body(MaximumBodyBytes + 1, '\0');
@@ -41,8 +41,9 @@
     void handleRequest(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) override
     {
         const Poco::URI uri(request.getURI());
-        const AdminRequest question{request.getMethod(), uri.getPath(), uri.getRawQuery(), readBounded(request.stream())};
-        const AdminAnswer answer = question.m_body.size() > MaximumBodyBytes ? AdminAnswer{413, "text/plain", "body too large\n"} : m_server.answer(question);
+        const AdminRequest adminRequest{request.getMethod(), uri.getPath(), uri.getRawQuery(), readBounded(request.stream())};
+        const AdminAnswer answer =
+            adminRequest.m_body.size() > MaximumBodyBytes ? AdminAnswer{413, "text/plain", "body too large\n"} : m_server.answer(adminRequest);
         response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(answer.m_status));
         response.setReason(Poco::Net::HTTPResponse::getReasonForStatus(response.getStatus()));
         response.setContentType(answer.m_contentType);
--- a/Libraries/LibTelemetry/AdminServer.h
+++ b/Libraries/LibTelemetry/AdminServer.h
@@ -1,4 +1,4 @@
-/// @file The HTTP listener for operators that each process has: metrics, state dump, health and a few commands.
+/// @file The administrative HTTP server of each process: metrics, state dump, health and a few commands.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -23,7 +23,7 @@
     std::string m_body;
 };
 
-/// A request to an administrative page. Bodies over the limit were refused before.
+/// A request to an administrative page. Requests with bodies over the limit are refused before they reach a page.
 struct AdminRequest
 {
     std::string m_method;
@@ -54,7 +54,7 @@
     Core::Result<void> start();
     void stop();
 
-    /// Answers one request; for tests and for the server itself.
+    /// Answers one request. Used by the server itself and by tests.
     AdminAnswer answer(const AdminRequest &request) const;
 
 private:
@@ -67,7 +67,7 @@
     std::unique_ptr<Poco::Net::HTTPServer> m_server;
 };
 
-/// Text of a JSON object.
+/// Returns the JSON text of an object.
 std::string toJsonText(const Poco::JSON::Object::Ptr &object);
 
 }
--- a/Libraries/LibTelemetry/EventLog.cpp
+++ b/Libraries/LibTelemetry/EventLog.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A pipe that polls as writable takes this many bytes without blocking (POSIX's PIPE_BUF on Linux).
+/// A pipe that poll() reports as writable accepts this many bytes without blocking (PIPE_BUF on Linux).
 constexpr std::size_t WriteSize = 4096;
 
 std::string jsonString(std::string_view text)
@@ -25,7 +25,7 @@
 }
 
 template <typename Clock>
-std::int64_t millisecondsOf()
+std::int64_t currentMilliseconds()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now().time_since_epoch()).count();
 }
@@ -78,13 +78,13 @@
     , m_limits(limits)
     , m_dropped(metrics.counter("log_lines_dropped_total"))
     , m_tokens(limits.m_burst)
-    , m_refilledAt(millisecondsOf<std::chrono::steady_clock>())
+    , m_refilledAt(currentMilliseconds<std::chrono::steady_clock>())
 {
 }
 
 bool EventLog::takeToken()
 {
-    const std::int64_t now = millisecondsOf<std::chrono::steady_clock>();
+    const std::int64_t now = currentMilliseconds<std::chrono::steady_clock>();
     constexpr double millisecondsPerSecond = 1000;
     const double elapsed = static_cast<double>(now - m_refilledAt) / millisecondsPerSecond;
     m_tokens = std::min(m_limits.m_burst, m_tokens + elapsed * m_limits.m_linesPerSecond);
@@ -98,7 +98,7 @@
 
 void EventLog::write(const LogLine &line)
 {
-    const std::string time = std::to_string(millisecondsOf<std::chrono::system_clock>());
+    const std::string time = std::to_string(currentMilliseconds<std::chrono::system_clock>());
     const std::string text = "{\"time_ms\":" + time + ",\"process\":" + m_process + "," + line.fields() + "}\n";
     const std::lock_guard<std::mutex> lock(m_mutex);
     if (!takeToken() || m_buffer.size() + text.size() > m_limits.m_bufferBytes) {
--- a/Libraries/LibTelemetry/EventLog.h
+++ b/Libraries/LibTelemetry/EventLog.h
@@ -1,4 +1,4 @@
-/// @file Structured log: one JSON object a line on standard output, bounded and never blocking.
+/// @file Structured log: writes one JSON object per line to standard output, with a bounded buffer and without blocking.
 #pragma once
 
 #include "LibTelemetry/Metrics.h"
@@ -34,28 +34,28 @@
     std::string m_fields;
 };
 
-/// How much a log may hold and say.
+/// Limits on the buffer and the line rate of a log.
 struct EventLogLimits
 {
-    std::size_t m_bufferBytes = 256 << 10; ///< Lines that wait for a slow reader; further ones are dropped and counted.
-    double m_linesPerSecond = 200; ///< Sustained rate of lines; about 50 KB/s at 250 bytes a line.
-    double m_burst = 400; ///< Lines that may come at once.
+    std::size_t m_bufferBytes = 256 << 10; ///< Size of the buffer for a slow reader; lines that do not fit are dropped and counted.
+    double m_linesPerSecond = 200; ///< Sustained line rate; about 50 KB/s at 250 bytes a line.
+    double m_burst = 400; ///< Lines that may be written at once.
 };
 
 /**
- * Collects lines and writes them without ever waiting for the reader.
+ * Buffers lines and writes them without waiting for the reader.
  *
- * A reader that stands still would otherwise stop the process at its next line, and with it every request; here lines are dropped instead, and
- * the counter log_lines_dropped_total tells how many. Thread-safe.
+ * With blocking writes, a reader that has stopped reading would block the process at its next line, and with it every request. Lines are dropped instead
+ * and counted by log_lines_dropped_total. Thread-safe.
  */
 class EventLog
 {
 public:
     EventLog(int descriptor, std::string process, Metrics &metrics, EventLogLimits limits = {});
 
-    /// Adds a line with the time and the process's name.
+    /// Adds the time and the name of the process to a line and buffers it, or drops it if a limit is reached.
     void write(const LogLine &line);
-    /// Writes as much as the reader takes at once. To be called a few times a second, and before the process ends.
+    /// Writes as much of the buffer as possible without blocking. Must be called a few times a second and before the process ends.
     void flush();
 
 private:
@@ -66,8 +66,8 @@
     const EventLogLimits m_limits;
     Counter &m_dropped;
     std::mutex m_mutex;
-    std::string m_buffer; ///< Whole lines, but for the first, of which the beginning may have been written. Never over the limit.
-    double m_tokens; ///< Lines that may still come at once.
+    std::string m_buffer; ///< Complete lines, except that the beginning of the first may already have been written. Never larger than the limit.
+    double m_tokens; ///< Remaining tokens of the rate limit; each line takes one.
     std::int64_t m_refilledAt = 0; ///< Steady clock in milliseconds.
 };
 
--- a/Libraries/LibTelemetry/Metrics.cpp
+++ b/Libraries/LibTelemetry/Metrics.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr unsigned LatencyBins = 140;
-constexpr double SmallestLatency = 1e-5;
-constexpr double LargestLatency = 1e3;
+constexpr double SmallestLatencySeconds = 1e-5;
+constexpr double LargestLatencySeconds = 1e3;
 
-/// Puts a further label into a name that may already have some.
+/// Adds a label to a metric name that may already have labels.
 std::string withLabel(const std::string &name, const std::string &label)
 {
     if (name.ends_with('}')) {
@@ -33,14 +33,14 @@
 }
 
 Latency::Latency()
-    : m_histogram(boost::histogram::make_histogram(Axis(LatencyBins, SmallestLatency, LargestLatency)))
+    : m_histogram(boost::histogram::make_histogram(Axis(LatencyBins, SmallestLatencySeconds, LargestLatencySeconds)))
 {
 }
 
 void Latency::record(double seconds)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_histogram(std::max(seconds, SmallestLatency));
+    m_histogram(std::max(seconds, SmallestLatencySeconds));
     ++m_count;
     m_sum += seconds;
 }
@@ -48,15 +48,15 @@
 double Latency::quantile(double fraction) const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const double wanted = fraction * static_cast<double>(m_count);
-    double seen = 0;
+    const double targetCount = fraction * static_cast<double>(m_count);
+    double cumulativeCount = 0;
     for (int bin = 0; bin < static_cast<int>(LatencyBins); ++bin) {
-        seen += m_histogram.at(bin);
-        if (seen >= wanted && seen > 0) {
+        cumulativeCount += m_histogram.at(bin);
+        if (cumulativeCount >= targetCount && cumulativeCount > 0) {
             return m_histogram.axis(0).bin(bin).upper();
         }
     }
-    return m_count == 0 ? 0 : LargestLatency;
+    return m_count == 0 ? 0 : LargestLatencySeconds;
 }
 
 std::uint64_t Latency::count() const
--- a/Libraries/LibTelemetry/Metrics.h
+++ b/Libraries/LibTelemetry/Metrics.h
@@ -1,4 +1,4 @@
-/// @file Counters, gauges and histograms of one process, shown as Prometheus text.
+/// @file Counters, gauges and histograms of one process, with export as Prometheus text.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
 
 namespace Telemetry {
 
-/// Only ever grows. Thread-safe.
+/// A counter that never decreases. Thread-safe.
 class Counter
 {
 public:
@@ -37,7 +37,7 @@
     Latency();
 
     void record(double seconds);
-    /// Upper edge of the bin that holds the given quantile (0 to 1); 0 if nothing was recorded.
+    /// Returns the upper edge, in seconds, of the bin that contains the given quantile (0 to 1); 0 if nothing was recorded.
     double quantile(double fraction) const;
     std::uint64_t count() const;
     double sum() const;
@@ -62,10 +62,10 @@
 public:
     Counter &counter(const std::string &name);
     Latency &latency(const std::string &name);
-    /// A value that is read when somebody asks.
+    /// Registers a value that is read at each export.
     void gauge(const std::string &name, std::function<double()> read);
 
-    /// Prometheus text exposition format.
+    /// Returns all metrics in the Prometheus text exposition format.
     std::string prometheusText() const;
 
 private:
