--- a/Libraries/LibControl/ApplyRecord.cpp
+++ b/Libraries/LibControl/ApplyRecord.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the fold.
+/// @file Implementation of the application of records.
 
 #include "LibControl/ApplyRecord.h"
 #include "LibCore/Digest.h"
@@ -14,7 +14,7 @@
 constexpr std::size_t MaximumDetailBytes = 256;
 constexpr std::uint32_t MaximumReplicas = 65536;
 
-bool isName(const std::string &name)
+bool isValidName(const std::string &name)
 {
     constexpr std::string_view allowed = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
     return !name.empty() && name.size() <= MaximumNameBytes && name.find_first_not_of(allowed) == std::string::npos;
@@ -22,13 +22,13 @@
 
 std::string accountProblem(const AccountParameters &parameters, ServiceKind kind)
 {
-    if (!isName(parameters.m_account)) {
+    if (!isValidName(parameters.m_account)) {
         return "an account's name is missing or has other characters than letters, digits, - _ .";
     }
     if (kind == ServiceKind::Plain) {
         return parameters.m_model.empty() && parameters.m_digest.empty() ? "" : "account " + parameters.m_account + " names a model for a plain service";
     }
-    if (!isName(parameters.m_model) || !isName(parameters.m_version)) {
+    if (!isValidName(parameters.m_model) || !isValidName(parameters.m_version)) {
         return "account " + parameters.m_account + " lacks a model or version";
     }
     if (!Core::isSha256Hex(parameters.m_digest)) {
@@ -40,14 +40,14 @@
     return "";
 }
 
-/// Sets an outcome to refused.
+/// Marks an outcome as refused.
 void refuse(RecordOutcome &outcome, const std::string &detail)
 {
     outcome.m_accepted = false;
     outcome.m_detail = detail.substr(0, MaximumDetailBytes);
 }
 
-/// Refuses a change that was based on another revision than the current one, and names the revision that came first.
+/// Refuses a change that is not based on the current revision, and names that revision in the outcome. Returns whether it was refused.
 bool refuseIfStale(RecordOutcome &outcome, const ControlState &state, const std::string &name, Offset basedOn)
 {
     const Offset current = templateRevision(state, name);
@@ -66,7 +66,7 @@
     return true;
 }
 
-void forgetOldestRemoval(ControlState &state)
+void evictOldestRemoval(ControlState &state)
 {
     if (state.m_removals.size() < MaximumRemovals) {
         return;
@@ -80,8 +80,8 @@
     state.m_removals.erase(oldest);
 }
 
-/// What the accounts of @p next ran before it, given what is in force still.
-std::vector<EarlierVersion> earlierVersions(const ControlState &state, const Template &next)
+/// Returns the versions that the accounts of @p next named before, read from the template that is still in force.
+std::vector<EarlierVersion> collectEarlierVersions(const ControlState &state, const Template &next)
 {
     std::vector<EarlierVersion> result;
     const std::map<std::string, AcceptedTemplate>::const_iterator before = state.m_templates.find(next.m_name);
@@ -106,7 +106,7 @@
     return result;
 }
 
-void apply(ControlState &state, const PublishTemplate &change, const std::string &author, RecordOutcome &outcome)
+void applyChange(ControlState &state, const PublishTemplate &change, const std::string &author, RecordOutcome &outcome)
 {
     const std::string problem = templateProblem(change.m_template);
     if (!problem.empty()) {
@@ -122,11 +122,11 @@
         return;
     }
     state.m_removals.erase(name);
-    std::vector<EarlierVersion> earlier = earlierVersions(state, change.m_template);
+    std::vector<EarlierVersion> earlier = collectEarlierVersions(state, change.m_template);
     state.m_templates[name] = AcceptedTemplate{change.m_template, outcome.m_offset, author, std::move(earlier)};
 }
 
-void apply(ControlState &state, const RemoveTemplate &change, const std::string &author, RecordOutcome &outcome)
+void applyChange(ControlState &state, const RemoveTemplate &change, const std::string &author, RecordOutcome &outcome)
 {
     if (!state.m_templates.contains(change.m_name)) {
         refuse(outcome, "there is no template " + change.m_name);
@@ -135,12 +135,12 @@
     if (refuseIfStale(outcome, state, change.m_name, change.m_basedOn)) {
         return;
     }
-    forgetOldestRemoval(state);
+    evictOldestRemoval(state);
     state.m_templates.erase(change.m_name);
     state.m_removals[change.m_name] = Removal{outcome.m_offset, author};
 }
 
-void apply(ControlState &state, const PublishPlan &change, const std::string &, RecordOutcome &outcome)
+void applyChange(ControlState &state, const PublishPlan &change, const std::string &, RecordOutcome &outcome)
 {
     const std::map<std::string, Plan>::const_iterator current = state.m_plans.find(change.m_plan.m_service);
     const Offset currentOffset = current == state.m_plans.end() ? 0 : current->second.m_offset;
@@ -149,7 +149,7 @@
         refuse(outcome, "another plan came first");
         return;
     }
-    if (!isName(change.m_plan.m_service)) {
+    if (!isValidName(change.m_plan.m_service)) {
         refuse(outcome, "the plan names no service");
         return;
     }
@@ -158,8 +158,8 @@
     state.m_plans[plan.m_service] = std::move(plan);
 }
 
-/// For readers that have folded every record before it, a checkpoint says nothing new; it never replaces their state.
-void apply(ControlState &state, const Checkpoint &change, const std::string &, RecordOutcome &outcome)
+/// A checkpoint contains nothing new for a reader that has applied every record before it, so it never replaces the state.
+void applyChange(ControlState &state, const Checkpoint &change, const std::string &, RecordOutcome &outcome)
 {
     if (change.m_position > state.m_position || Core::sha256Hex(change.m_state) != change.m_digest) {
         refuse(outcome, "the checkpoint belongs to another history");
@@ -168,7 +168,7 @@
     state.m_checkpoint = std::max(state.m_checkpoint, change.m_position);
 }
 
-void apply(ControlState &state, const Restore &change, const std::string &, RecordOutcome &outcome)
+void applyChange(ControlState &state, const Restore &change, const std::string &, RecordOutcome &outcome)
 {
     if (change.m_position != state.m_position) {
         refuse(outcome, "other records came first");
@@ -183,14 +183,14 @@
         refuse(outcome, restored.error().m_detail);
         return;
     }
-    // Whatever the reader had before, it has exactly this state now, so that all readers agree. One whose state is not
-    // covered by it sees that, keeps its own, and puts the difference back.
+    // The restored state replaces whatever the reader had, so that all readers agree. A reader whose own state is not covered by
+    // it detects that, keeps its own state and restores the difference into the log.
     state = std::move(restored.value());
     state.m_checkpoint = change.m_position + 1;
     outcome.m_offset = state.m_applied;
 }
 
-void remember(ControlState &state, const RecordOutcome &outcome)
+void appendOutcome(ControlState &state, const RecordOutcome &outcome)
 {
     if (state.m_outcomes.size() >= MaximumOutcomes) {
         state.m_outcomes.pop_front();
@@ -198,26 +198,26 @@
     state.m_outcomes.push_back(outcome);
 }
 
-bool isBookkeeping(const Record &record)
+bool isCheckpoint(const Record &record)
 {
     return std::holds_alternative<Checkpoint>(record.m_change);
 }
 
-RecordOutcome foldDecoded(ControlState &state, const Record &record)
+RecordOutcome applyDecodedRecord(ControlState &state, const Record &record)
 {
     RecordOutcome outcome;
     outcome.m_record = record.m_id;
     outcome.m_offset = state.m_applied + 1;
     const RecordOutcome *earlier = findOutcome(state, record.m_id);
     if (earlier) {
-        // A writer that lost the answer and appended again by mistake: the first occurrence decides.
+        // A writer that did not get the answer has appended the record again by mistake. The first occurrence decides.
         outcome = *earlier;
         return outcome;
     }
     outcome.m_accepted = true;
-    std::visit([&state, &record, &outcome](const auto &change) { apply(state, change, record.m_author, outcome); }, record.m_change);
-    if (!isBookkeeping(record)) {
-        remember(state, outcome);
+    std::visit([&state, &record, &outcome](const auto &change) { applyChange(state, change, record.m_author, outcome); }, record.m_change);
+    if (!isCheckpoint(record)) {
+        appendOutcome(state, outcome);
     }
     return outcome;
 }
@@ -226,10 +226,10 @@
 
 std::string templateProblem(const Template &wanted)
 {
-    if (!isName(wanted.m_name)) {
+    if (!isValidName(wanted.m_name)) {
         return "the template's name is missing or has other characters than letters, digits, - _ .";
     }
-    if (!isName(wanted.m_service)) {
+    if (!isValidName(wanted.m_service)) {
         return "the template's service is missing or has other characters than letters, digits, - _ .";
     }
     if (!(wanted.m_originCopies >= 1 && wanted.m_originCopies <= MaximumOriginCopies)) {
@@ -257,7 +257,7 @@
     outcome.m_offset = state.m_applied + 1;
     const Core::Result<Record> record = decodeRecord(body);
     if (record) {
-        outcome = foldDecoded(state, record.value());
+        outcome = applyDecodedRecord(state, record.value());
     } else {
         refuse(outcome, record.error().m_detail);
     }
--- a/Libraries/LibControl/ApplyRecord.h
+++ b/Libraries/LibControl/ApplyRecord.h
@@ -1,4 +1,4 @@
-/// @file How a record changes the control state. Deterministic: the log's order is the only arbiter.
+/// @file Application of records to the control state. It is deterministic: only the order of the log decides between competing changes.
 #pragma once
 
 #include "LibControl/Records.h"
@@ -6,16 +6,16 @@
 namespace Control {
 
 /**
- * Folds the record at offset @p position, which must be m_position + 1, into the state and returns what became of it.
+ * Applies the record at log offset @p position, which must be m_position + 1, to the state and returns its outcome.
  *
- * A malformed record is refused and passed over like any other: one bad writer must not stop every reader.
+ * A malformed record is refused and skipped like any other refused record: one faulty writer must not stop every reader.
  */
 RecordOutcome applyRecord(ControlState &state, Offset position, std::string_view body);
 
-/// Largest offset budget of one burst, in copies; the origin's link carries about four.
+/// Largest origin budget of one burst, in copies of the weights. The origin's link carries about four.
 inline constexpr double MaximumOriginCopies = 64;
 
-/// Why a template cannot be accepted; empty if it can. The same checks hold in the command line and in the fold.
+/// Returns why a template cannot be accepted; empty if it can. The command line and applyRecord() make the same checks.
 std::string templateProblem(const Template &wanted);
 
 }
--- a/Libraries/LibControl/Checkpointer.cpp
+++ b/Libraries/LibControl/Checkpointer.cpp
@@ -6,15 +6,15 @@
 
 namespace Control {
 
-bool isCheckpointDue(const CheckpointStatus &situation, const CheckpointerSettings &settings)
+bool isCheckpointDue(const CheckpointStatus &status, const CheckpointerSettings &settings)
 {
-    if (situation.m_position == 0) {
+    if (status.m_position == 0) {
         return false;
     }
-    // By rank in records too: with many records the first entry gets its turn before the others see a need.
-    const Offset patience = settings.m_recordInterval + situation.m_rank * (settings.m_recordInterval / 4);
-    const Core::Duration wait = settings.m_interval + settings.m_rankDelay * static_cast<std::int64_t>(situation.m_rank);
-    return situation.m_position - situation.m_lastCheckpoint >= patience || situation.m_sinceLast >= wait;
+    // The record limit grows with the rank too. When many records arrive, the entry of rank 0 appends a checkpoint before it is due on the others.
+    const Offset recordLimit = settings.m_recordInterval + status.m_rank * (settings.m_recordInterval / 4);
+    const Core::Duration timeLimit = settings.m_interval + settings.m_rankDelay * static_cast<std::int64_t>(status.m_rank);
+    return status.m_position - status.m_lastCheckpoint >= recordLimit || status.m_sinceLast >= timeLimit;
 }
 
 std::size_t rankAmongEntries(const Protocol::Member &self, std::span<const Protocol::Member> members, const std::string &key)
@@ -22,8 +22,8 @@
     const std::uint64_t own = Core::rendezvousWeight(key, self.m_id);
     std::size_t rank = 0;
     for (const Protocol::Member &member : members) {
-        const bool isRival = member.m_role == Protocol::Role::Entry && !member.m_leaving && member.m_id != self.m_id;
-        if (isRival && Core::rendezvousWeight(key, member.m_id) > own) {
+        const bool isOtherLiveEntry = member.m_role == Protocol::Role::Entry && !member.m_leaving && member.m_id != self.m_id;
+        if (isOtherLiveEntry && Core::rendezvousWeight(key, member.m_id) > own) {
             ++rank;
         }
     }
@@ -64,12 +64,12 @@
         m_lastChange = Core::Clock::now();
     }
     const std::vector<Protocol::Member> members = m_store.members();
-    CheckpointStatus situation;
-    situation.m_position = state->m_position;
-    situation.m_lastCheckpoint = m_lastCheckpoint;
-    situation.m_sinceLast = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_lastChange);
-    situation.m_rank = rankAmongEntries(m_self, members, "checkpoint");
-    if (!isCheckpointDue(situation, m_settings)) {
+    CheckpointStatus status;
+    status.m_position = state->m_position;
+    status.m_lastCheckpoint = m_lastCheckpoint;
+    status.m_sinceLast = std::chrono::duration_cast<Core::Duration>(Core::Clock::now() - m_lastChange);
+    status.m_rank = rankAmongEntries(m_self, members, "checkpoint");
+    if (!isCheckpointDue(status, m_settings)) {
         return m_settings.m_checkInterval;
     }
     const Record record = makeCheckpoint(*state, m_self.m_id, Core::randomIdentifier());
--- a/Libraries/LibControl/Checkpointer.h
+++ b/Libraries/LibControl/Checkpointer.h
@@ -10,29 +10,30 @@
 struct CheckpointerSettings
 {
     std::string m_author; ///< Name of the entry.
-    Offset m_recordInterval = 64; ///< A checkpoint is due after so many records.
-    Core::Duration m_interval{60000}; ///< And after this time, so that it does not expire on a quiet log.
-    Core::Duration m_checkInterval{500}; ///< How often this duty looks.
-    Core::Duration m_rankDelay{300}; ///< Each entry waits its rank times this, so that one usually writes for all.
+    Offset m_recordInterval = 64; ///< A checkpoint is due after this number of records.
+    Core::Duration m_interval{60000}; ///< A checkpoint is also due after this time, so that the last one does not expire on a log with few records.
+    Core::Duration m_checkInterval{500}; ///< Time between two checks.
+    Core::Duration m_rankDelay{300}; ///< Each entry waits its rank times this, so that usually a single entry writes the checkpoint.
 };
 
-/// What a checkpointer knows when it decides.
+/// Inputs of the decision whether a checkpoint is due.
 struct CheckpointStatus
 {
-    Offset m_position = 0; ///< Of the state in force.
-    Offset m_lastCheckpoint = 0; ///< Newest position that a checkpoint stands for; 0 if there is none.
-    Core::Duration m_sinceLast{0}; ///< Since that was first known.
-    std::size_t m_rank = 0; ///< Of this entry among the live ones.
+    Offset m_position = 0; ///< Log position of the current state.
+    Offset m_lastCheckpoint = 0; ///< Newest position covered by a checkpoint; 0 if there is none.
+    Core::Duration m_sinceLast{0}; ///< Time since m_lastCheckpoint last changed.
+    std::size_t m_rank = 0; ///< Rank of this entry among the live entries; 0 acts first.
 };
 
-/// Whether this entry should append a checkpoint now.
-bool isCheckpointDue(const CheckpointStatus &situation, const CheckpointerSettings &settings);
+/// Returns whether this entry should append a checkpoint now.
+bool isCheckpointDue(const CheckpointStatus &status, const CheckpointerSettings &settings);
 
 /**
- * Appends a checkpoint in time, on a thread of its own.
+ * Appends checkpoints to the control stream, on its own thread.
  *
- * Retention is limited: once the records from the last checkpoint on have expired, a fresh instance can learn nothing from
- * the log. Every entry looks after this, in order of rank; a second checkpoint does no harm.
+ * The log keeps records for a limited time. Once the records from the last checkpoint on have expired, a new instance
+ * cannot recover the state from the log. Every entry runs a checkpointer, and the rank decides which one acts first. A
+ * second checkpoint is harmless.
  */
 class Checkpointer
 {
@@ -52,12 +53,12 @@
     const CheckpointerSettings m_settings;
     Telemetry::Counter &m_appended;
     Telemetry::Counter &m_failures;
-    Offset m_lastCheckpoint = 0; ///< Used by the duty's thread only, as is the following.
+    Offset m_lastCheckpoint = 0; ///< Used by the worker's thread only, like m_lastChange.
     Core::Instant m_lastChange;
     Worker m_worker;
 };
 
-/// Rank of an entry among the live entries for a key: 0 acts first.
+/// Returns the rank of an entry among the live entries for a key. The entry with rank 0 acts first.
 std::size_t rankAmongEntries(const Protocol::Member &self, std::span<const Protocol::Member> members, const std::string &key);
 
 }
--- a/Libraries/LibControl/ControlState.cpp
+++ b/Libraries/LibControl/ControlState.cpp
@@ -1,4 +1,4 @@
-/// @file Encoding of the control state and questions about it.
+/// @file Encoding and queries of the control state.
 
 #include "LibControl/ControlState.h"
 #include "LibCore/Digest.h"
--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -1,4 +1,4 @@
-/// @file The control state: a pure fold over the records of the control stream, the same on every instance that folded the same records.
+/// @file The control state: the result of applying the records of the control stream in order, the same on every instance that applied them.
 #pragma once
 
 #include "LibControl/Model.h"
@@ -12,20 +12,20 @@
 /// Name of the control stream at the log service.
 inline constexpr const char *ControlStream = "control";
 
-/// How many outcomes a state remembers; an operator reads back within seconds, so this covers many times that.
+/// Number of outcomes that a state keeps. An operator reads an outcome back within seconds, and this covers many times that.
 inline constexpr std::size_t MaximumOutcomes = 256;
 inline constexpr std::size_t MaximumTemplates = 4096;
 inline constexpr std::size_t MaximumRemovals = 1024;
 
-/// What became of one record.
+/// Outcome of one record.
 struct RecordOutcome
 {
     std::string m_record; ///< Id of the record.
-    Offset m_offset = 0; ///< Where it stands.
+    Offset m_offset = 0; ///< Number of the record, counted as ControlState::m_applied.
     bool m_accepted = false;
-    Offset m_winner = 0; ///< Revision that the record lost against, if it was refused as stale.
-    std::string m_winnerAuthor; ///< Who made that revision.
-    std::string m_detail; ///< Why it was refused.
+    Offset m_winner = 0; ///< Revision in force that made the record stale, if it was refused for that.
+    std::string m_winnerAuthor; ///< Author of that revision.
+    std::string m_detail; ///< Reason for the refusal; empty if the record was accepted.
 
     bool operator==(const RecordOutcome &) const = default;
 
@@ -37,7 +37,7 @@
                        MSGPACK_NVP("detail", m_detail));
 };
 
-/// That a template was removed, so that a change based on an older revision still loses.
+/// The removal of a template. It is kept so that a change based on an older revision is still refused as stale.
 struct Removal
 {
     Offset m_revision = 0;
@@ -49,22 +49,22 @@
 };
 
 /**
- * Everything that was accepted, as of one record.
+ * All accepted templates and plans as of one record.
  *
- * There are two numbers, since the log can come back from an outage with records missing and hand their offsets out again.
- * m_position is the log's own number of the last record. m_applied is the number that the system uses for revisions and
- * fencing; it grows by one with each record and by more when state is restored, so it never stands for two things.
+ * There are two numbers, because a log can return from an outage with records missing and then assigns their offsets again.
+ * m_position is the log's own offset of the last record. m_applied is the number used for revisions and fencing: it grows
+ * by one with each record and by more when state is restored, so that no number is used for two things.
  */
 struct ControlState
 {
-    Offset m_applied = 0; ///< Only ever grows; equals m_position as long as the log lost nothing.
-    Offset m_position = 0; ///< Offset at the log of the last record folded.
-    std::uint64_t m_generation = 0; ///< How often state was restored into a log that had lost records.
-    Offset m_checkpoint = 0; ///< Newest position that a checkpoint on the stream stands for; 0 if there is none.
-    std::string m_chain; ///< Digest over every record folded, one after the other: equal chains mean equal states.
-    std::string m_lastDigest; ///< Digest of the record at m_position, to notice that the log holds another there now.
+    Offset m_applied = 0; ///< Never decreases; equals m_position as long as the log has lost no records.
+    Offset m_position = 0; ///< Log offset of the last applied record.
+    std::uint64_t m_generation = 0; ///< Number of times that state was restored into a log that had lost records.
+    Offset m_checkpoint = 0; ///< Newest position covered by a checkpoint on the stream; 0 if there is none.
+    std::string m_chain; ///< Running digest over all applied records in order: equal chains mean equal states.
+    std::string m_lastDigest; ///< Digest of the record at m_position. It shows when the log has another record at that offset.
     std::map<std::string, AcceptedTemplate> m_templates; ///< By name.
-    std::map<std::string, Removal> m_removals; ///< By name of templates that were removed; the newest MaximumRemovals.
+    std::map<std::string, Removal> m_removals; ///< Removed templates by name; the newest MaximumRemovals.
     std::map<std::string, Plan> m_plans; ///< By service.
     std::deque<RecordOutcome> m_outcomes; ///< Newest last; at most MaximumOutcomes.
 
@@ -82,18 +82,18 @@
                        MSGPACK_NVP("outcomes", m_outcomes));
 };
 
-/// MessagePack form of a whole state.
+/// Returns the MessagePack form of the complete state.
 std::string encodeState(const ControlState &state);
-/// Fails with Corrupt on anything that encodeState() cannot have made.
+/// Decodes a state. Fails with Corrupt on input that encodeState() cannot have produced.
 Core::Result<ControlState> decodeState(std::string_view bytes, const std::string &peer);
-/// SHA-256 of the encoded state, in hexadecimal.
+/// Returns the SHA-256 digest of the encoded state, in hexadecimal.
 std::string stateDigest(const ControlState &state);
 
-/// Newest revision among the templates and removals of a service's templates; 0 if there is none.
+/// Returns the newest revision among the service's templates in force; 0 if there is none.
 Offset configurationRevision(const ControlState &state, const std::string &service);
-/// The remembered outcome of a record, or null.
+/// Returns the outcome of a record, or null if the state does not keep it.
 const RecordOutcome *findOutcome(const ControlState &state, const std::string &record);
-/// The template's current revision: that of its removal if it was removed, 0 if it never was.
+/// Returns the template's current revision: that of its removal if it was removed, 0 if it never existed.
 Offset templateRevision(const ControlState &state, const std::string &name);
 
 }
--- a/Libraries/LibControl/FeedSelection.cpp
+++ b/Libraries/LibControl/FeedSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the choice of feeds.
+/// @file Implementation of the feed selection.
 
 #include "LibControl/FeedSelection.h"
 #include "LibCore/Random.h"
--- a/Libraries/LibControl/FeedSelection.h
+++ b/Libraries/LibControl/FeedSelection.h
@@ -1,4 +1,4 @@
-/// @file Which entries a process subscribes to for control state.
+/// @file Selection of the entries that a process subscribes to for control state.
 #pragma once
 
 #include "LibProtocol/Member.h"
@@ -10,11 +10,13 @@
 namespace Control {
 
 /**
- * Chooses where @p self subscribes: at most @p count addresses, best first, none of them @p avoided unless nothing else is left.
+ * Returns the addresses that @p self subscribes to: at most @p count, best first. Those in @p avoided are used only if
+ * nothing else is left.
  *
- * Agents spread over the entries by rendezvous weight, so that each entry feeds its share and few move when one goes.
- * Entries feed each other while the log is down, so what any one of them knows must reach all: each subscribes to the
- * next one in the order of their names, which makes a ring through all of them, and to others by rendezvous weight.
+ * Agents are distributed over the entries by rendezvous weight, so that each entry serves its share and few agents move
+ * when an entry is removed. Entries send each other updates while the log is down, so a change known to any of them must
+ * reach all. Therefore each entry subscribes to the next one in the order of their ids, which connects all entries in a
+ * ring, and to others by rendezvous weight.
  */
 std::vector<Core::Address> selectFeeds(const Protocol::Member &self,
                                        std::span<const Protocol::Member> members,
--- a/Libraries/LibControl/InstanceListWorker.h
+++ b/Libraries/LibControl/InstanceListWorker.h
@@ -1,4 +1,4 @@
-/// @file Reads the platform's instance list now and then.
+/// @file Polls the platform's instance list.
 #pragma once
 
 #include "LibControl/StateStore.h"
@@ -7,7 +7,7 @@
 
 namespace Control {
 
-/// Polls the list into the store, on a thread of its own. While the list is down, the members that are known stay.
+/// Polls the instance list and updates the store, on its own thread. While the list is unavailable, the known members are kept.
 class InstanceListWorker
 {
 public:
--- a/Libraries/LibControl/LogReconciliation.h
+++ b/Libraries/LibControl/LogReconciliation.h
@@ -1,4 +1,4 @@
-/// @file One step of following the control stream, and what to do when the stream no longer holds what was folded from it.
+/// @file Reads the records that continue a state, and reconciles a state with a log that no longer contains its history.
 #pragma once
 
 #include "LibControl/ControlState.h"
@@ -9,35 +9,38 @@
 
 namespace Control {
 
-/// What follows a state on the stream.
+/// The records that continue a state on the stream.
 struct LogContinuation
 {
-    bool m_continuesHistory = true; ///< False if the stream does not continue the state; there are no records then.
-    std::vector<Protocol::LogRecord> m_records; ///< From the state's position on, the next one first.
+    bool m_continuesHistory = true; ///< False if the stream does not continue the state; m_records is empty then.
+    std::vector<Protocol::LogRecord> m_records; ///< In the order of the log, starting with the one after the state's position.
 };
 
 /**
- * Reads what follows @p state.
+ * Reads the records that follow @p state.
  *
- * A log that lost records hands their offsets out again. Read on from the next offset, a reader would fold records that
- * belong to another history, and differ from the others for good without noticing. So the last record that was folded is
- * read once more, and its digest must be the one remembered.
+ * A log that lost records assigns their offsets again. A reader that just continued at the next offset would apply records
+ * of another history, and would permanently differ from the other readers without noticing. Therefore the last applied
+ * record is read again, and its digest must match the one in the state.
  */
 Core::Result<LogContinuation> readContinuation(Platform::Log &log, const ControlState &state);
 
-/// How a state and a stream that does not continue it come together again. At most one of the two is set.
+/// How to reconcile a state with a stream that does not continue it. At most one of the two is set.
 struct Reconciliation
 {
-    std::optional<ControlState> m_stateToAdopt; ///< The stream covers the state: this is to be in force.
-    std::optional<ControlState> m_stateToRestore; ///< It does not: this is to be put back by a Restore record, and adopted once that is read.
+    std::optional<ControlState> m_stateToAdopt; ///< State of the stream, which covers the current state and replaces it.
+    /// Merged state, if the stream does not cover the current one. It must be appended in a Restore record, and is adopted once that is read.
+    std::optional<ControlState> m_stateToRestore;
 };
 
 /**
- * Reads the stream afresh and compares it with the state in force; nothing is set if neither says anything.
+ * Reads the complete stream and compares it with the current state. Neither member is set if neither of the two contains
+ * state.
  *
- * The rule: the state in force is only ever exchanged for one that covers it. If the stream does not, the two are joined
- * and put back. The first Restore record that had seen everything before it holds for all readers, so several entries may
- * try at once. What no instance had in force when the log lost it is lost.
+ * The current state is only ever replaced by one that covers it. If the stream's state does not, the two are merged, and
+ * the result is appended in a Restore record. The first Restore record whose writer had read every record before it is
+ * accepted by all readers, so several entries may try at once. A change that no instance had in force when the log lost it
+ * is lost.
  */
 Core::Result<Reconciliation> reconcile(Platform::Log &log, const ControlState &inForce);
 
--- a/Libraries/LibControl/LogTail.cpp
+++ b/Libraries/LibControl/LogTail.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Core::Duration AtOnce{0};
+constexpr Core::Duration NoWait{0};
 
 }
 
@@ -49,23 +49,23 @@
 
 Core::Duration LogTail::runOnce()
 {
-    const bool isFresh = m_store.current()->m_position == 0;
-    const bool needsWhole = isFresh || m_divergedSince.has_value();
+    const bool isEmpty = m_store.current()->m_position == 0;
+    const bool needsFullRead = isEmpty || m_divergedSince.has_value();
     const std::optional<ControlState> offered = m_store.offeredState();
-    Core::Result<void> result = needsWhole ? reconcileWithLog() : readNext();
-    if (result && offered && !needsWhole) {
+    Core::Result<void> result = needsFullRead ? reconcileWithLog() : readNext();
+    if (result && offered && !needsFullRead) {
         result = resolveOffer(*offered);
     }
     if (result) {
         if (!m_isLogUp.exchange(true)) {
-            LOG(INFO) << "reading the control stream";
+            LOG(INFO) << "the control stream can be read";
         }
         m_backoff = m_settings.m_initialBackoff;
-        return m_divergedSince ? m_settings.m_initialBackoff : AtOnce;
+        return m_divergedSince ? m_settings.m_initialBackoff : NoWait;
     }
     m_readFailures.add();
     if (m_isLogUp.exchange(false)) {
-        LOG(WARNING) << "lost the control stream: " << result.error();
+        LOG(WARNING) << "the control stream cannot be read: " << result.error();
     }
     const Core::Duration wait = m_backoff;
     m_backoff = std::min(m_backoff * 2, m_settings.m_maximumBackoff);
@@ -79,10 +79,10 @@
     }
     m_divergedSince = Core::Clock::now();
     m_divergences.add();
-    LOG(ERROR) << "the control stream does not continue the history in force here, which ends at its position " << state.m_position;
+    LOG(ERROR) << "the control stream does not continue the history in force here, which ends at position " << state.m_position;
 }
 
-/// Waits for the next record. What comes is not used, but read again together with the record before it.
+/// Waits for the next record. The record is not used here but read again, together with the record before it.
 Core::Result<void> LogTail::waitForRecord(Platform::Offset next)
 {
     BOOST_OUTCOME_TRY(m_log.read(ControlStream, next, Platform::ReadOptions{1, m_settings.m_longPoll}));
@@ -109,42 +109,42 @@
 Core::Result<void> LogTail::reconcileWithLog()
 {
     const std::shared_ptr<const ControlState> state = m_store.current();
-    Reconciliation found = BOOST_OUTCOME_TRYX(reconcile(m_log, *state));
-    if (found.m_stateToAdopt) {
+    Reconciliation reconciliation = BOOST_OUTCOME_TRYX(reconcile(m_log, *state));
+    if (reconciliation.m_stateToAdopt) {
         m_divergedSince.reset();
-        const ApplyResult result = m_store.applySnapshot(std::move(*found.m_stateToAdopt), SnapshotSource::Log);
+        const ApplyResult result = m_store.applySnapshot(std::move(*reconciliation.m_stateToAdopt), SnapshotSource::Log);
         return result == ApplyResult::AlreadyKnown ? waitForRecord(state->m_position + 1) : Core::success();
     }
-    if (!found.m_stateToRestore) {
-        // Nothing here and nothing on the log that can be relied on: wait, while peers are asked by other duties.
+    if (!reconciliation.m_stateToRestore) {
+        // Neither this process nor the log has a usable state. Wait for records, while the state subscriber asks peers.
         return waitForRecord(1);
     }
     recordDivergence(*state);
     if (Core::Clock::now() - *m_divergedSince < m_settings.m_restoreDelay) {
         return Core::success();
     }
-    return appendRestore(*found.m_stateToRestore);
+    return appendRestore(*reconciliation.m_stateToRestore);
 }
 
-/// A peer has something in force that the log does not hold, and that nobody who reads the log knew of.
+/// Handles state offered by a peer that neither the log nor its readers have: restores it into the log, or clears it once the log covers it.
 Core::Result<void> LogTail::resolveOffer(const ControlState &offered)
 {
-    const Reconciliation found = BOOST_OUTCOME_TRYX(reconcile(m_log, offered));
-    if (found.m_stateToRestore) {
-        return appendRestore(*found.m_stateToRestore);
+    const Reconciliation reconciliation = BOOST_OUTCOME_TRYX(reconcile(m_log, offered));
+    if (reconciliation.m_stateToRestore) {
+        return appendRestore(*reconciliation.m_stateToRestore);
     }
-    if (found.m_stateToAdopt) {
+    if (reconciliation.m_stateToAdopt) {
         m_store.clearOfferedState();
     }
     return Core::success();
 }
 
-Core::Result<void> LogTail::appendRestore(const ControlState &joined)
+Core::Result<void> LogTail::appendRestore(const ControlState &merged)
 {
-    const Record record = makeRestore(joined, m_settings.m_author, Core::randomIdentifier());
+    const Record record = makeRestore(merged, m_settings.m_author, Core::randomIdentifier());
     BOOST_OUTCOME_TRY(m_log.append(ControlStream, encodeRecord(record)));
     m_restores.add();
-    LOG(WARNING) << "put control state back into the log behind position " << joined.m_position;
+    LOG(WARNING) << "restored control state into the log after position " << merged.m_position;
     return Core::success();
 }
 
--- a/Libraries/LibControl/LogTail.h
+++ b/Libraries/LibControl/LogTail.h
@@ -11,19 +11,20 @@
 
 struct LogTailSettings
 {
-    std::string m_author; ///< Name of the process, for records that put state back.
+    std::string m_author; ///< Name of the process, used as the author of Restore records.
     Core::Duration m_longPoll{1000}; ///< How long a read waits for the next record.
     Core::Duration m_initialBackoff{100};
     Core::Duration m_maximumBackoff{2000};
-    /// How long peers are heard before state is put back into a log that lost records, so that the newest of all is put back.
+    /// Time to receive state from peers before state is restored into a log that lost records, so that the newest state is restored.
     Core::Duration m_restoreDelay{2000};
 };
 
 /**
- * Folds the control stream into the store, on a thread of its own.
+ * Applies the control stream to the store, on its own thread.
  *
- * The log can be down or slow; then this duty counts and backs off, and the process goes on with the state that it has.
- * If the log no longer holds the history in force, state is kept, and put back after peers have been heard.
+ * While the log is down or slow, it counts the failures and backs off, and the process continues with the state that it
+ * has. If the log no longer contains the history in force, the state is kept, and it is restored into the log after a delay
+ * in which peers can send their state.
  */
 class LogTail
 {
@@ -34,7 +35,7 @@
     void start();
     void stop();
 
-    /// Whether the last read succeeded.
+    /// Returns whether the last read succeeded.
     bool isLogUp() const;
 
 private:
@@ -42,7 +43,7 @@
     Core::Result<void> readNext();
     Core::Result<void> reconcileWithLog();
     Core::Result<void> resolveOffer(const ControlState &offered);
-    Core::Result<void> appendRestore(const ControlState &joined);
+    Core::Result<void> appendRestore(const ControlState &merged);
     Core::Result<void> waitForRecord(Platform::Offset next);
     void recordDivergence(const ControlState &state);
 
@@ -53,7 +54,7 @@
     Telemetry::Counter &m_divergences;
     Telemetry::Counter &m_restores;
     std::atomic<bool> m_isLogUp = false;
-    Core::Duration m_backoff; ///< Used by the duty's thread only, as are the following.
+    Core::Duration m_backoff; ///< Used by the worker's thread only, like m_divergedSince.
     std::optional<Core::Instant> m_divergedSince;
     Worker m_worker;
 };
--- a/Libraries/LibControl/MemberTable.cpp
+++ b/Libraries/LibControl/MemberTable.cpp
@@ -53,16 +53,16 @@
     return hasChanged;
 }
 
-/// Whether an instance that the list does not show is gone.
+/// Returns whether an instance that the list does not show is removed.
 bool MemberTable::hasExpired(const Row &row, Core::Instant now)
 {
     return row.m_wasListed || now - row.m_lastHeard >= (row.m_isAnnouncedHere ? UnlistedTimeout : IndirectTimeout);
 }
 
-bool MemberTable::merge(const MembershipSnapshot &knowledge, Core::Instant now)
+bool MemberTable::merge(const MembershipSnapshot &other, Core::Instant now)
 {
     bool hasChanged = false;
-    for (const std::string &incarnation : knowledge.m_endedIncarnations) {
+    for (const std::string &incarnation : other.m_endedIncarnations) {
         markEnded(incarnation);
     }
     for (std::map<std::string, Row>::iterator it = m_rows.begin(); it != m_rows.end();) {
@@ -70,14 +70,14 @@
         it = hasEnded ? m_rows.erase(it) : std::next(it);
         hasChanged = hasChanged || hasEnded;
     }
-    for (const Protocol::Member &member : knowledge.m_members) {
+    for (const Protocol::Member &member : other.m_members) {
         if (member.m_id.empty() || member.m_incarnation.empty() || isEnded(member.m_incarnation)) {
             continue;
         }
         const std::map<std::string, Row>::const_iterator known = m_rows.find(member.m_id);
-        const bool knowsAnother =
+        const bool hasOtherIncarnation =
             known != m_rows.end() && !known->second.m_member.m_incarnation.empty() && known->second.m_member.m_incarnation != member.m_incarnation;
-        if (!knowsAnother) {
+        if (!hasOtherIncarnation) {
             hasChanged = upsert(member, now) || hasChanged;
         }
     }
--- a/Libraries/LibControl/MemberTable.h
+++ b/Libraries/LibControl/MemberTable.h
@@ -1,4 +1,4 @@
-/// @file Who belongs to the system: what processes said of themselves, merged with the platform's lagging list.
+/// @file The members of the system: announcements of the processes, merged with the platform's instance list, which lags behind.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -12,32 +12,32 @@
 
 namespace Control {
 
-/// What one source knows, as processes pass it on to each other.
+/// The members known to one process, as processes exchange them.
 struct MembershipSnapshot
 {
     std::vector<Protocol::Member> m_members; ///< Sorted by id.
-    std::vector<std::string> m_endedIncarnations; ///< Incarnations that have ended; the newest ones.
+    std::vector<std::string> m_endedIncarnations; ///< The newest incarnations that have ended.
 
     bool operator==(const MembershipSnapshot &) const = default;
 };
 
 /**
- * The merged table. A plain value; time is passed in.
+ * The merged table of members. It is a plain value; callers pass the time.
  *
- * The list lags: it may still call an instance live that has said it is leaving, or that has been replaced under the same
- * name. Taken at its word it would send new work there again. So an incarnation that is leaving stays leaving, one that
- * has ended never comes back, and the list only adds and removes instances.
+ * The instance list lags behind: it may still show an instance as live that has announced that it is leaving, or that has
+ * been replaced under the same name. If it were trusted, new work would be sent there. Therefore an incarnation that is
+ * leaving stays leaving, one that has ended never comes back, and the list only adds and removes instances.
  */
 class MemberTable
 {
 public:
-    /// A process announced itself, again if it did before. It supersedes any other incarnation under its id.
+    /// Handles the first or a repeated announcement of a process. It supersedes any other incarnation with the same id.
     bool announce(const Protocol::Member &member, Core::Instant now);
-    /// Another process passed on what it knows.
-    bool merge(const MembershipSnapshot &knowledge, Core::Instant now);
-    /// An entry told an agent all that it needs to know. The agent has no other source, so this replaces what it had.
+    /// Merges the members known to another process.
+    bool merge(const MembershipSnapshot &other, Core::Instant now);
+    /// Replaces all members by those that an entry sent to an agent. The agent has no other source.
     bool replace(std::span<const Protocol::Member> members, Core::Instant now);
-    /// The platform's list, whole.
+    /// Applies the platform's complete list.
     bool applyList(std::span<const Protocol::Member> listed, Core::Instant now);
 
     MembershipSnapshot snapshot() const;
@@ -48,8 +48,8 @@
     {
         Protocol::Member m_member;
         bool m_wasListed = false;
-        bool m_isAnnouncedHere = false; ///< The process announced itself here, and is expected to do so again and again.
-        Core::Instant m_lastHeard; ///< From the process itself or from others that know it.
+        bool m_isAnnouncedHere = false; ///< The process announced itself here and is expected to repeat the announcement.
+        Core::Instant m_lastHeard; ///< Last report by the process itself or by others that know it.
 
         bool operator==(const Row &) const = default;
     };
@@ -60,14 +60,14 @@
     static bool hasExpired(const Row &row, Core::Instant now);
 
     std::map<std::string, Row> m_rows; ///< By id.
-    std::deque<std::string> m_endedIncarnations; ///< At most MaximumGone; none of them is in m_rows.
+    std::deque<std::string> m_endedIncarnations; ///< At most MaximumEndedIncarnations; none of them is in m_rows.
 };
 
-/// Incarnations that a table remembers as ended.
+/// Number of ended incarnations that a table keeps.
 inline constexpr std::size_t MaximumEndedIncarnations = 1024;
-/// How long an instance that the list does not show may be silent before it counts as gone, where it announces itself.
+/// Time without an announcement after which an instance that the list does not show is removed, where it announces itself.
 inline constexpr Core::Duration UnlistedTimeout{30000};
-/// The same where it is only known from others, who would say that it is gone.
+/// The same where the instance is known only from other processes, which would report its end.
 inline constexpr Core::Duration IndirectTimeout{600000};
 
 }
--- a/Libraries/LibControl/Model.h
+++ b/Libraries/LibControl/Model.h
@@ -1,4 +1,4 @@
-/// @file What operators publish and what the system has decided: the value types of the control state.
+/// @file The value types of the control state: templates that operators publish, and plans that the system makes.
 #pragma once
 
 #include "LibProtocol/Member.h"
@@ -11,7 +11,7 @@
 
 namespace Control {
 
-/// Offset of a record in the control stream. Offsets order everything and serve as revisions and fencing numbers; 0 means none.
+/// Offset of a record in the control stream. Offsets order all changes, and serve as revisions and fencing numbers; 0 means none.
 using Offset = std::uint64_t;
 
 enum class ServiceKind {
@@ -20,19 +20,19 @@
 };
 
 enum class BurstPolicy {
-    OriginBytes = 0, ///< Draw about one copy from the origin, even if the last replica serves a little later.
-    Time = 1, ///< Spend up to the origin budget to serve sooner.
+    OriginBytes = 0, ///< Download about one copy from the origin, even if the last replica serves a little later.
+    Time = 1, ///< Use up to the origin budget to serve sooner.
 };
 
-/// What one client account wants of a template.
+/// Parameters of one client account in a template.
 struct AccountParameters
 {
     std::string m_account;
     std::string m_model;
     std::string m_version; ///< Name of the version at the weight store.
-    std::string m_digest; ///< Manifest digest that the name had when it was published; this is what runs.
+    std::string m_digest; ///< Manifest digest that the name resolved to when it was published; this digest is deployed.
     std::uint32_t m_replicas = 1;
-    std::vector<std::string> m_failureDomains; ///< Where replicas may run; empty means everywhere.
+    std::vector<std::string> m_failureDomains; ///< Where replicas may run; empty allows all failure domains.
     std::uint32_t m_weight = 1; ///< Share of the service under contention, relative to other accounts.
 
     bool operator==(const AccountParameters &) const = default;
@@ -66,14 +66,15 @@
                        MSGPACK_NVP("accounts", m_accounts));
 };
 
-/// How many earlier versions of each account are remembered; enough for versions that were superseded before they served.
+/// Number of earlier versions kept for each account. It leaves room for versions that were superseded before they served.
 inline constexpr std::size_t MaximumEarlierVersions = 3;
 
 /**
  * A version that an account's parameters named before.
  *
- * During a rollout the earlier version answers until enough replicas of the new one do. An entry that has just been replaced,
- * or that saw no request of the account, knows it only from here; without, it would refuse the account for the rollout.
+ * During a rollout the earlier version serves until enough replicas of the new one do. An entry that has just been
+ * replaced, or that has received no request of the account, knows the earlier version only from here. Without it, the entry
+ * would refuse the account's requests during the rollout.
  */
 struct EarlierVersion
 {
@@ -91,7 +92,7 @@
 {
     Template m_template;
     Offset m_revision = 0; ///< Offset of the record that put it in force.
-    std::string m_operator; ///< Who published it.
+    std::string m_operator; ///< Operator who published it.
     std::vector<EarlierVersion> m_earlier; ///< Newest first for each account, without the version in force.
 
     bool operator==(const AcceptedTemplate &) const = default;
@@ -102,13 +103,13 @@
                        MSGPACK_NVP("earlier", m_earlier));
 };
 
-/// An instance that is to hold a version.
+/// An instance that is planned to hold a version.
 struct PlannedReplica
 {
     std::string m_instance;
     std::string m_region;
     std::string m_failureDomain;
-    Core::Address m_wire; ///< Of the agent there.
+    Core::Address m_wire; ///< Address of the instance's agent.
 
     bool operator==(const PlannedReplica &) const = default;
 
@@ -118,7 +119,7 @@
                        MSGPACK_NVP("wire", m_wire));
 };
 
-/// One version of one model and every instance that is to hold it.
+/// One version of one model, and every instance that is planned to hold it.
 struct Deployment
 {
     std::string m_model;
@@ -138,11 +139,12 @@
                        MSGPACK_NVP("replicas", m_replicas));
 };
 
-/// Which instances of a service hold what. Agreed through the log; its offset is the fencing number of every order that follows from it.
+/// Which instances of a service hold which versions. Plans are agreed through the log; a plan's offset is the fencing number of
+/// every order that follows from it.
 struct Plan
 {
     std::string m_service;
-    Offset m_offset = 0; ///< Of the record that put it in force.
+    Offset m_offset = 0; ///< Offset of the record that put it in force.
     Offset m_basedOnConfiguration = 0; ///< Newest revision among the service's templates when it was made.
     std::vector<Deployment> m_deployments; ///< Sorted by digest; each digest once.
 
--- a/Libraries/LibControl/Planner.cpp
+++ b/Libraries/LibControl/Planner.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of planning.
+/// @file Implementation of the planner.
 
 #include "LibControl/Planner.h"
 #include "LibCore/Random.h"
@@ -10,17 +10,17 @@
 
 namespace {
 
-/// An instance that may hold replicas, with what the plan being made has put on it.
+/// An instance that may hold replicas, with the digests placed on it by the plan in progress.
 struct Candidate
 {
     const Protocol::Member *m_member = nullptr;
     std::set<std::string> m_previousDigests;
     std::set<std::string> m_previousModels;
-    std::set<std::string> m_digests; ///< Planned so far.
+    std::set<std::string> m_digests; ///< Placed by the plan in progress.
 };
 
-/// What one account wants, with the policy of its template.
-struct Wish
+/// The replicas that one account requests, with the template that sets the policy.
+struct ReplicaRequest
 {
     const AccountParameters *m_parameters = nullptr;
     const Template *m_template = nullptr;
@@ -57,26 +57,26 @@
     return candidates;
 }
 
-std::vector<Wish> collectWishes(const std::string &service, const ControlState &state)
+std::vector<ReplicaRequest> collectReplicaRequests(const std::string &service, const ControlState &state)
 {
-    std::vector<Wish> wishes;
+    std::vector<ReplicaRequest> requests;
     for (const std::pair<const std::string, AcceptedTemplate> &entry : state.m_templates) {
         const Template &accepted = entry.second.m_template;
         if (accepted.m_service != service || accepted.m_kind != ServiceKind::Model) {
             continue;
         }
         for (const AccountParameters &parameters : accepted.m_accounts) {
-            wishes.push_back(Wish{&parameters, &accepted});
+            requests.push_back(ReplicaRequest{&parameters, &accepted});
         }
     }
-    // Large wishes first, so that small ones find their replicas among those already placed.
-    std::stable_sort(wishes.begin(), wishes.end(), [](const Wish &left, const Wish &right) {
+    // Large requests come first, so that small ones can share replicas that are already placed.
+    std::stable_sort(requests.begin(), requests.end(), [](const ReplicaRequest &left, const ReplicaRequest &right) {
         if (left.m_parameters->m_replicas != right.m_parameters->m_replicas) {
             return left.m_parameters->m_replicas > right.m_parameters->m_replicas;
         }
         return left.m_parameters->m_account < right.m_parameters->m_account;
     });
-    return wishes;
+    return requests;
 }
 
 bool isAllowed(const AccountParameters &parameters, const std::string &failureDomain)
@@ -85,27 +85,27 @@
     return domains.empty() || std::find(domains.begin(), domains.end(), failureDomain) != domains.end();
 }
 
-/// How good a place a candidate is for one digest; the smallest goes first.
-struct Rank
+/// CandidateRank of a candidate for one digest; the smallest is the best.
+struct CandidateRank
 {
-    bool m_isNew = true; ///< Nobody has planned the digest there yet.
-    bool m_wasElsewhere = true; ///< The plan before had not put the digest there.
-    std::size_t m_otherDigests = 0;
-    bool m_heldOtherModel = true; ///< It held no version of the same model, which a new one could replace.
+    bool m_isNotPlanned = true; ///< The plan in progress has not placed the digest on the candidate yet.
+    bool m_requiresMove = true; ///< The previous plan did not put the digest on the candidate.
+    std::size_t m_plannedDigestCount = 0;
+    bool m_lacksModel = true; ///< The candidate held no version of the same model that the new one could replace.
     std::uint64_t m_weight = 0; ///< Inverted rendezvous weight.
-    std::size_t m_index = 0; ///< Of the candidate.
+    std::size_t m_index = 0; ///< Index of the candidate.
 
-    std::strong_ordering operator<=>(const Rank &) const = default;
+    std::strong_ordering operator<=>(const CandidateRank &) const = default;
 };
 
-Rank rankOf(const Candidate &candidate, std::size_t index, const AccountParameters &wish)
+CandidateRank rankCandidate(const Candidate &candidate, std::size_t index, const AccountParameters &request)
 {
-    Rank rank;
-    rank.m_isNew = !candidate.m_digests.contains(wish.m_digest);
-    rank.m_wasElsewhere = !candidate.m_previousDigests.contains(wish.m_digest);
-    rank.m_otherDigests = candidate.m_digests.size();
-    rank.m_heldOtherModel = !candidate.m_previousModels.contains(wish.m_model);
-    rank.m_weight = ~Core::rendezvousWeight(wish.m_digest, candidate.m_member->m_id);
+    CandidateRank rank;
+    rank.m_isNotPlanned = !candidate.m_digests.contains(request.m_digest);
+    rank.m_requiresMove = !candidate.m_previousDigests.contains(request.m_digest);
+    rank.m_plannedDigestCount = candidate.m_digests.size();
+    rank.m_lacksModel = !candidate.m_previousModels.contains(request.m_model);
+    rank.m_weight = ~Core::rendezvousWeight(request.m_digest, candidate.m_member->m_id);
     rank.m_index = index;
     return rank;
 }
@@ -114,7 +114,7 @@
 struct DomainQueue
 {
     std::string m_failureDomain;
-    std::vector<Rank> m_ranks; ///< Sorted.
+    std::vector<CandidateRank> m_ranks; ///< Sorted.
     std::size_t m_taken = 0;
 
     bool isExhausted() const
@@ -123,13 +123,13 @@
     }
 };
 
-std::vector<DomainQueue> queueByDomain(const Candidates &candidates, const AccountParameters &wish)
+std::vector<DomainQueue> queueByDomain(const Candidates &candidates, const AccountParameters &request)
 {
     std::map<std::string, DomainQueue> queues;
     for (std::size_t index = 0; index < candidates.size(); ++index) {
         const std::string &domain = candidates[index].m_member->m_failureDomain;
-        if (isAllowed(wish, domain)) {
-            queues[domain].m_ranks.push_back(rankOf(candidates[index], index, wish));
+        if (isAllowed(request, domain)) {
+            queues[domain].m_ranks.push_back(rankCandidate(candidates[index], index, request));
         }
     }
     std::vector<DomainQueue> result;
@@ -141,7 +141,8 @@
     return result;
 }
 
-/// Next failure domain to take from: the one with fewest replicas; among those, the one whose best candidate ranks first.
+/// Returns the failure domain that gets the next replica, or null: the one with the fewest replicas; among those, the one whose
+/// best candidate ranks first.
 DomainQueue *nextQueue(std::vector<DomainQueue> &queues)
 {
     DomainQueue *best = nullptr;
@@ -156,26 +157,26 @@
     return best;
 }
 
-void place(const Wish &wish, Candidates &candidates)
+void placeReplicas(const ReplicaRequest &request, Candidates &candidates)
 {
-    std::vector<DomainQueue> queues = queueByDomain(candidates, *wish.m_parameters);
-    for (std::uint32_t replica = 0; replica < wish.m_parameters->m_replicas; ++replica) {
+    std::vector<DomainQueue> queues = queueByDomain(candidates, *request.m_parameters);
+    for (std::uint32_t replica = 0; replica < request.m_parameters->m_replicas; ++replica) {
         DomainQueue *queue = nextQueue(queues);
         if (!queue) {
             return;
         }
         const std::size_t index = queue->m_ranks[queue->m_taken].m_index;
-        candidates[index].m_digests.insert(wish.m_parameters->m_digest);
+        candidates[index].m_digests.insert(request.m_parameters->m_digest);
         ++queue->m_taken;
     }
 }
 
-/// A deployment for each digest; where templates differ in policy, the one that spends more at the origin holds.
-std::map<std::string, Deployment> makeDeployments(const std::vector<Wish> &wishes)
+/// Makes a deployment for each digest. Where templates differ in policy, the one that uses more of the origin applies.
+std::map<std::string, Deployment> makeDeployments(const std::vector<ReplicaRequest> &requests)
 {
     std::map<std::string, Deployment> deployments;
-    for (const Wish &wish : wishes) {
-        const AccountParameters &parameters = *wish.m_parameters;
+    for (const ReplicaRequest &request : requests) {
+        const AccountParameters &parameters = *request.m_parameters;
         Deployment &deployment = deployments[parameters.m_digest];
         const bool isFirst = deployment.m_digest.empty();
         if (isFirst || std::pair(parameters.m_model, parameters.m_version) < std::pair(deployment.m_model, deployment.m_version)) {
@@ -183,8 +184,8 @@
             deployment.m_version = parameters.m_version;
         }
         deployment.m_digest = parameters.m_digest;
-        deployment.m_policy = std::max(deployment.m_policy, wish.m_template->m_policy);
-        deployment.m_originCopies = std::max(deployment.m_originCopies, wish.m_template->m_originCopies);
+        deployment.m_policy = std::max(deployment.m_policy, request.m_template->m_policy);
+        deployment.m_originCopies = std::max(deployment.m_originCopies, request.m_template->m_originCopies);
     }
     return deployments;
 }
@@ -200,12 +201,12 @@
 Plan planService(const std::string &service, const ControlState &state, std::span<const Protocol::Member> members)
 {
     const Plan *previous = findPlan(state, service);
-    const std::vector<Wish> wishes = collectWishes(service, state);
+    const std::vector<ReplicaRequest> requests = collectReplicaRequests(service, state);
     Candidates candidates = findCandidates(service, members, previous);
-    for (const Wish &wish : wishes) {
-        place(wish, candidates);
+    for (const ReplicaRequest &request : requests) {
+        placeReplicas(request, candidates);
     }
-    std::map<std::string, Deployment> deployments = makeDeployments(wishes);
+    std::map<std::string, Deployment> deployments = makeDeployments(requests);
     for (const Candidate &candidate : candidates) {
         const Protocol::Member &member = *candidate.m_member;
         for (const std::string &digest : candidate.m_digests) {
--- a/Libraries/LibControl/Planner.h
+++ b/Libraries/LibControl/Planner.h
@@ -1,4 +1,4 @@
-/// @file Which instances of a service are to hold which version: a pure function of accepted templates, members and the plan before.
+/// @file Planning of which instances of a service hold which version: a pure function of accepted templates, members and the previous plan.
 #pragma once
 
 #include "LibControl/ControlState.h"
@@ -8,21 +8,21 @@
 namespace Control {
 
 /**
- * Plans a service.
+ * Returns the plan of a service.
  *
- * The same inputs give the same plan on every entry. Replicas of the plan before stay where they are as long as their
- * instance is there and their failure domain allowed, so that weights move only where they must. New replicas go to the
- * failure domain that has fewest, there to an instance that holds the version for another account already, else to the
- * least used, and among equals by rendezvous weight. Accounts that want the same digest share replicas. Leaving
- * instances get none. An account that wants more than there are instances gets all of them. Plain services have no
- * weights, and so an empty plan.
+ * The same inputs give the same plan on every entry. Replicas of the previous plan stay where they are as long as their
+ * instance is live and their failure domain is allowed, so that weights move only where they must. New replicas go to the
+ * failure domain with the fewest replicas; there to an instance that already holds the version for another account,
+ * otherwise to the least used one, with ties broken by rendezvous weight. Accounts that request the same digest share
+ * replicas. Leaving instances get no replicas. An account that requests more replicas than there are instances gets all
+ * instances. Plain services have no weights and therefore an empty plan.
  */
 Plan planService(const std::string &service, const ControlState &state, std::span<const Protocol::Member> members);
 
-/// Whether the wanted plan differs from the one in force in anything that agents act upon.
+/// Returns whether the wanted plan differs from the one in force in anything that agents act on.
 bool isPlanOutOfDate(const ControlState &state, const Plan &wanted);
 
-/// Every service that has a template or a plan, sorted.
+/// Returns every service that has a template or a plan, sorted.
 std::vector<std::string> plannedServices(const ControlState &state);
 
 }
--- a/Libraries/LibControl/PlannerWorker.cpp
+++ b/Libraries/LibControl/PlannerWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the planner's duty.
+/// @file Implementation of the planner's worker.
 
 #include "LibControl/PlannerWorker.h"
 #include "LibControl/Checkpointer.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Core::Duration IdleTurn{1000};
+constexpr Core::Duration IdleInterval{1000};
 
 Core::Duration remaining(Core::Instant until, Core::Instant now)
 {
@@ -53,13 +53,13 @@
     const std::shared_ptr<const ControlState> state = m_store.current();
     const bool isUnchanged = m_pending.empty() && membersVersion == m_lastMembersVersion && state->m_chain == m_lastChain;
     if (state->m_applied == 0 || isUnchanged) {
-        return IdleTurn;
+        return IdleInterval;
     }
     m_lastMembersVersion = membersVersion;
     m_lastChain = state->m_chain;
     const std::vector<Protocol::Member> members = m_store.members();
     const Core::Instant now = Core::Clock::now();
-    Core::Duration wait = IdleTurn;
+    Core::Duration wait = IdleInterval;
     for (const std::string &service : plannedServices(*state)) {
         wait = std::min(wait, updatePlan(service, *state, members, now));
     }
@@ -71,7 +71,7 @@
     const Plan wanted = planService(service, state, members);
     if (!isPlanOutOfDate(state, wanted)) {
         m_pending.erase(service);
-        return IdleTurn;
+        return IdleInterval;
     }
     PendingPlan &pending = m_pending.emplace(service, PendingPlan{wanted, now, std::nullopt, now}).first->second;
     if (pending.m_recordId) {
@@ -79,7 +79,8 @@
         if (!isSettled && now - pending.m_appendedAt < m_settings.m_retryDelay) {
             return remaining(pending.m_appendedAt + m_settings.m_retryDelay, now);
         }
-        // Settled and still out of date, or it never reached the log: a repeat is harmless, since it is based on the plan in force.
+        // Either the record was read back and the plan is still out of date, or the record never reached the log. Another append
+        // is harmless, since it is based on the plan in force.
         pending = PendingPlan{wanted, now, std::nullopt, now};
     }
     const std::size_t rank = rankAmongEntries(m_self, members, service);
--- a/Libraries/LibControl/PlannerWorker.h
+++ b/Libraries/LibControl/PlannerWorker.h
@@ -1,4 +1,4 @@
-/// @file Keeps the plans on the log in step with templates and members.
+/// @file Keeps the plans on the log up to date with templates and members.
 #pragma once
 
 #include "LibControl/Records.h"
@@ -14,16 +14,17 @@
 struct PlannerSettings
 {
     Core::Duration m_rankDelay{300}; ///< The entry of rank r waits r times this before it appends.
-    Core::Duration m_settleDelay{100}; ///< Members that change together are planned together.
-    Core::Duration m_retryDelay{1000}; ///< After an append that failed, and while a record is awaited.
+    Core::Duration m_settleDelay{100}; ///< Wait after a change, so that members that change together are planned together.
+    Core::Duration m_retryDelay{1000}; ///< Wait after a failed append, and longest wait for an appended record to be read back.
 };
 
 /**
- * Appends a new plan when the one in force is out of date, on a thread of its own.
+ * Appends a new plan when the one in force is out of date, on its own thread.
  *
- * Every entry does this; ranks by rendezvous spread the services over the entries and let one usually act for all. If two
- * act at once, the first in the log's order wins and the other's plan is refused as stale. An append whose answer was
- * lost may have taken effect: its record is awaited by its id before anything else is appended for the service.
+ * Every entry runs a planner. Ranks by rendezvous weight distribute the services over the entries, so that usually a single
+ * entry acts for a service. If two act at once, the first plan in the log's order is accepted and the other is refused as
+ * stale. An append whose answer was lost may have taken effect: the planner waits for its record, which it finds by id,
+ * before it appends anything else for the service.
  */
 class PlannerWorker
 {
@@ -35,7 +36,7 @@
     void stop();
 
 private:
-    /// What this entry is about to do, or has done, for one service.
+    /// The plan that this entry is about to append, or has appended, for one service.
     struct PendingPlan
     {
         Plan m_plan;
@@ -54,7 +55,7 @@
     const PlannerSettings m_settings;
     Telemetry::Counter &m_plansAppended;
     Telemetry::Counter &m_appendFailures;
-    std::map<std::string, PendingPlan> m_pending; ///< By service; used by the duty's thread only.
+    std::map<std::string, PendingPlan> m_pending; ///< By service; used by the worker's thread only.
     std::uint64_t m_lastMembersVersion = 0;
     std::string m_lastChain;
     Worker m_worker;
--- a/Libraries/LibControl/Publisher.cpp
+++ b/Libraries/LibControl/Publisher.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::size_t PageRecords = 256;
+constexpr std::size_t RecordsPerPage = 256;
 constexpr Core::Duration LongPoll{500};
 constexpr Core::Duration RetryInterval{100};
-constexpr Core::Duration CheckpointPatience{5000};
+constexpr Core::Duration CheckpointTimeout{5000};
 
 }
 
@@ -29,23 +29,24 @@
 
 Core::Result<void> Publisher::load()
 {
-    // Between the loss of the oldest records and the next checkpoint a reader finds no state. Entries append one within a few looks.
-    const Core::Instant deadline = Core::Clock::now() + CheckpointPatience;
-    RecoveredState fresh = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
-    while (!fresh.m_state && Core::Clock::now() < deadline) {
+    // Between the expiry of the oldest records and the next checkpoint, a reader finds no state. Entries append a checkpoint
+    // within a few check intervals.
+    const Core::Instant deadline = Core::Clock::now() + CheckpointTimeout;
+    RecoveredState recovered = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
+    while (!recovered.m_state && Core::Clock::now() < deadline) {
         std::this_thread::sleep_for(RetryInterval);
-        fresh = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
+        recovered = BOOST_OUTCOME_TRYX(recoverFromLog(m_log, ControlStream));
     }
-    if (!fresh.m_state) {
+    if (!recovered.m_state) {
         return Core::makeError(Core::ErrorCode::Unavailable, "read control state", "", "the log holds no usable checkpoint; an entry will append one");
     }
-    m_state = std::move(*fresh.m_state);
+    m_state = std::move(*recovered.m_state);
     return Core::success();
 }
 
-Core::Result<RecordOutcome> Publisher::publish(const Record &record, Core::Duration patience)
+Core::Result<RecordOutcome> Publisher::publish(const Record &record, Core::Duration timeout)
 {
-    const Core::Instant deadline = Core::Clock::now() + patience;
+    const Core::Instant deadline = Core::Clock::now() + timeout;
     const Core::Result<Platform::Offset> appended = m_log.append(ControlStream, encodeRecord(record));
     if (!appended && appended.error().m_code != Core::ErrorCode::Ambiguous) {
         return appended.error();
@@ -57,7 +58,7 @@
 {
     Core::Error lastError = Core::makeError(Core::ErrorCode::Ambiguous, "read back", "", "record " + record + " did not show up in time");
     while (Core::Clock::now() < deadline) {
-        const Core::Result<Platform::LogPage> page = m_log.read(ControlStream, m_state.m_position + 1, Platform::ReadOptions{PageRecords, LongPoll});
+        const Core::Result<Platform::LogPage> page = m_log.read(ControlStream, m_state.m_position + 1, Platform::ReadOptions{RecordsPerPage, LongPoll});
         if (!page) {
             lastError.m_detail = "record " + record + " may have been appended: " + page.error().m_detail;
             std::this_thread::sleep_for(RetryInterval);
--- a/Libraries/LibControl/Publisher.h
+++ b/Libraries/LibControl/Publisher.h
@@ -1,4 +1,4 @@
-/// @file How an operator's change gets onto the log, and how its outcome is learned.
+/// @file Appends an operator's change to the log and reads its outcome back.
 #pragma once
 
 #include "LibControl/Records.h"
@@ -8,26 +8,28 @@
 namespace Control {
 
 /**
- * Appends records for an operator and reads back what became of them. One thread.
+ * Appends records for an operator and reads their outcomes back. To be used by one thread.
  *
- * An append's answer can be lost after it took effect. Appending again could then put a change in force twice, over
- * someone else's that came between. So the outcome is always taken from the log, where the record's id is looked for.
+ * The answer to an append can be lost after the append took effect. Appending again could then put a change in force twice,
+ * and override another operator's change made in between. Therefore the outcome is always read from the log, where the record
+ * is found by its id.
  */
 class Publisher
 {
 public:
     explicit Publisher(Platform::Log &log);
 
-    /// Reads the state in force. Fails with Unavailable if the log is down or holds no usable checkpoint.
+    /// Reads the state from the log. Fails with Unavailable if the log is down or has no usable checkpoint.
     Core::Result<void> load();
     const ControlState &state() const;
 
     /**
-     * Appends and returns once the record was read back, accepted or refused. After load() only.
+     * Appends a record and returns its outcome once it was read back, accepted or refused. Must be called after load().
      *
-     * Ambiguous: the answer was lost and the record did not show up within @p patience; it may still do so.
+     * Fails with Ambiguous if the record may have been appended but was not read back within @p timeout. It may still take
+     * effect.
      */
-    Core::Result<RecordOutcome> publish(const Record &record, Core::Duration patience);
+    Core::Result<RecordOutcome> publish(const Record &record, Core::Duration timeout);
 
 private:
     Core::Result<RecordOutcome> awaitOutcome(const std::string &record, Core::Instant deadline);
--- a/Libraries/LibControl/Records.cpp
+++ b/Libraries/LibControl/Records.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t MaximumNameBytes = 256;
 
-/// A record on the log: the change is encoded apart, so that a kind from a newer release can be told from a broken record.
+/// A record on the log. The change is encoded separately, so that a kind from a newer release can be distinguished from a malformed record.
 struct Envelope
 {
     std::string m_id;
--- a/Libraries/LibControl/Records.h
+++ b/Libraries/LibControl/Records.h
@@ -19,7 +19,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("based_on", m_basedOn), MSGPACK_NVP("template", m_template));
 };
 
-/// An operator takes a template out of force.
+/// An operator removes a template.
 struct RemoveTemplate
 {
     std::string m_name;
@@ -30,10 +30,10 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("name", m_name), MSGPACK_NVP("based_on", m_basedOn));
 };
 
-/// An entry proposes which instances hold what.
+/// An entry proposes a plan.
 struct PublishPlan
 {
-    Offset m_basedOnPlan = 0; ///< Offset of the service's plan that this one follows; 0 if there is none.
+    Offset m_basedOnPlan = 0; ///< Offset of the service's plan that this one replaces; 0 if there is none.
     Plan m_plan;
 
     bool operator==(const PublishPlan &) const = default;
@@ -41,12 +41,12 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("based_on_plan", m_basedOnPlan), MSGPACK_NVP("plan", m_plan));
 };
 
-/// A copy of the state, so that a fresh reader needs only the records after it.
+/// A copy of the state, so that a new reader needs only the records after it.
 struct Checkpoint
 {
-    Offset m_position = 0; ///< Position of the state that it holds.
-    std::string m_digest; ///< Of m_state.
-    std::string m_state; ///< Encoded.
+    Offset m_position = 0; ///< Log position of the state that it contains.
+    std::string m_digest; ///< Digest of m_state.
+    std::string m_state; ///< Encoded state.
 
     bool operator==(const Checkpoint &) const = default;
 
@@ -54,16 +54,17 @@
 };
 
 /**
- * Puts state back into a log that came back with records missing.
+ * Restores state into a log that returned with records missing.
  *
- * It replaces the state of every reader, so it holds only if its writer had seen everything before it: it must stand
- * right behind the position it names. A writer that was overtaken reads on and tries again.
+ * It replaces the state of every reader, so it is accepted only if its writer had read every record before it: it must
+ * directly follow the position that it names. A writer whose record does not, because another one came first, reads on and
+ * tries again.
  */
 struct Restore
 {
-    Offset m_position = 0; ///< Offset at the log of the record right before this one.
-    std::string m_digest; ///< Of m_state.
-    std::string m_state; ///< Encoded.
+    Offset m_position = 0; ///< Log offset of the record directly before this one.
+    std::string m_digest; ///< Digest of m_state.
+    std::string m_state; ///< Encoded state.
 
     bool operator==(const Restore &) const = default;
 
@@ -73,7 +74,7 @@
 /// One record of the control stream.
 struct Record
 {
-    std::string m_id; ///< Random; by it a lost append answer is settled, and a record that was appended twice counts once.
+    std::string m_id; ///< Random. It identifies a record whose append answer was lost, and makes a record that was appended twice count once.
     std::string m_author; ///< Operator or entry.
     std::variant<PublishTemplate, RemoveTemplate, PublishPlan, Checkpoint, Restore> m_change;
 
@@ -81,10 +82,10 @@
 };
 
 std::string encodeRecord(const Record &record);
-/// Fails with Corrupt on a malformed record.
+/// Decodes a record. Fails with Corrupt if it is malformed.
 Core::Result<Record> decodeRecord(std::string_view bytes);
 
-/// A checkpoint of @p state by @p author.
+/// Returns a checkpoint of @p state by @p author.
 Record makeCheckpoint(const ControlState &state, const std::string &author, const std::string &id);
 
 }
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of reading afresh and of joining histories.
+/// @file Implementation of recovery from the log and of merging histories.
 
 #include "LibControl/Recovery.h"
 #include "LibControl/ApplyRecord.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t PageRecords = 256;
+constexpr std::size_t RecordsPerPage = 256;
 
 bool coversTemplates(const ControlState &newer, const ControlState &older)
 {
@@ -30,15 +30,15 @@
 
 bool coversRemovals(const ControlState &newer, const ControlState &older)
 {
-    const bool hasForgotten = newer.m_removals.size() >= MaximumRemovals;
+    const bool mayHaveEvicted = newer.m_removals.size() >= MaximumRemovals;
     for (const std::pair<const std::string, Removal> &entry : older.m_removals) {
         const Offset revision = templateRevision(newer, entry.first);
-        const bool isForgotten = revision == 0 && hasForgotten;
-        if (revision < entry.second.m_revision && !isForgotten) {
+        const bool isEvicted = revision == 0 && mayHaveEvicted;
+        if (revision < entry.second.m_revision && !isEvicted) {
             return false;
         }
-        const bool isBack = revision == entry.second.m_revision && newer.m_templates.contains(entry.first);
-        if (isBack) {
+        const bool isPresentAgain = revision == entry.second.m_revision && newer.m_templates.contains(entry.first);
+        if (isPresentAgain) {
             return false;
         }
     }
@@ -59,8 +59,8 @@
     return true;
 }
 
-/// Whether both states hold the same under the name.
-bool agreeOn(const ControlState &left, const ControlState &right, const std::string &name)
+/// Returns whether both states have the same template, or both none, under the name.
+bool haveEqualTemplates(const ControlState &left, const ControlState &right, const std::string &name)
 {
     const std::map<std::string, AcceptedTemplate>::const_iterator leftTemplate = left.m_templates.find(name);
     const std::map<std::string, AcceptedTemplate>::const_iterator rightTemplate = right.m_templates.find(name);
@@ -73,99 +73,100 @@
 }
 
 /**
- * Revision that something kept gets in the joined state; 0 if the joined state has something newer.
+ * Returns the revision that a kept template, removal or plan gets in the merged state; 0 if the log has something newer.
  *
- * Where two histories gave one revision to different things, both were in force somewhere. One has to yield, and its
- * readers must be able to tell: so the other gets the revision of the join, as if it had been published once more.
+ * Where two histories assigned one revision to different things, both were in force somewhere. One has to be replaced, and
+ * its readers must be able to notice. Therefore the other one gets the revision of the merge, as if it had been published
+ * again.
  */
-Offset joinedRevision(Offset kept, Offset onLog, bool agree, Offset joinRevision)
+Offset mergedRevision(Offset kept, Offset onLog, bool agree, Offset mergeRevision)
 {
     if (kept < onLog) {
         return 0;
     }
-    return kept > onLog || agree ? kept : joinRevision;
+    return kept > onLog || agree ? kept : mergeRevision;
 }
 
-void joinTemplates(ControlState &joined, const ControlState &base, const ControlState &kept)
+void mergeTemplates(ControlState &merged, const ControlState &base, const ControlState &kept)
 {
     for (const std::pair<const std::string, AcceptedTemplate> &entry : kept.m_templates) {
-        const bool agree = agreeOn(base, kept, entry.first);
-        const Offset revision = joinedRevision(entry.second.m_revision, templateRevision(base, entry.first), agree, joined.m_applied);
+        const bool agree = haveEqualTemplates(base, kept, entry.first);
+        const Offset revision = mergedRevision(entry.second.m_revision, templateRevision(base, entry.first), agree, merged.m_applied);
         if (revision > 0) {
-            joined.m_removals.erase(entry.first);
-            joined.m_templates[entry.first] = entry.second;
-            joined.m_templates[entry.first].m_revision = revision;
+            merged.m_removals.erase(entry.first);
+            merged.m_templates[entry.first] = entry.second;
+            merged.m_templates[entry.first].m_revision = revision;
         }
     }
     for (const std::pair<const std::string, Removal> &entry : kept.m_removals) {
-        const bool agree = agreeOn(base, kept, entry.first);
-        const Offset revision = joinedRevision(entry.second.m_revision, templateRevision(base, entry.first), agree, joined.m_applied);
+        const bool agree = haveEqualTemplates(base, kept, entry.first);
+        const Offset revision = mergedRevision(entry.second.m_revision, templateRevision(base, entry.first), agree, merged.m_applied);
         if (revision > 0) {
-            joined.m_templates.erase(entry.first);
-            joined.m_removals[entry.first] = entry.second;
-            joined.m_removals[entry.first].m_revision = revision;
+            merged.m_templates.erase(entry.first);
+            merged.m_removals[entry.first] = entry.second;
+            merged.m_removals[entry.first].m_revision = revision;
         }
     }
-    while (joined.m_removals.size() > MaximumRemovals) {
-        joined.m_removals.erase(joined.m_removals.begin());
+    while (merged.m_removals.size() > MaximumRemovals) {
+        merged.m_removals.erase(merged.m_removals.begin());
     }
 }
 
-void joinPlans(ControlState &joined, const ControlState &kept)
+void mergePlans(ControlState &merged, const ControlState &kept)
 {
     for (const std::pair<const std::string, Plan> &entry : kept.m_plans) {
-        const std::map<std::string, Plan>::const_iterator found = joined.m_plans.find(entry.first);
-        const Offset onLog = found == joined.m_plans.end() ? 0 : found->second.m_offset;
-        const bool agree = found != joined.m_plans.end() && found->second == entry.second;
-        const Offset offset = joinedRevision(entry.second.m_offset, onLog, agree, joined.m_applied);
+        const std::map<std::string, Plan>::const_iterator found = merged.m_plans.find(entry.first);
+        const Offset onLog = found == merged.m_plans.end() ? 0 : found->second.m_offset;
+        const bool agree = found != merged.m_plans.end() && found->second == entry.second;
+        const Offset offset = mergedRevision(entry.second.m_offset, onLog, agree, merged.m_applied);
         if (offset > 0) {
-            joined.m_plans[entry.first] = entry.second;
-            joined.m_plans[entry.first].m_offset = offset;
+            merged.m_plans[entry.first] = entry.second;
+            merged.m_plans[entry.first].m_offset = offset;
         }
     }
 }
 
-void joinOutcomes(ControlState &joined, const ControlState &kept)
+void mergeOutcomes(ControlState &merged, const ControlState &kept)
 {
     for (const RecordOutcome &outcome : kept.m_outcomes) {
-        if (!findOutcome(joined, outcome.m_record)) {
-            joined.m_outcomes.push_back(outcome);
+        if (!findOutcome(merged, outcome.m_record)) {
+            merged.m_outcomes.push_back(outcome);
         }
     }
-    std::stable_sort(joined.m_outcomes.begin(), joined.m_outcomes.end(), [](const RecordOutcome &left, const RecordOutcome &right) {
+    std::stable_sort(merged.m_outcomes.begin(), merged.m_outcomes.end(), [](const RecordOutcome &left, const RecordOutcome &right) {
         return left.m_offset < right.m_offset;
     });
-    while (joined.m_outcomes.size() > MaximumOutcomes) {
-        joined.m_outcomes.pop_front();
+    while (merged.m_outcomes.size() > MaximumOutcomes) {
+        merged.m_outcomes.pop_front();
     }
 }
 
-/// Digests of the records that a fresh reader has seen so far, the first of them at m_first.
-struct SeenRecords
+/// Digests of the records read so far, the first of them at m_firstOffset.
+struct RecordDigests
 {
-    Platform::Offset m_first = 1;
+    Platform::Offset m_firstOffset = 1;
     std::vector<std::string> m_digests;
 
-    bool holds(Platform::Offset offset, const std::string &digest) const
+    bool contains(Platform::Offset offset, const std::string &digest) const
     {
-        return offset >= m_first && offset - m_first < m_digests.size() && m_digests[offset - m_first] == digest;
+        return offset >= m_firstOffset && offset - m_firstOffset < m_digests.size() && m_digests[offset - m_firstOffset] == digest;
     }
 };
 
-/// The encoded state that a record carries for fresh readers, if it may be used.
-std::optional<ControlState> usableState(const Protocol::LogRecord &entry, const SeenRecords &seen)
+/// Returns the state that a checkpoint or restore record contains, if a new reader may start from it.
+std::optional<ControlState> extractUsableState(const Protocol::LogRecord &entry, const RecordDigests &digests)
 {
     const Core::Result<Record> record = decodeRecord(entry.m_body);
     if (!record) {
         return std::nullopt;
     }
     if (const Checkpoint *checkpoint = std::get_if<Checkpoint>(&record.value().m_change)) {
-        if (checkpoint->m_position < seen.m_first || Core::sha256Hex(checkpoint->m_state) != checkpoint->m_digest) {
+        if (checkpoint->m_position < digests.m_firstOffset || Core::sha256Hex(checkpoint->m_state) != checkpoint->m_digest) {
             return std::nullopt;
         }
         Core::Result<ControlState> state = decodeState(checkpoint->m_state, "");
         const bool isOfThisHistory =
-            state && state.value().m_position == checkpoint->m_position && seen.holds(checkpoint->m_position, state.value().m_lastDigest);
+            state && state.value().m_position == checkpoint->m_position && digests.contains(checkpoint->m_position, state.value().m_lastDigest);
         return isOfThisHistory ? std::optional<ControlState>(std::move(state.value())) : std::nullopt;
     }
     if (const Restore *restore = std::get_if<Restore>(&record.value().m_change)) {
@@ -180,7 +181,7 @@
     return std::nullopt;
 }
 
-bool isBetterStart(const ControlState &candidate, const std::optional<ControlState> &best)
+bool isNewerStart(const ControlState &candidate, const std::optional<ControlState> &best)
 {
     if (!best) {
         return true;
@@ -188,10 +189,11 @@
     return std::pair(candidate.m_generation, candidate.m_position) > std::pair(best->m_generation, best->m_position);
 }
 
-/// Readings of a whole log before it is given up. Between two looks at a page a busy log expires a few records of some hundred, so the second mostly holds.
-constexpr int WholeReadings = 5;
+/// Number of attempts to read the complete log. Between two reads of a page, a busy log expires a few of several hundred records,
+/// so that the second attempt usually succeeds.
+constexpr int MaximumReadAttempts = 5;
 
-Core::Error trimmed(Platform::Offset from)
+Core::Error makeRecordExpiredError(Platform::Offset from)
 {
     return Core::makeError(Core::ErrorCode::NotFound, "read log afresh", "", "record " + std::to_string(from) + " expired while the log was read");
 }
@@ -205,13 +207,13 @@
 
 ControlState mergeStates(const ControlState &base, const ControlState &kept)
 {
-    ControlState joined = base;
-    joined.m_applied = std::max(base.m_applied, kept.m_applied) + 1;
-    joinTemplates(joined, base, kept);
-    joinPlans(joined, kept);
-    joinOutcomes(joined, kept);
-    joined.m_generation = std::max(base.m_generation, kept.m_generation) + 1;
-    return joined;
+    ControlState merged = base;
+    merged.m_applied = std::max(base.m_applied, kept.m_applied) + 1;
+    mergeTemplates(merged, base, kept);
+    mergePlans(merged, kept);
+    mergeOutcomes(merged, kept);
+    merged.m_generation = std::max(base.m_generation, kept.m_generation) + 1;
+    return merged;
 }
 
 Record makeRestore(const ControlState &state, const std::string &author, const std::string &id)
@@ -225,9 +227,9 @@
 {
     Platform::Offset from = first;
     while (true) {
-        const Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, from, Platform::ReadOptions{PageRecords, Core::Duration(0)}));
+        const Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, from, Platform::ReadOptions{RecordsPerPage, Core::Duration(0)}));
         if (page.m_first > from) {
-            return trimmed(from);
+            return makeRecordExpiredError(from);
         }
         for (const Protocol::LogRecord &record : page.m_records) {
             applyRecord(state, record.m_offset, record.m_body);
@@ -242,56 +244,57 @@
 
 namespace {
 
-/// Fails with NotFound if a record expires before it is read.
-Core::Result<RecoveredState> readWholeOnce(Platform::Log &log, const std::string &stream)
+/// Reads the complete log once. Fails with NotFound if a record expires before it is read.
+Core::Result<RecoveredState> tryRecoverFromLog(Platform::Log &log, const std::string &stream)
 {
-    RecoveredState fresh;
+    RecoveredState recovered;
     std::optional<ControlState> start;
-    Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, 1, Platform::ReadOptions{PageRecords, Core::Duration(0)}));
-    fresh.m_firstOffset = page.m_first;
+    Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read(stream, 1, Platform::ReadOptions{RecordsPerPage, Core::Duration(0)}));
+    recovered.m_firstOffset = page.m_first;
     Platform::Offset from = page.m_first;
-    SeenRecords seen{page.m_first, {}};
+    RecordDigests digests{page.m_first, {}};
     while (true) {
-        page = BOOST_OUTCOME_TRYX(log.read(stream, from, Platform::ReadOptions{PageRecords, Core::Duration(0)}));
+        page = BOOST_OUTCOME_TRYX(log.read(stream, from, Platform::ReadOptions{RecordsPerPage, Core::Duration(0)}));
         if (page.m_first > from) {
-            return trimmed(from);
+            return makeRecordExpiredError(from);
         }
         for (const Protocol::LogRecord &record : page.m_records) {
-            std::optional<ControlState> candidate = usableState(record, seen);
-            seen.m_digests.push_back(Core::sha256Hex(record.m_body));
-            if (candidate && isBetterStart(*candidate, start)) {
+            std::optional<ControlState> candidate = extractUsableState(record, digests);
+            digests.m_digests.push_back(Core::sha256Hex(record.m_body));
+            if (candidate && isNewerStart(*candidate, start)) {
                 start = std::move(candidate);
             }
         }
         from += page.m_records.size();
-        fresh.m_nextOffset = page.m_next;
+        recovered.m_nextOffset = page.m_next;
         if (page.m_records.empty() || from >= page.m_next) {
             break;
         }
     }
-    if (!start && fresh.m_firstOffset > 1) {
-        return fresh;
+    if (!start && recovered.m_firstOffset > 1) {
+        return recovered;
     }
     ControlState state = start ? std::move(*start) : ControlState();
     const Platform::Offset following = state.m_position + 1;
-    fresh.m_state = BOOST_OUTCOME_TRYX(replayRetainedRecords(log, stream, std::move(state), following));
-    fresh.m_nextOffset = fresh.m_state->m_position + 1;
-    return fresh;
+    recovered.m_state = BOOST_OUTCOME_TRYX(replayRetainedRecords(log, stream, std::move(state), following));
+    recovered.m_nextOffset = recovered.m_state->m_position + 1;
+    return recovered;
 }
 
 }
 
 Core::Result<RecoveredState> recoverFromLog(Platform::Log &log, const std::string &stream)
 {
-    Core::Result<RecoveredState> fresh = readWholeOnce(log, stream);
-    // The oldest record can expire between the look at where the log begins and the reading from there. The log is well, and the next reading begins later.
-    for (int reading = 1; !fresh && fresh.error().m_code == Core::ErrorCode::NotFound && reading < WholeReadings; ++reading) {
-        fresh = readWholeOnce(log, stream);
+    Core::Result<RecoveredState> recovered = tryRecoverFromLog(log, stream);
+    // The oldest record can expire between the read that finds the start of the log and the read from there. The log works, and
+    // the next attempt starts at a later offset.
+    for (int attempt = 1; !recovered && recovered.error().m_code == Core::ErrorCode::NotFound && attempt < MaximumReadAttempts; ++attempt) {
+        recovered = tryRecoverFromLog(log, stream);
     }
-    if (!fresh && fresh.error().m_code == Core::ErrorCode::NotFound) {
-        return Core::makeError(Core::ErrorCode::Unavailable, fresh.error().m_step, fresh.error().m_peer, fresh.error().m_detail);
+    if (!recovered && recovered.error().m_code == Core::ErrorCode::NotFound) {
+        return Core::makeError(Core::ErrorCode::Unavailable, recovered.error().m_step, recovered.error().m_peer, recovered.error().m_detail);
     }
-    return fresh;
+    return recovered;
 }
 
 }
--- a/Libraries/LibControl/Recovery.h
+++ b/Libraries/LibControl/Recovery.h
@@ -1,4 +1,4 @@
-/// @file What to do when the log no longer holds what was folded from it: state is kept, and put back into the log.
+/// @file Recovery of state from the log, and restoring state into a log that no longer contains the history it was built from.
 #pragma once
 
 #include "LibControl/Records.h"
@@ -9,41 +9,43 @@
 namespace Control {
 
 /**
- * Whether everything that was accepted in @p older is still in @p newer, or was replaced there by something later.
+ * Returns whether everything that was accepted in @p older is still in @p newer, or was replaced there by something newer.
  *
- * A state is only ever exchanged for one that covers it. Offsets alone don't tell: a log that lost records hands their
- * offsets out again, so a larger offset may stand for a history in which an accepted change never happened.
+ * A state is only ever replaced by one that covers it. Comparing offsets is not enough: a log that lost records assigns
+ * their offsets again, so a larger offset may belong to a history in which an accepted change never happened.
  */
 bool covers(const ControlState &newer, const ControlState &older);
 
 /**
- * Of two histories, everything that is newest in either; @p base is what the log holds.
+ * Merges the states of two histories, taking what is newest in either. @p base is the state of the log.
  *
- * Where both gave one revision to different things, @p kept wins and gets a new revision. The joined state covers both.
+ * Where the histories assigned one revision to different things, @p kept takes precedence and gets a new revision. The
+ * merged state covers both.
  */
 ControlState mergeStates(const ControlState &base, const ControlState &kept);
 
-/// A Restore record that puts @p state behind everything that it was joined with.
+/// Returns a Restore record that restores the merged state @p state directly after the log's records that were merged into it.
 Record makeRestore(const ControlState &state, const std::string &author, const std::string &id);
 
-/// What a reader found who had nothing.
+/// State that a reader without prior state recovered from the log.
 struct RecoveredState
 {
-    std::optional<ControlState> m_state; ///< Empty if the log holds neither its first record nor a usable checkpoint.
+    std::optional<ControlState> m_state; ///< Empty if the log contains neither its first record nor a usable checkpoint.
     Platform::Offset m_firstOffset = 1;
     Platform::Offset m_nextOffset = 1;
 };
 
 /**
- * Reads the whole log as a fresh instance does: the newest usable checkpoint and every record after it.
+ * Reads the complete log as a new instance does: the newest usable checkpoint and every record after it.
  *
- * A checkpoint is usable if its own digest holds and the record at its position is still there with the digest that its
- * state remembers. One that a paused writer appended late fails that: either its records have expired, or the log lost the
- * history that it was made in and holds another record there.
+ * A checkpoint is usable if it matches its own digest, and if the log still has the record at the checkpoint's position,
+ * with the digest that the checkpoint's state contains. A checkpoint that a paused writer appended late fails this: either
+ * the record has expired, or the log lost the history in which the checkpoint was made and has another record at that
+ * position.
  */
 Core::Result<RecoveredState> recoverFromLog(Platform::Log &log, const std::string &stream);
 
-/// Folds the records of the log that are left over a state that the log has a gap to.
+/// Applies the records that the log still has, from offset @p first on, to a state even if records between the two have expired.
 Core::Result<ControlState> replayRetainedRecords(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first);
 
 }
--- a/Libraries/LibControl/StateFeed.cpp
+++ b/Libraries/LibControl/StateFeed.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-constexpr std::size_t ArrivalCapacity = 4096;
-/// Members change in bursts when many instances come or go; they are sent whole, so not more often than this.
+constexpr std::size_t QueueCapacity = 4096;
+/// Shortest time between two members updates. Members change in bursts when many instances join or leave, and each update contains all of them.
 constexpr Core::Duration MembersInterval{200};
-constexpr Core::Duration IdleTurn{500};
+constexpr Core::Duration IdleInterval{500};
 constexpr std::size_t OfferCapacity = 4;
-/// An entry that reads the log is often a moment behind a subscriber that heard of a record elsewhere. It asks only if that lasts.
-constexpr Core::Duration AheadPatience{2000};
-/// An open stream shows that its subscriber is there, even if the instance list does not.
+/// Time that a subscriber must be ahead before the entry asks for its state. An entry that reads the log is often briefly behind
+/// a subscriber that received a record elsewhere.
+constexpr Core::Duration AheadTimeout{2000};
+/// Interval at which a subscriber is announced to the store. Its open stream shows that it is live, even if the instance list does not.
 constexpr Core::Duration AnnounceInterval{5000};
 
 }
@@ -24,7 +25,7 @@
     , m_updatesSent(metrics.counter("control_updates_sent_total"))
     , m_subscribersCut(metrics.counter("control_subscribers_cut_total"))
     , m_subscribersRefused(metrics.counter("control_subscribers_refused_total"))
-    , m_pendingSubscriptions(ArrivalCapacity)
+    , m_pendingSubscriptions(QueueCapacity)
     , m_offers(OfferCapacity)
 {
     node.handle("control.state", [this](const Wire::IncomingCall &call) { onSubscribe(call); });
@@ -113,7 +114,7 @@
     }
 }
 
-/// Whether the subscriber has had more in force than this entry for so long that the entry should ask for it.
+/// Returns whether the subscriber has been ahead of this entry for so long that the entry should ask for its state.
 bool StateFeed::isAhead(Subscription &subscription, Offset applied, Core::Instant now) const
 {
     const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
@@ -125,7 +126,7 @@
     if (subscription.m_aheadSince == Core::Instant()) {
         subscription.m_aheadSince = now;
     }
-    if (now - subscription.m_aheadSince < AheadPatience) {
+    if (now - subscription.m_aheadSince < AheadTimeout) {
         return false;
     }
     subscription.m_aheadSince = now;
@@ -169,24 +170,24 @@
 
 void StateFeed::admitSubscriptions()
 {
-    while (std::optional<PendingSubscription> arrival = m_pendingSubscriptions.pop(Core::Duration(0))) {
-        const Protocol::Member &member = arrival->m_request.m_subscriber;
+    while (std::optional<PendingSubscription> pending = m_pendingSubscriptions.pop(Core::Duration(0))) {
+        const Protocol::Member &member = pending->m_request.m_subscriber;
         if (m_subscriptions.size() >= MaximumSubscribers) {
             m_subscribersRefused.add();
-            arrival->m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "subscribe to state", "", "too many subscribers"));
+            pending->m_responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "subscribe to state", "", "too many subscribers"));
             continue;
         }
         m_store.announce(member);
         recordSubscribed(member, true);
-        if (arrival->m_request.m_appliedOffset > 0) {
+        if (pending->m_request.m_appliedOffset > 0) {
             const std::lock_guard<std::mutex> lock(m_subscriberStatusesMutex);
             const std::map<std::string, SubscriberStatus>::iterator found = m_subscriberStatuses.find(member.m_id);
             if (found != m_subscriberStatuses.end()) {
-                found->second.m_applied = std::max(found->second.m_applied, arrival->m_request.m_appliedOffset);
+                found->second.m_applied = std::max(found->second.m_applied, pending->m_request.m_appliedOffset);
             }
         }
         m_subscriptions.push_back(
-            Subscription{member, arrival->m_responder, arrival->m_request.m_chain, "", Core::Instant(), Core::Clock::now(), Core::Instant()});
+            Subscription{member, pending->m_responder, pending->m_request.m_chain, "", Core::Instant(), Core::Clock::now(), Core::Instant()});
     }
 }
 
@@ -216,11 +217,11 @@
         return;
     }
     m_membersVersion = version;
-    MembershipSnapshot knowledge = m_store.membershipSnapshot();
+    MembershipSnapshot membership = m_store.membershipSnapshot();
     Protocol::StateUpdate update;
     update.m_membersVersion = version;
-    update.m_members = std::move(knowledge.m_members);
-    update.m_endedIncarnations = std::move(knowledge.m_endedIncarnations);
+    update.m_members = std::move(membership.m_members);
+    update.m_endedIncarnations = std::move(membership.m_endedIncarnations);
     m_membersForEntries = EncodedUpdate{std::to_string(version), Wire::pack(update)};
 
     std::erase_if(update.m_members, [](const Protocol::Member &member) { return member.m_role != Protocol::Role::Entry; });
@@ -286,17 +287,17 @@
     processOffers();
     refreshMembers();
     const Core::Instant now = Core::Clock::now();
-    bool owesMembers = false;
+    bool hasUnsentMembers = false;
     for (std::vector<Subscription>::iterator it = m_subscriptions.begin(); it != m_subscriptions.end();) {
         if (sendDueUpdates(*it, now)) {
-            owesMembers = owesMembers || it->m_membersKey != membersFor(*it).m_key;
+            hasUnsentMembers = hasUnsentMembers || it->m_membersKey != membersFor(*it).m_key;
             ++it;
             continue;
         }
         recordSubscribed(it->m_member, false);
         it = m_subscriptions.erase(it);
     }
-    return owesMembers ? MembersInterval : IdleTurn;
+    return hasUnsentMembers ? MembersInterval : IdleInterval;
 }
 
 }
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -1,4 +1,4 @@
-/// @file An entry's side of spreading control state to agents and other entries.
+/// @file The entry's side of distributing control state to agents and other entries.
 #pragma once
 
 #include "LibControl/StateStore.h"
@@ -10,7 +10,7 @@
 
 namespace Control {
 
-/// What a subscriber last said it has in force.
+/// Status that a subscriber last reported.
 struct SubscriberStatus
 {
     Protocol::Member m_member;
@@ -23,8 +23,8 @@
 /**
  * Answers control.state, control.applied, control.offer and control.fence.
  *
- * Must be constructed before the node is started, and stopped after it. A subscriber that falls behind is cut off, and
- * gets a snapshot when it subscribes anew.
+ * The feed must be constructed before the node is started, and stopped after the node. A subscriber that falls behind is
+ * disconnected, and gets a snapshot when it subscribes again.
  */
 class StateFeed
 {
@@ -35,7 +35,7 @@
     void start();
     void stop();
 
-    /// What each instance that is or was subscribed here has in force, by id.
+    /// Returns the status of each instance that is or was subscribed here, by id.
     std::map<std::string, SubscriberStatus> subscriberStatuses() const;
 
 private:
@@ -43,17 +43,17 @@
     {
         Protocol::Member m_member;
         Wire::Responder m_responder;
-        std::string m_chain; ///< History that the subscriber has, or is being sent.
-        std::string m_membersKey; ///< Of the update on members that was sent last.
-        Core::Instant m_membersSentAt; ///< When.
-        Core::Instant m_announcedAt; ///< When the store was last told that the subscriber is there.
-        Core::Instant m_aheadSince; ///< Since when the subscriber has been seen to be ahead of this entry; none if it is not.
+        std::string m_chain; ///< Digest of the history that the subscriber has, or is being sent.
+        std::string m_membersKey; ///< Key of the members update that was sent last.
+        Core::Instant m_membersSentAt; ///< Time when it was sent.
+        Core::Instant m_announcedAt; ///< Time when the subscriber was last announced to the store.
+        Core::Instant m_aheadSince; ///< Time since which the subscriber has been ahead of this entry; unset if it is not ahead.
     };
 
     /// An update that is the same for many subscribers, encoded once.
     struct EncodedUpdate
     {
-        std::string m_key; ///< Of what is in it; empty if there is none yet.
+        std::string m_key; ///< Identifies the content; empty if there is none yet.
         std::string m_update;
     };
 
@@ -84,12 +84,12 @@
     Telemetry::Counter &m_subscribersRefused;
     Core::Ring<PendingSubscription> m_pendingSubscriptions;
     Core::Ring<std::string> m_offers; ///< Encoded states.
-    std::vector<Subscription> m_subscriptions; ///< Used by the duty's thread only.
-    EncodedUpdate m_stateUpdate; ///< Used by the duty's thread only, as are the following.
+    std::vector<Subscription> m_subscriptions; ///< Used by the worker's thread only.
+    EncodedUpdate m_stateUpdate; ///< Used by the worker's thread only, like the following members up to m_membersVersion.
     EncodedUpdate m_membersForEntries;
-    /// Agents need to know entries only. Sent all members, each would get hundreds of kilobytes whenever any instance came or went.
+    /// Agents need the entries only. If all members were sent, each agent would get hundreds of kilobytes whenever any instance joins or leaves.
     EncodedUpdate m_membersForAgents;
-    std::uint64_t m_membersVersion = 0; ///< Of the store's members when they were last encoded.
+    std::uint64_t m_membersVersion = 0; ///< Version of the store's members when they were last encoded.
     mutable std::mutex m_subscriberStatusesMutex;
     std::map<std::string, SubscriberStatus> m_subscriberStatuses; ///< By instance; at most MaximumSubscribers.
     Worker m_worker;
--- a/Libraries/LibControl/StateStore.cpp
+++ b/Libraries/LibControl/StateStore.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t MaximumSteps = 512;
-constexpr std::size_t MaximumStepBytes = 4 << 20;
+constexpr std::size_t MaximumRecentRecords = 512;
+constexpr std::size_t MaximumRecentRecordBytes = 4 << 20;
 
 }
 
@@ -36,11 +36,11 @@
     return current()->m_applied > 0;
 }
 
-void StateStore::storeRecentRecord(AppliedRecord step)
+void StateStore::storeRecentRecord(AppliedRecord appliedRecord)
 {
-    m_recentRecordBytes += step.m_record.m_body.size();
-    m_recentRecords.push_back(std::move(step));
-    while (m_recentRecords.size() > MaximumSteps || (m_recentRecordBytes > MaximumStepBytes && m_recentRecords.size() > 1)) {
+    m_recentRecordBytes += appliedRecord.m_record.m_body.size();
+    m_recentRecords.push_back(std::move(appliedRecord));
+    while (m_recentRecords.size() > MaximumRecentRecords || (m_recentRecordBytes > MaximumRecentRecordBytes && m_recentRecords.size() > 1)) {
         m_recentRecordBytes -= m_recentRecords.front().m_record.m_body.size();
         m_recentRecords.pop_front();
     }
@@ -52,7 +52,7 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         std::size_t known = 0;
         if (baseChain != m_state->m_chain) {
-            const auto follows = [&baseChain](const AppliedRecord &step) { return step.m_chainBefore == baseChain; };
+            const auto follows = [&baseChain](const AppliedRecord &appliedRecord) { return appliedRecord.m_chainBefore == baseChain; };
             const std::deque<AppliedRecord>::const_iterator base = std::find_if(m_recentRecords.begin(), m_recentRecords.end(), follows);
             if (base == m_recentRecords.end()) {
                 return ApplyResult::Gap;
@@ -63,7 +63,7 @@
             return ApplyResult::AlreadyKnown;
         }
         std::shared_ptr<ControlState> next = std::make_shared<ControlState>(*m_state);
-        std::vector<AppliedRecord> steps;
+        std::vector<AppliedRecord> appliedRecords;
         for (const Protocol::LogRecord &record : records.subspan(known)) {
             if (next->m_position + 1 != record.m_offset) {
                 return ApplyResult::Gap;
@@ -71,16 +71,17 @@
             const std::string before = next->m_chain;
             const RecordOutcome outcome = applyRecord(*next, record.m_offset, record.m_body);
             (outcome.m_accepted ? m_recordsApplied : m_recordsRefused).add();
-            steps.push_back(AppliedRecord{before, next->m_chain, record});
+            appliedRecords.push_back(AppliedRecord{before, next->m_chain, record});
         }
         if (!covers(*next, *m_state)) {
-            // A restore record by a writer that did not know what this process has accepted. Refusing it keeps that in force;
-            // the log's reader sees that the histories differ and puts the difference back.
+            // The records contain a restore by a writer that did not know something accepted by this process. Refusing the
+            // records keeps it in force. The log's reader then detects that the histories differ and restores the difference into
+            // the log.
             m_snapshotsRefused.add();
             return ApplyResult::Refused;
         }
-        for (AppliedRecord &step : steps) {
-            storeRecentRecord(std::move(step));
+        for (AppliedRecord &appliedRecord : appliedRecords) {
+            storeRecentRecord(std::move(appliedRecord));
         }
         m_state = std::move(next);
     }
@@ -152,7 +153,7 @@
 }
 
 template <typename Change>
-void StateStore::changeMembers(Change change)
+void StateStore::updateMembers(Change change)
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -166,22 +167,22 @@
 
 void StateStore::announce(const Protocol::Member &member)
 {
-    changeMembers([&member](MemberTable &table) { return table.announce(member, Core::Clock::now()); });
+    updateMembers([&member](MemberTable &table) { return table.announce(member, Core::Clock::now()); });
 }
 
-void StateStore::mergeMembers(const MembershipSnapshot &knowledge)
+void StateStore::mergeMembers(const MembershipSnapshot &membership)
 {
-    changeMembers([&knowledge](MemberTable &table) { return table.merge(knowledge, Core::Clock::now()); });
+    updateMembers([&membership](MemberTable &table) { return table.merge(membership, Core::Clock::now()); });
 }
 
 void StateStore::replaceMembers(std::span<const Protocol::Member> members)
 {
-    changeMembers([members](MemberTable &table) { return table.replace(members, Core::Clock::now()); });
+    updateMembers([members](MemberTable &table) { return table.replace(members, Core::Clock::now()); });
 }
 
 void StateStore::applyInstanceList(std::span<const Protocol::Member> listed)
 {
-    changeMembers([listed](MemberTable &table) { return table.applyList(listed, Core::Clock::now()); });
+    updateMembers([listed](MemberTable &table) { return table.applyList(listed, Core::Clock::now()); });
 }
 
 std::optional<std::vector<Protocol::LogRecord>> StateStore::recordsSince(const std::string &baseChain) const
@@ -190,7 +191,7 @@
     if (baseChain == m_state->m_chain) {
         return std::vector<Protocol::LogRecord>();
     }
-    const auto follows = [&baseChain](const AppliedRecord &step) { return step.m_chainBefore == baseChain; };
+    const auto follows = [&baseChain](const AppliedRecord &appliedRecord) { return appliedRecord.m_chainBefore == baseChain; };
     const std::deque<AppliedRecord>::const_iterator base = std::find_if(m_recentRecords.begin(), m_recentRecords.end(), follows);
     if (base == m_recentRecords.end()) {
         return std::nullopt;
--- a/Libraries/LibControl/StateStore.h
+++ b/Libraries/LibControl/StateStore.h
@@ -1,4 +1,4 @@
-/// @file The control state and the members that one process has in force, shared between its duties.
+/// @file The control state and the members that one process has in force, shared between its threads.
 #pragma once
 
 #include "LibControl/ControlState.h"
@@ -18,24 +18,26 @@
 
 namespace Control {
 
-/// What became of records or a snapshot that were offered to a store.
+/// Result of applying records or a snapshot to a store.
 enum class ApplyResult {
-    Applied, ///< The state moved up.
-    AlreadyKnown, ///< Nothing new.
-    Gap, ///< The records follow a history that this store has not folded.
-    Refused, ///< A snapshot that would take back something accepted.
+    Applied, ///< The state advanced.
+    AlreadyKnown, ///< The input contains nothing new.
+    Gap, ///< The records follow a history that this store has not applied.
+    Refused, ///< The input would undo something accepted.
 };
 
-/// Where a snapshot comes from.
+/// Source of a snapshot.
 enum class SnapshotSource {
     Peer,
-    Log, ///< It was folded from the log, which decides between histories that cover each other.
+    Log, ///< Built from the log, which decides between histories that cover each other.
 };
 
 /**
- * Holds what is in force. Thread-safe; the state is replaced as a whole and never changed in place.
+ * Holds the control state and the members in force. Thread-safe; the state is replaced as a whole and never modified in
+ * place.
  *
- * It only ever moves up: records are folded in order, and a snapshot is taken only if it covers the state in force.
+ * The state only ever advances: records are applied in order, and a snapshot is accepted only if it covers the state in
+ * force.
  */
 class StateStore
 {
@@ -45,44 +47,46 @@
     StateStore(const StateStore &) = delete;
     StateStore &operator=(const StateStore &) = delete;
 
-    /// Never null; empty until isReady().
+    /// Returns the state in force. Never null; empty until isReady().
     std::shared_ptr<const ControlState> current() const;
-    /// False until accepted state is known; a process that is not ready serves nothing rather than defaults.
+    /// Returns whether accepted state is known. A process that is not ready serves nothing instead of serving defaults.
     bool isReady() const;
 
-    /// Folds records that follow the history with the digest @p baseChain. Records that were folded before are passed over.
+    /// Applies records that follow the history with the digest @p baseChain. Records that were already applied are skipped.
     ApplyResult applyRecords(const std::string &baseChain, std::span<const Protocol::LogRecord> records);
-    /// Takes a whole state if it is newer than and covers the one in force.
+    /// Replaces the state by a complete one that is newer than the state in force and covers it.
     ApplyResult applySnapshot(ControlState snapshot, SnapshotSource source = SnapshotSource::Peer);
 
-    /// A peer has @p state in force. Taken as a snapshot if it covers the state here; else kept, if it holds something that is
-    /// not in force here, until it has been put back into the log.
+    /// Handles @p state offered by a peer, which has it in force. It is applied as a snapshot if it covers the state here.
+    /// Otherwise, if it contains something that is not in force here, it is kept until it has been restored into the log.
     void offer(ControlState state);
-    /// What is to be put back into the log, if anything.
+    /// Returns the offered state that must be restored into the log, if any.
     std::optional<ControlState> offeredState() const;
-    /// The log covers what was offered.
+    /// Clears the offered state. To be called once the log covers it.
     void clearOfferedState();
 
     std::vector<Protocol::Member> members() const;
     MembershipSnapshot membershipSnapshot() const;
-    /// Grows with every change of members(); starts at 1.
+    /// Returns the version of members(), which starts at 1 and grows with every change.
     std::uint64_t membersVersion() const;
     void announce(const Protocol::Member &member);
-    void mergeMembers(const MembershipSnapshot &knowledge);
+    void mergeMembers(const MembershipSnapshot &membership);
     void replaceMembers(std::span<const Protocol::Member> members);
     void applyInstanceList(std::span<const Protocol::Member> listed);
 
-    /// Records that lead from the history with the digest @p baseChain to the state in force; empty optional if that is not remembered.
+    /// Returns the records that lead from the history with the digest @p baseChain to the state in force, or no value if that
+    /// history is no longer kept.
     std::optional<std::vector<Protocol::LogRecord>> recordsSince(const std::string &baseChain) const;
 
-    /// Calls @p callback after each change of state or members, on the thread that made it; it must not block. Not to be called once threads run.
+    /// Calls @p callback after each change of state or members, on the thread that made the change. The callback must not block.
+    /// Must not be called once threads run.
     void onChange(std::function<void()> callback);
 
-    /// For the process's dump.
+    /// Returns the content of the store for the process's dump.
     Poco::JSON::Object::Ptr dump() const;
 
 private:
-    /// A record that was folded, between the history before it and the history with it.
+    /// An applied record, with the digests of the history before it and after it.
     struct AppliedRecord
     {
         std::string m_chainBefore;
@@ -92,8 +96,8 @@
 
     void notifyChange() const;
     template <typename Change>
-    void changeMembers(Change change);
-    void storeRecentRecord(AppliedRecord step);
+    void updateMembers(Change change);
+    void storeRecentRecord(AppliedRecord appliedRecord);
 
     Telemetry::Counter &m_recordsApplied;
     Telemetry::Counter &m_recordsRefused;
@@ -101,13 +105,13 @@
     Telemetry::Counter &m_snapshotsRefused;
 
     mutable std::mutex m_mutex;
-    std::shared_ptr<const ControlState> m_state; ///< m_applied only grows; each state covers the one before.
-    std::deque<AppliedRecord> m_recentRecords; ///< Newest last, each following the one before; the last ends at m_state. Bounded in number and bytes.
+    std::shared_ptr<const ControlState> m_state; ///< m_applied never decreases; each state covers the one before.
+    std::deque<AppliedRecord> m_recentRecords; ///< Newest last, without gaps; the last one leads to m_state. Bounded in number and bytes.
     std::size_t m_recentRecordBytes = 0;
-    std::optional<ControlState> m_offeredState; ///< Holds something that m_state does not cover.
+    std::optional<ControlState> m_offeredState; ///< Contains something that m_state does not cover.
     MemberTable m_members;
     std::uint64_t m_membersVersion = 1;
-    std::vector<std::function<void()>> m_callbacks; ///< Fixed once threads run.
+    std::vector<std::function<void()>> m_callbacks; ///< Not modified once threads run.
 };
 
 }
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::size_t ArrivalCapacity = 1024;
+constexpr std::size_t QueueCapacity = 1024;
 constexpr Core::Duration NoticeTimeout{2000};
-constexpr Core::Duration NoticeRepeat{5000};
-constexpr Core::Duration AtOnce{0};
+constexpr Core::Duration NoticeInterval{5000};
+constexpr Core::Duration NoWait{0};
 
 }
 
@@ -26,7 +26,7 @@
     , m_feedsLost(metrics.counter("control_feeds_lost_total"))
     , m_gaps(metrics.counter("control_feed_gaps_total"))
     , m_overruns(metrics.counter("control_feed_overruns_total"))
-    , m_inbox(std::make_shared<Inbox>(ArrivalCapacity))
+    , m_inbox(std::make_shared<Inbox>(QueueCapacity))
     , m_self(std::move(self))
 {
     store.onChange([this] { m_worker.wake(); });
@@ -79,10 +79,10 @@
     announceSelf();
     updateFeeds();
     sendAcknowledgements();
-    return m_inbox->m_events.size() > 0 ? AtOnce : m_settings.m_checkInterval;
+    return m_inbox->m_events.size() > 0 ? NoWait : m_settings.m_checkInterval;
 }
 
-/// An entry is a member of its own table; nobody else would keep it there while the list does not show it.
+/// Announces an entry to its own member table. No other process would keep it there while the list does not show it.
 void StateSubscriber::announceSelf()
 {
     Protocol::Member self;
@@ -100,16 +100,16 @@
     if (m_inbox->m_hasOverflowed.exchange(false)) {
         closeAllFeeds();
     }
-    while (std::optional<FeedEvent> arrival = m_inbox->m_events.pop(AtOnce)) {
-        if (arrival->m_hasEnded) {
-            closeFeed(arrival->m_feedId, true);
+    while (std::optional<FeedEvent> event = m_inbox->m_events.pop(NoWait)) {
+        if (event->m_hasEnded) {
+            closeFeed(event->m_feedId, true);
         } else {
-            handleUpdate(arrival->m_feedId, arrival->m_frame);
+            handleUpdate(event->m_feedId, event->m_frame);
         }
     }
 }
 
-/// An update or the end of a stream was lost on the way to this duty. Subscribed anew, every feed starts from what is in force here.
+/// Closes all feeds after an update or the end of a stream was dropped. Feeds that are opened again start from the state in force here.
 void StateSubscriber::closeAllFeeds()
 {
     m_overruns.add();
@@ -147,17 +147,17 @@
         offerState(feedId);
     }
     if (!update.m_records.empty() && m_store.applyRecords(update.m_baseChain, update.m_records) == ApplyResult::Gap) {
-        // The entry folded another history than this process: its snapshot decides which of the two covers the other.
+        // The entry has applied another history than this process. The snapshot that a new feed starts with shows which of the two covers the other.
         m_gaps.add();
         closeFeed(feedId, false);
     }
 }
 
 /**
- * Hands the state in force here to an entry that lacks something of it.
+ * Sends the state in force here to an entry that lacks something of it.
  *
- * All entries can be replaced while the log loses records. Agents, which never read the log, are then the only ones that
- * still know what was accepted.
+ * All entries can be replaced while the log loses records. Agents, which never read the log, are then the only processes
+ * that still have what was accepted.
  */
 void StateSubscriber::offerState(std::uint64_t feedId)
 {
@@ -177,7 +177,7 @@
     message.m_snapshot = encodeState(*state);
     Wire::CallEvents events;
     events.m_onEnd = [](const Wire::CallEnd &) {
-        // Several instances have the same to offer; one of them gets through.
+        // No retry is needed: several instances offer the same state, and one of the calls succeeds.
     };
     m_node.call(address, "control.offer", Wire::pack(message), Wire::CallOptions{NoticeTimeout}, std::move(events));
 }
@@ -216,11 +216,11 @@
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         const std::vector<Core::Address> wanted = selectFeeds(m_self, members, m_seeds, avoided, m_settings.m_feedCount);
-        const bool announceAnew = std::exchange(m_selfChanged, false);
+        const bool mustReannounce = std::exchange(m_selfChanged, false);
         std::set<Core::Address> open;
         for (std::map<std::uint64_t, Feed>::iterator it = m_feeds.begin(); it != m_feeds.end();) {
             const bool isWanted = std::find(wanted.begin(), wanted.end(), it->second.m_address) != wanted.end();
-            if (isWanted && !announceAnew) {
+            if (isWanted && !mustReannounce) {
                 open.insert(it->second.m_address);
                 ++it;
                 continue;
@@ -254,13 +254,13 @@
 
     Wire::CallEvents events;
     const std::shared_ptr<Inbox> inbox = m_inbox;
-    Worker &duty = m_worker;
-    const auto deliver = [inbox, &duty](FeedEvent arrival) {
-        if (inbox->m_events.tryPush(std::move(arrival))) {
-            duty.wake();
+    Worker &worker = m_worker;
+    const auto deliver = [inbox, &worker](FeedEvent event) {
+        if (inbox->m_events.tryPush(std::move(event))) {
+            worker.wake();
         } else if (!inbox->m_events.isClosed()) {
             inbox->m_hasOverflowed = true;
-            duty.wake();
+            worker.wake();
         }
     };
     events.m_onFrame = [deliver, feedId](std::string frame) { deliver(FeedEvent{feedId, std::move(frame), false}); };
@@ -284,8 +284,8 @@
         notice = Protocol::AppliedNotice{m_self.m_id, m_self.m_incarnation, applied};
         for (std::pair<const std::uint64_t, Feed> &entry : m_feeds) {
             Feed &feed = entry.second;
-            // Repeated now and then, since a notice can be lost with its connection.
-            const bool isDue = feed.m_acknowledgedOffset < applied || (applied > 0 && now - feed.m_acknowledgedAt >= NoticeRepeat);
+            // Repeated at intervals, since a notice can be lost with its connection.
+            const bool isDue = feed.m_acknowledgedOffset < applied || (applied > 0 && now - feed.m_acknowledgedAt >= NoticeInterval);
             if (isDue) {
                 feed.m_acknowledgedOffset = applied;
                 feed.m_acknowledgedAt = now;
@@ -296,7 +296,7 @@
     for (const Core::Address &address : due) {
         Wire::CallEvents events;
         events.m_onEnd = [](const Wire::CallEnd &) {
-            // A lost notice is made good by the next one.
+            // No retry is needed: the next notice replaces a lost one.
         };
         m_node.call(address, "control.applied", Wire::pack(notice), Wire::CallOptions{NoticeTimeout}, std::move(events));
     }
--- a/Libraries/LibControl/StateSubscriber.h
+++ b/Libraries/LibControl/StateSubscriber.h
@@ -1,4 +1,4 @@
-/// @file How a process gets control state from entries: agents always, entries while the log is down.
+/// @file Subscription of a process to control state from entries: agents get all state this way, entries while the log is down.
 #pragma once
 
 #include "LibControl/StateStore.h"
@@ -14,16 +14,16 @@
 
 struct StateSubscriberSettings
 {
-    std::size_t m_feedCount = 2; ///< Entries that it is subscribed to at once.
-    Core::Duration m_retryDelay{500}; ///< How long an entry that failed is passed over.
-    Core::Duration m_checkInterval{200}; ///< Longest time between two looks at the choice of entries.
+    std::size_t m_feedCount = 2; ///< Number of entries subscribed to at the same time.
+    Core::Duration m_retryDelay{500}; ///< Time during which an entry that failed is avoided.
+    Core::Duration m_checkInterval{200}; ///< Longest time between two checks of the selected entries.
 };
 
 /**
- * Keeps subscriptions to several entries and applies what they send, on a thread of its own.
+ * Keeps subscriptions to several entries and applies what they send, on its own thread.
  *
- * An entry can die, or its connection can go silent for good; the wire's heartbeat ends the stream then, and another entry
- * is chosen. With two feeds a change is not late while that is noticed.
+ * An entry can fail, or its connection can become permanently silent. The heartbeat of the connection then ends the stream,
+ * and another entry is selected. With two feeds, changes are not delayed while a failure is being detected.
  */
 class StateSubscriber
 {
@@ -37,16 +37,16 @@
     ~StateSubscriber();
 
     void start();
-    /// To be called before the node is stopped.
+    /// Must be called before the node is stopped.
     void stop();
 
-    /// Announces the process anew, for example that it is leaving, at every entry that it is subscribed to.
+    /// Announces changed data of the process, for example that it is leaving, to every entry that it is subscribed to.
     void updateSelf(const Protocol::Member &self);
-    /// Entries that it is subscribed to.
+    /// Returns the entries that it is subscribed to.
     std::vector<Core::Address> feeds() const;
 
 private:
-    /// What a stream brought, on its way from the node's thread.
+    /// A frame or the end of a stream, on its way from the node's thread to the worker.
     struct FeedEvent
     {
         std::uint64_t m_feedId = 0;
@@ -63,16 +63,16 @@
         }
 
         Core::Ring<FeedEvent> m_events;
-        std::atomic<bool> m_hasOverflowed = false; ///< Something was refused, so no feed can be relied on any more.
+        std::atomic<bool> m_hasOverflowed = false; ///< An event was dropped, so no feed is reliable any more.
     };
 
     struct Feed
     {
         Core::Address m_address;
         Wire::CallId m_call = 0;
-        Offset m_acknowledgedOffset = 0; ///< Last offset that this entry was told is in force here.
-        Core::Instant m_acknowledgedAt; ///< When.
-        std::string m_offeredChain; ///< Chain of the state that this entry was offered last.
+        Offset m_acknowledgedOffset = 0; ///< Last applied offset that was reported to the entry.
+        Core::Instant m_acknowledgedAt; ///< Time of that report.
+        std::string m_offeredChain; ///< Chain of the state that was last offered to the entry.
     };
 
     Core::Duration runOnce();
@@ -99,9 +99,9 @@
     mutable std::mutex m_mutex;
     Protocol::Member m_self;
     bool m_selfChanged = false;
-    std::map<std::uint64_t, Feed> m_feeds; ///< By a number that is never used again.
+    std::map<std::uint64_t, Feed> m_feeds; ///< By feed id; ids are never reused.
 
-    std::uint64_t m_nextFeedId = 1; ///< Used by the duty's thread only, as is the following.
+    std::uint64_t m_nextFeedId = 1; ///< Used by the worker's thread only, like m_avoidedUntil.
     std::map<Core::Address, Core::Instant> m_avoidedUntil;
     Worker m_worker;
 };
--- a/Libraries/LibControl/StatusPage.cpp
+++ b/Libraries/LibControl/StatusPage.cpp
@@ -16,13 +16,13 @@
 using Object = Poco::JSON::Object;
 using Array = Poco::JSON::Array;
 
-Offset numberIn(const Object &object, const std::string &field)
+Offset readOffset(const Object &object, const std::string &field)
 {
     return static_cast<Offset>(object.getValue<Poco::UInt64>(field));
 }
 
-/// Calls @p read for each object of a list; an absent list is empty.
-void forEach(const Object &object, const std::string &field, const std::function<void(const Object &)> &read)
+/// Calls @p read for each object of a list. An absent list counts as empty.
+void forEachObject(const Object &object, const std::string &field, const std::function<void(const Object &)> &read)
 {
     const Array::Ptr array = object.getArray(field);
     for (unsigned index = 0; array && index < array->size(); ++index) {
@@ -34,7 +34,7 @@
     }
 }
 
-std::set<std::string> textsIn(const Object &object, const std::string &field)
+std::set<std::string> readTexts(const Object &object, const std::string &field)
 {
     std::set<std::string> texts;
     const Array::Ptr array = object.getArray(field);
@@ -50,7 +50,7 @@
                           object.getValue<std::string>("role"),
                           object.getValue<std::string>("failure_domain"),
                           object.getValue<bool>("leaving"),
-                          numberIn(object, "applied")};
+                          readOffset(object, "applied")};
 }
 
 DeploymentStatus parseDeployment(const Object &object, const std::string &service, Offset plan)
@@ -62,8 +62,8 @@
     status.m_digest = object.getValue<std::string>("digest");
     status.m_plan = plan;
     status.m_wanted = object.getValue<Poco::UInt32>("wanted");
-    status.m_serving = textsIn(object, "serving_instances");
-    status.m_waiting = textsIn(object, "waiting_instances");
+    status.m_serving = readTexts(object, "serving_instances");
+    status.m_waiting = readTexts(object, "waiting_instances");
     return status;
 }
 
@@ -71,29 +71,29 @@
 {
     StatusPage page;
     page.m_entry = object.getValue<std::string>("entry");
-    page.m_applied = numberIn(object, "applied");
-    forEach(object, "members", [&page](const Object &item) { page.m_instances.push_back(parseInstance(item)); });
-    forEach(object, "services", [&page](const Object &item) {
+    page.m_applied = readOffset(object, "applied");
+    forEachObject(object, "members", [&page](const Object &item) { page.m_instances.push_back(parseInstance(item)); });
+    forEachObject(object, "services", [&page](const Object &item) {
         const std::string service = item.getValue<std::string>("service");
-        const Offset plan = numberIn(item, "plan");
-        forEach(item, "deployments", [&page, &service, plan](const Object &deployment) {
+        const Offset plan = readOffset(item, "plan");
+        forEachObject(item, "deployments", [&page, &service, plan](const Object &deployment) {
             page.m_deployments.push_back(parseDeployment(deployment, service, plan));
         });
     });
-    forEach(object, "transfers", [&page](const Object &item) {
+    forEachObject(object, "transfers", [&page](const Object &item) {
         page.m_transfers.push_back(
-            TransferStatus{item.getValue<std::string>("instance"), item.getValue<std::string>("digest"), numberIn(item, "held"), numberIn(item, "total")});
+            TransferStatus{item.getValue<std::string>("instance"), item.getValue<std::string>("digest"), readOffset(item, "held"), readOffset(item, "total")});
     });
     return page;
 }
 
-void combine(InstanceStatus &known, const InstanceStatus &other)
+void mergeStatus(InstanceStatus &known, const InstanceStatus &other)
 {
     known.m_applied = std::max(known.m_applied, other.m_applied);
     known.m_leaving = known.m_leaving || other.m_leaving;
 }
 
-void combine(DeploymentStatus &known, const DeploymentStatus &other)
+void mergeStatus(DeploymentStatus &known, const DeploymentStatus &other)
 {
     known.m_serving.insert(other.m_serving.begin(), other.m_serving.end());
     known.m_waiting.insert(other.m_waiting.begin(), other.m_waiting.end());
@@ -102,7 +102,7 @@
     }
 }
 
-/// Offset of the newest plan of each service on any page; an entry that is behind shows deployments that are gone.
+/// Returns the offset of the newest plan of each service on any page. An entry that is behind shows deployments that no longer exist.
 std::map<std::string, Offset> newestPlans(std::span<const StatusPage> pages)
 {
     std::map<std::string, Offset> newest;
@@ -138,11 +138,11 @@
     for (const StatusPage &page : pages) {
         combined.m_applied = std::max(combined.m_applied, page.m_applied);
         for (const InstanceStatus &status : page.m_instances) {
-            combine(instances.emplace(status.m_id, status).first->second, status);
+            mergeStatus(instances.emplace(status.m_id, status).first->second, status);
         }
         for (const DeploymentStatus &status : page.m_deployments) {
             if (status.m_plan == plans.at(status.m_service)) {
-                combine(deployments.emplace(std::pair(status.m_service, status.m_digest), status).first->second, status);
+                mergeStatus(deployments.emplace(std::pair(status.m_service, status.m_digest), status).first->second, status);
             }
         }
         for (const TransferStatus &status : page.m_transfers) {
@@ -175,16 +175,16 @@
 
 std::map<std::string, FailureDomainStatus> statusByFailureDomain(const StatusPage &page, const DeploymentStatus &deployment)
 {
-    std::map<std::string, FailureDomainStatus> places;
+    std::map<std::string, FailureDomainStatus> domains;
     for (const InstanceStatus &status : page.m_instances) {
         const bool isServing = deployment.m_serving.contains(status.m_id);
         if (isServing || deployment.m_waiting.contains(status.m_id)) {
-            FailureDomainStatus &place = places[status.m_failureDomain];
-            ++place.m_wanted;
-            place.m_serving += isServing ? 1 : 0;
+            FailureDomainStatus &domain = domains[status.m_failureDomain];
+            ++domain.m_wanted;
+            domain.m_serving += isServing ? 1 : 0;
         }
     }
-    return places;
+    return domains;
 }
 
 double deploymentProgress(const StatusPage &page, const DeploymentStatus &deployment)
--- a/Libraries/LibControl/StatusPage.h
+++ b/Libraries/LibControl/StatusPage.h
@@ -1,4 +1,4 @@
-/// @file What operators' tools read from the entries' pages /status, and how pages of several entries combine.
+/// @file The status that operators' tools read from the /status pages of entries, and how pages of several entries are combined.
 #pragma once
 
 #include "LibControl/ControlState.h"
@@ -11,19 +11,19 @@
 
 namespace Control {
 
-/// One process of the system.
+/// Status of one process of the system.
 struct InstanceStatus
 {
     std::string m_id;
     std::string m_role; ///< "entry" or "agent".
     std::string m_failureDomain;
     bool m_leaving = false;
-    Offset m_applied = 0; ///< Revision in force there, as far as the entry knows; 0 if it has not heard.
+    Offset m_applied = 0; ///< Revision in force there, as far as the entry knows; 0 if unknown.
 
     bool operator==(const InstanceStatus &) const = default;
 };
 
-/// One version and the instances that are to hold it.
+/// One version and the instances that are planned to hold it.
 struct DeploymentStatus
 {
     std::string m_service;
@@ -31,19 +31,19 @@
     std::string m_version;
     std::string m_digest;
     Offset m_plan = 0; ///< Offset of the plan in force.
-    std::uint32_t m_wanted = 0; ///< Replicas.
+    std::uint32_t m_wanted = 0; ///< Number of replicas.
     std::set<std::string> m_serving; ///< Instances known to serve it.
     std::set<std::string> m_waiting; ///< Instances known not to serve it yet.
 
     bool operator==(const DeploymentStatus &) const = default;
 };
 
-/// How much of some weights an instance holds.
+/// Progress of an instance in receiving the weights of one digest.
 struct TransferStatus
 {
     std::string m_instance;
     std::string m_digest;
-    std::uint64_t m_held = 0; ///< Chunks.
+    std::uint64_t m_held = 0; ///< In chunks, like m_total.
     std::uint64_t m_total = 0;
 
     bool operator==(const TransferStatus &) const = default;
@@ -51,7 +51,7 @@
 
 struct StatusPage
 {
-    std::string m_entry; ///< Whose page it is; empty if combined.
+    std::string m_entry; ///< Id of the entry that made the page; empty if combined.
     Offset m_applied = 0;
     std::vector<InstanceStatus> m_instances; ///< Sorted by id.
     std::vector<DeploymentStatus> m_deployments; ///< Sorted by service and digest.
@@ -60,28 +60,29 @@
     bool operator==(const StatusPage &) const = default;
 };
 
-/// Parses the JSON text of one page; docs/PROCESSES.md gives its shape. Fails with Corrupt.
+/// Parses the JSON text of one page; docs/PROCESSES.md describes its fields. Fails with Corrupt.
 Core::Result<StatusPage> parseStatusPage(const std::string &text, const std::string &peer);
 
-/// The most that any entry knows. An entry hears from some instances only, so one page alone does not tell.
+/// Combines pages into the newest status that any entry knows. An entry receives reports of some instances only, so a single page is incomplete.
 StatusPage combineStatusPages(std::span<const StatusPage> pages);
 
-/// Live instances where @p revision is not in force, by id.
+/// Returns the ids of the live instances where @p revision is not in force.
 std::vector<std::string> instancesBehind(const StatusPage &page, Offset revision);
 
-/// Replicas of one deployment in one place.
+/// Replicas of one deployment in one failure domain.
 struct FailureDomainStatus
 {
-    std::uint32_t m_wanted = 0; ///< Those whose instance is known.
+    std::uint32_t m_wanted = 0; ///< Number of replicas whose instance is known.
     std::uint32_t m_serving = 0;
 
     bool operator==(const FailureDomainStatus &) const = default;
 };
 
-/// By failure domain.
+/// Returns the replicas of a deployment by failure domain.
 std::map<std::string, FailureDomainStatus> statusByFailureDomain(const StatusPage &page, const DeploymentStatus &deployment);
 
-/// Share of a deployment that is done, from 0 to 1: replicas that serve, and what the others hold of the weights.
+/// Returns the completed share of a deployment, from 0 to 1. Counts the replicas that serve and, for the others, the share of the
+/// weights that they hold.
 double deploymentProgress(const StatusPage &page, const DeploymentStatus &deployment);
 
 }
--- a/Libraries/LibControl/Worker.cpp
+++ b/Libraries/LibControl/Worker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of a duty's thread.
+/// @file Implementation of the worker's thread.
 
 #include "LibControl/Worker.h"
 
@@ -9,13 +9,13 @@
     stop();
 }
 
-void Worker::start(std::function<Core::Duration()> turn)
+void Worker::start(std::function<Core::Duration()> task)
 {
     if (m_thread.joinable()) {
         return;
     }
     m_stopping = false;
-    m_thread = std::thread([this, turn = std::move(turn)] { run(turn); });
+    m_thread = std::thread([this, task = std::move(task)] { run(task); });
 }
 
 void Worker::stop()
@@ -52,10 +52,10 @@
     return m_stopping;
 }
 
-void Worker::run(const std::function<Core::Duration()> &turn)
+void Worker::run(const std::function<Core::Duration()> &task)
 {
     while (!isStopping()) {
-        const Core::Duration wait = turn();
+        const Core::Duration wait = task();
         std::unique_lock<std::mutex> lock(m_mutex);
         m_wakeCondition.wait_for(lock, wait, [this] { return m_stopping || m_woken; });
         m_woken = false;
--- a/Libraries/LibControl/Worker.h
+++ b/Libraries/LibControl/Worker.h
@@ -1,4 +1,4 @@
-/// @file A thread that does one job again and again until it is stopped, and can be woken early.
+/// @file A thread that repeats one task until it is stopped, and can be woken early.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -10,7 +10,8 @@
 
 namespace Control {
 
-/// Runs a turn, waits as long as the turn said or until it is woken, and so on. Turns must end within a bounded time.
+/// Runs a task repeatedly on its own thread. After each run it waits for the time that the task returned, or until it is woken. A
+/// run must end within a bounded time.
 class Worker
 {
 public:
@@ -20,18 +21,18 @@
     Worker(const Worker &) = delete;
     Worker &operator=(const Worker &) = delete;
 
-    /// Starts the thread. @p turn returns how long to wait until the next one.
-    void start(std::function<Core::Duration()> turn);
-    /// Ends after the turn that runs; joins the thread.
+    /// Starts the thread. @p task returns the time to wait before its next run.
+    void start(std::function<Core::Duration()> task);
+    /// Stops after the current run and joins the thread.
     void stop();
-    /// Makes the next turn come at once. From any thread.
+    /// Makes the next run start at once. May be called from any thread.
     void wake();
     bool isStopping() const;
-    /// Waits inside a turn; true if the duty is being stopped.
+    /// Waits within a run, at most for @p duration. Returns true if the worker is being stopped.
     bool pause(Core::Duration duration);
 
 private:
-    void run(const std::function<Core::Duration()> &turn);
+    void run(const std::function<Core::Duration()> &task);
 
     mutable std::mutex m_mutex;
     std::condition_variable m_wakeCondition;
--- a/Tests/LibControl/Examples.h
+++ b/Tests/LibControl/Examples.h
@@ -1,4 +1,4 @@
-/// @file Templates, members and records for the tests of control.
+/// @file Example templates, members and records for the tests of LibControl.
 #pragma once
 
 #include "LibControl/ApplyRecord.h"
@@ -11,9 +11,9 @@
 
 namespace Examples {
 
-inline Control::AccountParameters account(const std::string &name, char digest, std::uint32_t replicas, std::vector<std::string> places = {})
+inline Control::AccountParameters account(const std::string &name, char digest, std::uint32_t replicas, std::vector<std::string> failureDomains = {})
 {
-    return Control::AccountParameters{name, "model", std::string("v") + digest, std::string(64, digest), replicas, std::move(places), 1};
+    return Control::AccountParameters{name, "model", std::string("v") + digest, std::string(64, digest), replicas, std::move(failureDomains), 1};
 }
 
 inline Control::Template makeTemplate(const std::string &name, std::vector<Control::AccountParameters> accounts)
@@ -58,11 +58,11 @@
     return members;
 }
 
-/// Waits for a condition; false if it does not come true within the time that only a hanging test needs.
+/// Waits for a condition. Returns false if it is not met within a time that only a hanging test reaches.
 inline bool eventually(const std::function<bool()> &condition)
 {
-    constexpr std::chrono::seconds patience{30};
-    const Core::Instant deadline = Core::Clock::now() + patience;
+    constexpr std::chrono::seconds timeout{30};
+    const Core::Instant deadline = Core::Clock::now() + timeout;
     while (Core::Clock::now() < deadline) {
         if (condition()) {
             return true;
--- a/Tests/LibControl/Processes.h
+++ b/Tests/LibControl/Processes.h
@@ -49,7 +49,7 @@
     return settings;
 }
 
-/// An entry with everything that control has there. @p log may be another one than the other entries' log.
+/// The control components of an entry. @p log may differ from the log of the other entries.
 struct EntryProcess
 {
     Telemetry::Metrics m_metrics;
@@ -92,7 +92,7 @@
     }
 };
 
-/// An agent's control part.
+/// The control components of an agent.
 struct AgentProcess
 {
     Telemetry::Metrics m_metrics;
@@ -103,15 +103,15 @@
 
     using ChangeCallback = std::function<void(const Control::StateStore &)>;
 
-    /// @p watch, if given, is called after each change of what is in force.
-    AgentProcess(int number, const std::vector<Core::Address> &seeds, const ChangeCallback &watch)
+    /// @p callback, if given, is called after each change of what is in force.
+    AgentProcess(int number, const std::vector<Core::Address> &seeds, const ChangeCallback &callback)
         : m_member(agent(number, "hcm-a"))
         , m_node(nodeSettings(Network::freeLoopbackAddress()), m_metrics)
         , m_store(m_metrics)
         , m_subscriber(m_node, m_store, m_member, seeds, m_metrics)
     {
-        if (watch) {
-            m_store.onChange([this, watch] { watch(m_store); });
+        if (callback) {
+            m_store.onChange([this, callback] { callback(m_store); });
         }
         REQUIRE(m_node.start());
         m_subscriber.start();
--- a/Tests/LibControl/TestApplyRecord.cpp
+++ b/Tests/LibControl/TestApplyRecord.cpp
@@ -1,4 +1,4 @@
-/// @file The fold: one winner among racing changes, the same everywhere, and nothing fatal.
+/// @file Application of records: one of several competing changes is accepted, the same one everywhere, and no record is fatal.
 
 #include "Examples.h"
 
@@ -6,24 +6,25 @@
 
 using namespace Examples;
 
-TEST_CASE("of two operators who change the same revision, the first in the log wins and the other learns by whom")
+TEST_CASE("of two changes to the same revision, the first in the log is accepted and the other is refused with the name of its author")
 {
-    // Two operators start from the same revision and publish within the same second.
-    // Without the check, the later record would silently undo a change that its operator was told is accepted.
+    // Two operators publish changes based on the same revision within the same second. Without the check, the later record would
+    // silently undo a change that was reported to its operator as accepted.
     Control::ControlState state;
     REQUIRE(applyNext(state, makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)}), "ann")).m_accepted);
     REQUIRE(applyNext(state, makePublishRecord("r2", 1, makeTemplate("t", {account("a", '2', 1)}), "bea")).m_accepted);
-    const Control::RecordOutcome lost = applyNext(state, makePublishRecord("r3", 1, makeTemplate("t", {account("a", '3', 1)}), "cid"));
-    REQUIRE_FALSE(lost.m_accepted);
-    REQUIRE(lost.m_winner == 2);
-    REQUIRE(lost.m_winnerAuthor == "bea");
+    const Control::RecordOutcome refused = applyNext(state, makePublishRecord("r3", 1, makeTemplate("t", {account("a", '3', 1)}), "cid"));
+    REQUIRE_FALSE(refused.m_accepted);
+    REQUIRE(refused.m_winner == 2);
+    REQUIRE(refused.m_winnerAuthor == "bea");
     REQUIRE(state.m_templates.at("t").m_template.m_accounts.front().m_digest == std::string(64, '2'));
-    REQUIRE(*Control::findOutcome(state, "r3") == lost);
+    REQUIRE(*Control::findOutcome(state, "r3") == refused);
 }
 
-TEST_CASE("a change based on a template from before its removal is refused")
+TEST_CASE("a change based on a revision before the removal of the template is refused")
 {
-    // One operator removes a template while another, who still sees it, changes a parameter. The change must not bring it back.
+    // One operator removes a template while another operator, who has not seen the removal, changes a parameter. The change must
+    // not bring the template back.
     Control::ControlState state;
     applyNext(state, makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)})));
     REQUIRE(applyNext(state, Control::Record{"r2", "bea", Control::RemoveTemplate{"t", 1}}).m_accepted);
@@ -36,7 +37,7 @@
 
 TEST_CASE("a record that was appended twice takes effect once")
 {
-    // A writer that lost the answer appends again after all. The copy must not count as a second change over somebody else's.
+    // A writer that did not get the answer appends the record again. The copy must not count as a second change that overrides another writer's.
     Control::ControlState state;
     const Control::Record once = makePublishRecord("r1", 0, makeTemplate("t", {account("a", '1', 1)}));
     applyNext(state, once);
@@ -47,9 +48,9 @@
     REQUIRE(state.m_outcomes.size() == 1);
 }
 
-TEST_CASE("malformed and oversized records are refused and passed over")
+TEST_CASE("malformed and oversized records are refused and skipped")
 {
-    // A broken writer appends bytes that are no record. If a reader stopped there, no later change would come into force anywhere.
+    // A faulty writer appends bytes that are not a record. If readers stopped there, no later change would come into force anywhere.
     Control::ControlState state;
     REQUIRE_FALSE(Control::applyRecord(state, 1, "nonsense").m_accepted);
     REQUIRE_FALSE(Control::applyRecord(state, 2, std::string(100, '\x91')).m_accepted);
@@ -65,7 +66,7 @@
     REQUIRE(state.m_templates.at("t").m_revision == 7);
 }
 
-TEST_CASE("of two entries that plan at once, one plan holds and its offset fences")
+TEST_CASE("of two plans made at the same time, one is accepted and its offset is the fencing number")
 {
     Control::ControlState state;
     Control::Plan plan;
@@ -77,7 +78,7 @@
     REQUIRE(state.m_plans.at("drafts").m_offset == 3);
 }
 
-TEST_CASE("a state survives its encoding, and outcomes stay bounded")
+TEST_CASE("a state is unchanged after encoding and decoding, and the number of outcomes is bounded")
 {
     Control::ControlState state;
     for (int number = 0; number < 400; ++number) {
--- a/Tests/LibControl/TestEarlierVersions.cpp
+++ b/Tests/LibControl/TestEarlierVersions.cpp
@@ -1,4 +1,4 @@
-/// @file The fold remembers which versions an account ran before, so that a rollout never leaves it without an answer.
+/// @file The state keeps the versions that an account ran before, so that its requests can be served throughout a rollout.
 
 #include "LibControl/ApplyRecord.h"
 #include "LibControl/Records.h"
@@ -23,10 +23,11 @@
 
 }
 
-TEST_CASE("versions that were superseded before they served leave the one that did within reach")
+TEST_CASE("the state keeps earlier versions of an account when newer ones were superseded before they served")
 {
-    // An operator publishes a new version, and before any replica has it, a newer one. An entry that has just been replaced sees only
-    // the control state. If it did not name the version that still serves, callers would be refused until the newest one is there.
+    // An operator publishes a new version and, before any replica has it, a newer one. An entry that has just been replaced has
+    // only the control state. If the state did not name the version that still serves, callers would be refused until the newest
+    // version is loaded.
     Control::ControlState state;
     Control::Offset revision = 0;
     for (const char letter : {'a', 'b', 'c', 'd', 'e'}) {
--- a/Tests/LibControl/TestFeedsAndCheckpoints.cpp
+++ b/Tests/LibControl/TestFeedsAndCheckpoints.cpp
@@ -1,4 +1,4 @@
-/// @file Decisions of the duties: where to subscribe, and when a checkpoint is due.
+/// @file Selection of feeds, and when a checkpoint is due.
 
 #include "Examples.h"
 #include "LibControl/Checkpointer.h"
@@ -25,15 +25,15 @@
 
 }
 
-TEST_CASE("what any entry knows reaches every other one, whichever of them are gone")
+TEST_CASE("a change known to one entry reaches all other entries, whichever entry is missing")
 {
-    // With the log down, entries learn from each other only. If the subscriptions fell apart into two groups, a change known
-    // in one would not come into force in the other.
-    for (int gone = 0; gone < 13; ++gone) {
+    // While the log is down, entries receive changes only from each other. If the subscriptions formed two separate groups, a
+    // change known in one group would not come into force in the other.
+    for (int missing = 0; missing < 13; ++missing) {
         std::vector<Protocol::Member> live = entries(13);
-        live.erase(live.begin() + gone);
+        live.erase(live.begin() + missing);
         std::set<Core::Address> reached = {live.front().m_wire};
-        for (std::size_t turn = 0; turn < live.size(); ++turn) {
+        for (std::size_t round = 0; round < live.size(); ++round) {
             for (const Protocol::Member &member : live) {
                 const std::vector<Core::Address> feeds = Control::selectFeeds(member, live, {}, {}, 2);
                 REQUIRE(feeds.size() == 2);
@@ -46,7 +46,7 @@
     }
 }
 
-TEST_CASE("agents spread over the entries, and pass over one that failed or leaves")
+TEST_CASE("agents are distributed over the entries, and avoid one that failed or is leaving")
 {
     std::vector<Protocol::Member> known = entries(12);
     std::map<Core::Address, int> subscribers;
@@ -71,20 +71,20 @@
     REQUIRE(std::find(feeds.begin(), feeds.end(), first) == feeds.end());
 }
 
-TEST_CASE("a checkpoint is due after enough records or time, at the first in rank before the others")
+TEST_CASE("a checkpoint is due after enough records or time, on the entry that ranks first before the others")
 {
-    // Without a new checkpoint in time the last one expires, and a fresh instance can learn nothing from the log.
+    // Without a new checkpoint in time the last one expires, and a new instance cannot recover state from the log.
     const Control::CheckpointerSettings settings;
-    Control::CheckpointStatus situation;
-    REQUIRE_FALSE(Control::isCheckpointDue(situation, settings));
-    situation.m_position = settings.m_recordInterval;
-    REQUIRE(Control::isCheckpointDue(situation, settings));
-    situation.m_rank = 1;
-    REQUIRE_FALSE(Control::isCheckpointDue(situation, settings));
-    situation.m_sinceLast = settings.m_interval + settings.m_rankDelay;
-    REQUIRE(Control::isCheckpointDue(situation, settings));
-    situation.m_lastCheckpoint = situation.m_position;
-    REQUIRE(Control::isCheckpointDue(situation, settings));
-    situation.m_sinceLast = Core::Duration(0);
-    REQUIRE_FALSE(Control::isCheckpointDue(situation, settings));
+    Control::CheckpointStatus status;
+    REQUIRE_FALSE(Control::isCheckpointDue(status, settings));
+    status.m_position = settings.m_recordInterval;
+    REQUIRE(Control::isCheckpointDue(status, settings));
+    status.m_rank = 1;
+    REQUIRE_FALSE(Control::isCheckpointDue(status, settings));
+    status.m_sinceLast = settings.m_interval + settings.m_rankDelay;
+    REQUIRE(Control::isCheckpointDue(status, settings));
+    status.m_lastCheckpoint = status.m_position;
+    REQUIRE(Control::isCheckpointDue(status, settings));
+    status.m_sinceLast = Core::Duration(0);
+    REQUIRE_FALSE(Control::isCheckpointDue(status, settings));
 }
--- a/Tests/LibControl/TestInterleavings.cpp
+++ b/Tests/LibControl/TestInterleavings.cpp
@@ -1,4 +1,4 @@
-/// @file Model check: every order of racing operators, lost answers, expiry, a log that loses records, a paused checkpoint writer and restarts.
+/// @file Model check over every order of competing operators, lost answers, expiry, loss of records, a paused checkpoint writer and restarts.
 
 #include "Examples.h"
 #include "Explorer.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The log as part of the model's state: copied with it.
+/// The log as part of the model's state; it is copied with the state.
 struct ModelLog
 {
     Platform::Offset m_first = 1;
@@ -24,7 +24,7 @@
     }
 };
 
-/// Lets the code under test read and append to the model's log.
+/// Gives the code under test access to the model's log.
 class ModelLogAccess : public Platform::Log
 {
 public:
@@ -55,7 +55,7 @@
 struct Reader
 {
     Control::ControlState m_state;
-    bool m_hasReverted = false; ///< It exchanged its state for one that does not cover it.
+    bool m_hasReverted = false; ///< It replaced its state by one that does not cover it.
 };
 
 struct Operator
@@ -72,79 +72,79 @@
     std::array<Operator, 2> m_operators;
     std::optional<Control::Record> m_checkpoint; ///< Made and not appended yet.
     std::optional<Control::Record> m_restore; ///< Made and not appended yet.
-    int m_expired = 0;
-    int m_lost = 0;
+    int m_expiredRecords = 0;
+    int m_lostRecords = 0;
     int m_restarts = 0;
     int m_restores = 0;
 };
 
-void adopt(Reader &reader, Control::ControlState state)
+void adoptState(Reader &reader, Control::ControlState state)
 {
     reader.m_hasReverted = reader.m_hasReverted || !Control::covers(state, reader.m_state) || state.m_applied < reader.m_state.m_applied;
     reader.m_state = std::move(state);
 }
 
-/// The state that the log leads to from the reader's; empty if the log does not continue it, or takes something back.
-std::optional<Control::ControlState> continuation(World &world, const Reader &reader)
+/// Returns the reader's state after the rest of the log; empty if the log does not continue the state, or undoes something accepted.
+std::optional<Control::ControlState> continueState(World &world, const Reader &reader)
 {
     ModelLogAccess log(world.m_log);
     if (reader.m_state.m_position == 0) {
         return std::nullopt;
     }
-    const Control::LogContinuation following = Control::readContinuation(log, reader.m_state).value();
-    if (!following.m_continuesHistory) {
+    const Control::LogContinuation continuation = Control::readContinuation(log, reader.m_state).value();
+    if (!continuation.m_continuesHistory) {
         return std::nullopt;
     }
     Control::ControlState state = reader.m_state;
-    for (const Protocol::LogRecord &record : following.m_records) {
+    for (const Protocol::LogRecord &record : continuation.m_records) {
         Control::applyRecord(state, record.m_offset, record.m_body);
     }
     return Control::covers(state, reader.m_state) ? std::optional<Control::ControlState>(std::move(state)) : std::nullopt;
 }
 
-/// Follows the log as an entry does; true if that changed anything.
-bool follow(World &world, Reader &reader)
+/// Follows the log as an entry does. Returns whether that changed the reader's state.
+bool followLog(World &world, Reader &reader)
 {
     ModelLogAccess log(world.m_log);
     const std::string chain = reader.m_state.m_chain;
-    std::optional<Control::ControlState> continued = continuation(world, reader);
+    std::optional<Control::ControlState> continued = continueState(world, reader);
     if (continued) {
-        adopt(reader, std::move(*continued));
+        adoptState(reader, std::move(*continued));
         return reader.m_state.m_chain != chain;
     }
-    Control::Reconciliation found = Control::reconcile(log, reader.m_state).value();
-    if (found.m_stateToAdopt) {
-        adopt(reader, std::move(*found.m_stateToAdopt));
+    Control::Reconciliation reconciliation = Control::reconcile(log, reader.m_state).value();
+    if (reconciliation.m_stateToAdopt) {
+        adoptState(reader, std::move(*reconciliation.m_stateToAdopt));
     }
     return reader.m_state.m_chain != chain;
 }
 
-/// What an entry would put back; empty if the log continues or covers its state.
-std::optional<Control::Record> restoreFor(World &world, const Reader &reader)
+/// Returns the record with which an entry would restore its state; empty if the log continues or covers the state.
+std::optional<Control::Record> makeRestoreFor(World &world, const Reader &reader)
 {
     ModelLogAccess log(world.m_log);
-    const Control::Reconciliation found = Control::reconcile(log, reader.m_state).value();
-    if (continuation(world, reader) || !found.m_stateToRestore) {
+    const Control::Reconciliation reconciliation = Control::reconcile(log, reader.m_state).value();
+    if (continueState(world, reader) || !reconciliation.m_stateToRestore) {
         return std::nullopt;
     }
-    return Control::makeRestore(*found.m_stateToRestore, "e", "restore-" + std::to_string(world.m_restores));
+    return Control::makeRestore(*reconciliation.m_stateToRestore, "e", "restore-" + std::to_string(world.m_restores));
 }
 
-bool operatorReads(World &world, std::size_t number)
+bool readAsOperator(World &world, std::size_t number)
 {
     ModelLogAccess log(world.m_log);
     Operator &reading = world.m_operators.at(number);
-    const Control::RecoveredState fresh = Control::recoverFromLog(log, Control::ControlStream).value();
-    if (reading.m_hasRead || !fresh.m_state) {
+    const Control::RecoveredState recovered = Control::recoverFromLog(log, Control::ControlStream).value();
+    if (reading.m_hasRead || !recovered.m_state) {
         return false;
     }
     reading.m_hasRead = true;
-    reading.m_basedOn = Control::templateRevision(*fresh.m_state, "t");
+    reading.m_basedOn = Control::templateRevision(*recovered.m_state, "t");
     return true;
 }
 
-/// The second append is the same record again, after an answer that was lost.
-bool operatorAppends(World &world, std::size_t number)
+/// The second append repeats the same record, as after a lost answer.
+bool appendAsOperator(World &world, std::size_t number)
 {
     Operator &writing = world.m_operators.at(number);
     if (!writing.m_hasRead || writing.m_appends == 2) {
@@ -157,15 +157,15 @@
     return true;
 }
 
-/// Everything that can happen, each a few times.
+/// All possible events. Each can occur a limited number of times.
 std::vector<Support::Step<World>> steps()
 {
     std::vector<Support::Step<World>> steps;
     for (const std::size_t number : {std::size_t(0), std::size_t(1)}) {
         const std::string suffix = " " + std::to_string(number);
-        steps.push_back({"operator reads" + suffix, [number](World &world) { return operatorReads(world, number); }});
-        steps.push_back({"operator appends" + suffix, [number](World &world) { return operatorAppends(world, number); }});
-        steps.push_back({"reader follows" + suffix, [number](World &world) { return follow(world, world.m_readers.at(number)); }});
+        steps.push_back({"operator reads" + suffix, [number](World &world) { return readAsOperator(world, number); }});
+        steps.push_back({"operator appends" + suffix, [number](World &world) { return appendAsOperator(world, number); }});
+        steps.push_back({"reader follows" + suffix, [number](World &world) { return followLog(world, world.m_readers.at(number)); }});
     }
     steps.push_back({"reader 1 restarts", [](World &world) {
                          if (world.m_restarts == 1 || world.m_readers[1].m_state.m_applied == 0) {
@@ -190,19 +190,19 @@
                          return true;
                      }});
     steps.push_back({"log expires a record", [](World &world) {
-                         if (world.m_expired == 2 || world.m_log.m_records.empty()) {
+                         if (world.m_expiredRecords == 2 || world.m_log.m_records.empty()) {
                              return false;
                          }
-                         ++world.m_expired;
+                         ++world.m_expiredRecords;
                          ++world.m_log.m_first;
                          world.m_log.m_records.erase(world.m_log.m_records.begin());
                          return true;
                      }});
     steps.push_back({"log loses a record", [](World &world) {
-                         if (world.m_lost == 1 || world.m_log.m_records.empty()) {
+                         if (world.m_lostRecords == 1 || world.m_log.m_records.empty()) {
                              return false;
                          }
-                         ++world.m_lost;
+                         ++world.m_lostRecords;
                          world.m_log.m_records.pop_back();
                          return true;
                      }});
@@ -210,7 +210,7 @@
                          if (world.m_restore || world.m_restores == 2) {
                              return false;
                          }
-                         world.m_restore = restoreFor(world, world.m_readers[0]);
+                         world.m_restore = makeRestoreFor(world, world.m_readers[0]);
                          world.m_restores += world.m_restore ? 1 : 0;
                          return world.m_restore.has_value();
                      }});
@@ -225,23 +225,23 @@
     return steps;
 }
 
-/// Two changes that were accepted on the same basis are two winners.
-bool hasTwoWinners(const Control::ControlState &state)
+/// Returns whether the changes of both operators were accepted. Only one may be if both are based on the same revision.
+bool areBothChangesAccepted(const Control::ControlState &state)
 {
     const Control::RecordOutcome *first = Control::findOutcome(state, "op0");
     const Control::RecordOutcome *second = Control::findOutcome(state, "op1");
     return first && second && first->m_accepted && second->m_accepted;
 }
 
-/// Lets everybody act undisturbed until nothing changes; false if the two readers do not end with equal states.
-bool comesTogether(World world)
+/// Lets both readers follow the log and restore state until nothing changes. Returns false if they do not end with equal states.
+bool converges(World world)
 {
-    constexpr int patience = 8;
-    for (int turn = 0; turn < patience; ++turn) {
+    constexpr int maximumRounds = 8;
+    for (int round = 0; round < maximumRounds; ++round) {
         bool hasChanged = false;
         for (Reader &reader : world.m_readers) {
-            hasChanged = follow(world, reader) || hasChanged;
-            const std::optional<Control::Record> restore = restoreFor(world, reader);
+            hasChanged = followLog(world, reader) || hasChanged;
+            const std::optional<Control::Record> restore = makeRestoreFor(world, reader);
             if (restore) {
                 ++world.m_restores;
                 world.m_log.m_records.push_back(Control::encodeRecord(*restore));
@@ -258,24 +258,24 @@
     return isOneNotReady || first == second;
 }
 
-std::string violation(const World &world)
+std::string findViolation(const World &world)
 {
     for (const Reader &reader : world.m_readers) {
         if (reader.m_hasReverted) {
-            return "an accepted change was taken back";
+            return "an accepted change was undone";
         }
-        if (world.m_lost == 0 && hasTwoWinners(reader.m_state) && world.m_operators[0].m_basedOn == world.m_operators[1].m_basedOn) {
-            return "two changes won against each other";
+        if (world.m_lostRecords == 0 && areBothChangesAccepted(reader.m_state) && world.m_operators[0].m_basedOn == world.m_operators[1].m_basedOn) {
+            return "two competing changes were both accepted";
         }
     }
     const bool isSameHistory = world.m_readers[0].m_state.m_chain == world.m_readers[1].m_state.m_chain;
     if (isSameHistory && world.m_readers[0].m_state != world.m_readers[1].m_state) {
-        return "the same history gave different states";
+        return "the same history led to different states";
     }
-    return comesTogether(world) ? "" : "readers do not come together";
+    return converges(world) ? "" : "readers do not converge";
 }
 
-std::string keyOf(const World &world)
+std::string stateKey(const World &world)
 {
     std::string key = std::to_string(world.m_log.m_first);
     for (const std::string &record : world.m_log.m_records) {
@@ -289,25 +289,26 @@
     }
     key += "/" + (world.m_checkpoint ? std::to_string(Core::stableHash(Control::encodeRecord(*world.m_checkpoint))) : "-");
     key += "/" + (world.m_restore ? std::to_string(Core::stableHash(Control::encodeRecord(*world.m_restore))) : "-");
-    return key + "/" + std::to_string(world.m_expired) + std::to_string(world.m_lost) + std::to_string(world.m_restarts) + std::to_string(world.m_restores);
+    return key + "/" + std::to_string(world.m_expiredRecords) + std::to_string(world.m_lostRecords) + std::to_string(world.m_restarts)
+        + std::to_string(world.m_restores);
 }
 
 }
 
-TEST_CASE("no order of events takes an accepted change back or keeps readers apart")
+TEST_CASE("no order of events undoes an accepted change or keeps readers from converging")
 {
-    // Each of these faults is harmless alone; a customer would notice when two of them meet and one instance goes on with
-    // another configuration than the rest.
-    const Support::Model<World> model{steps(), violation, keyOf};
+    // Each of these faults is harmless alone. Two of them together could leave one instance with a different configuration from
+    // the rest, which a client account would notice.
+    const Support::Model<World> model{steps(), findViolation, stateKey};
     Support::Explorer<World> explorer(model);
     constexpr int depth = 8;
-    const Support::Exploration found = explorer.explore(World(), depth);
+    const Support::Exploration exploration = explorer.explore(World(), depth);
     std::string trace;
-    for (const std::string &step : found.m_trace) {
+    for (const std::string &step : exploration.m_trace) {
         trace += step + "; ";
     }
-    INFO(found.m_states << " states; " << found.m_violation << ": " << trace);
-    REQUIRE(found.m_violation.empty());
-    REQUIRE(found.m_states > 1000);
-    WARN(found.m_states << " states, " << found.m_steps << " steps");
+    INFO(exploration.m_states << " states; " << exploration.m_violation << ": " << trace);
+    REQUIRE(exploration.m_violation.empty());
+    REQUIRE(exploration.m_states > 1000);
+    WARN(exploration.m_states << " states, " << exploration.m_steps << " steps");
 }
--- a/Tests/LibControl/TestMemberTable.cpp
+++ b/Tests/LibControl/TestMemberTable.cpp
@@ -1,4 +1,4 @@
-/// @file The member table: direct notice counts before the lagging list, and nobody who left comes back.
+/// @file The member table: announcements take precedence over the list, which lags behind, and ended incarnations do not return.
 
 #include "Examples.h"
 #include "LibControl/MemberTable.h"
@@ -20,9 +20,9 @@
 
 }
 
-TEST_CASE("a list that lags does not make a leaving instance live again")
+TEST_CASE("an outdated list does not make a leaving instance live again")
 {
-    // An instance says that it leaves and the list shows it as live for some seconds more. New work sent there would be cut off.
+    // An instance announces that it is leaving, and the list shows it as live for some seconds more. New work sent there would be cut off.
     Control::MemberTable table;
     Protocol::Member member = agent(1, "hcm-a");
     table.announce(member, Start);
@@ -36,9 +36,9 @@
     REQUIRE(table.members().front().m_leaving);
 }
 
-TEST_CASE("a replaced incarnation does not come back from another entry's table")
+TEST_CASE("a replaced incarnation does not return from another entry's table")
 {
-    // An instance is replaced under the same name. Another entry that has not heard of it passes on the old one.
+    // An instance is replaced under the same name. Another entry, which does not know of the replacement yet, sends the old incarnation.
     Control::MemberTable table;
     const Protocol::Member old = agent(1, "hcm-a");
     Protocol::Member replacement = old;
@@ -55,7 +55,7 @@
     REQUIRE(other.members() == std::vector<Protocol::Member>{replacement});
 }
 
-TEST_CASE("an instance that the list has dropped goes, one that it does not show yet stays for a while")
+TEST_CASE("an instance that the list no longer shows is removed, and one that it does not show yet is kept for a while")
 {
     Control::MemberTable table;
     table.applyList(std::vector<Protocol::Member>{listed(agent(1, "hcm-a"))}, Start);
@@ -69,9 +69,9 @@
     REQUIRE(table.members().empty());
 }
 
-TEST_CASE("an instance that the list never shows stays while it announces itself, here and where others tell of it")
+TEST_CASE("an instance that the list never shows is kept while it announces itself, here and where it is known from others")
 {
-    // The list has forgotten a live instance, or has not caught up for long. Dropped, it would stand idle while it could serve.
+    // The list omits a live instance, or lags behind for a long time. If the instance were removed, it would be idle although it could serve.
     Control::MemberTable table;
     Control::MemberTable other;
     table.announce(agent(1, "hcm-a"), Start);
@@ -80,7 +80,7 @@
     REQUIRE_FALSE(table.announce(agent(1, "hcm-a"), later));
     REQUIRE_FALSE(table.applyList({}, later));
     REQUIRE_FALSE(other.applyList({}, later));
-    // Once it is silent, the entry that knew it directly tells the others.
+    // Once it stops announcing itself, the entry where it announced itself reports its end to the others.
     REQUIRE(table.applyList({}, later + Control::UnlistedTimeout));
     REQUIRE(other.merge(table.snapshot(), later + Control::UnlistedTimeout));
     REQUIRE(other.members().empty());
--- a/Tests/LibControl/TestPlanner.cpp
+++ b/Tests/LibControl/TestPlanner.cpp
@@ -1,4 +1,4 @@
-/// @file Plans: spread over failure domains, shared between accounts, and moving as little as possible.
+/// @file Plans spread replicas over failure domains, share them between accounts, and move as few as possible.
 
 #include "Examples.h"
 #include "LibControl/Planner.h"
@@ -43,7 +43,7 @@
     return counts;
 }
 
-/// Adopts the plan as the one in force.
+/// Puts the plan in force.
 void putInForce(Control::ControlState &state, const Control::Plan &plan)
 {
     REQUIRE(applyNext(state, Control::Record{"plan-" + std::to_string(state.m_applied), "e", Control::PublishPlan{plan.m_offset, plan}}).m_accepted);
@@ -73,7 +73,7 @@
     REQUIRE(replicasByDomain(narrow) == std::map<std::string, int>{{"hcm-a", 7}});
 }
 
-TEST_CASE("accounts that want the same digest share replicas, and different digests use different instances while there are enough")
+TEST_CASE("accounts that request the same digest share replicas, and different digests use different instances while there are enough")
 {
     const Control::ControlState state = stateWith({account("a", '1', 6), account("b", '1', 3), account("c", '2', 6)});
     const Control::Plan plan = Control::planService("drafts", state, fleet(12, Domains));
@@ -84,21 +84,21 @@
     REQUIRE(all.size() == 12);
 }
 
-TEST_CASE("when an instance dies, only its own replicas move")
+TEST_CASE("when an instance fails, only its own replicas move")
 {
-    // An instance is lost on an ordinary day. If the plan reshuffled, many machines would fetch weights that were right where they were.
+    // One instance fails. If the plan moved other replicas too, many instances would transfer weights without need.
     Control::ControlState state = stateWith({account("a", '1', 20), account("b", '2', 20)});
     std::vector<Protocol::Member> members = fleet(48, Domains);
     const Control::Plan before = Control::planService("drafts", state, members);
     putInForce(state, before);
-    const std::string victim = *instancesOf(before, '1').begin();
-    std::erase_if(members, [&victim](const Protocol::Member &member) { return member.m_id == victim; });
+    const std::string failedInstance = *instancesOf(before, '1').begin();
+    std::erase_if(members, [&failedInstance](const Protocol::Member &member) { return member.m_id == failedInstance; });
     const Control::Plan after = Control::planService("drafts", state, members);
     REQUIRE(countMoves(before, after, '1') == 1);
     REQUIRE(countMoves(before, after, '2') == 0);
 }
 
-TEST_CASE("a leaving instance and other services' instances get nothing")
+TEST_CASE("leaving instances and instances of other services get no replicas")
 {
     std::vector<Protocol::Member> members = fleet(6, Domains);
     members[0].m_leaving = true;
@@ -107,7 +107,7 @@
     REQUIRE(instancesOf(plan, '1') == std::set<std::string>{"agent-1", "agent-2", "agent-3", "agent-4", "agent-5"});
 }
 
-TEST_CASE("a plan does not depend on the order of members, and one in force is not out of date")
+TEST_CASE("a plan does not depend on the order of members, and a plan in force is not out of date")
 {
     Control::ControlState state = stateWith({account("a", '1', 9), account("b", '2', 5), account("c", '3', 30)});
     std::vector<Protocol::Member> members = fleet(31, Domains);
@@ -119,7 +119,7 @@
     REQUIRE_FALSE(Control::isPlanOutOfDate(state, Control::planService("drafts", state, members)));
 }
 
-TEST_CASE("a new version goes to the instances that hold the old one")
+TEST_CASE("a new version is placed on the instances that hold the old one")
 {
     Control::ControlState state = stateWith({account("a", '1', 8)});
     const std::vector<Protocol::Member> members = fleet(24, Domains);
--- a/Tests/LibControl/TestPropagation.cpp
+++ b/Tests/LibControl/TestPropagation.cpp
@@ -1,4 +1,4 @@
-/// @file Entries and agents on real connections: changes reach all, also with the log down, and nothing reverts.
+/// @file Entries and agents on real connections: changes reach all processes, also while the log is down, and no process reverts.
 
 #include "LibControl/Publisher.h"
 #include "LibControl/Recovery.h"
@@ -12,22 +12,22 @@
 
 namespace {
 
-constexpr Core::Duration Patience{20000};
+constexpr Core::Duration Timeout{20000};
 
-/// A few entries that know each other's addresses, and agents.
-struct Site
+/// Several entries that know each other's addresses, and agents.
+struct Cluster
 {
     StandIn::LogStore m_log;
-    StandIn::LogStore m_unreachable; ///< For entries that shall not see the log.
+    StandIn::LogStore m_unreachableLog; ///< For entries that must not reach the log.
     std::vector<Core::Address> m_addresses;
     std::vector<std::unique_ptr<EntryProcess>> m_entries;
     std::vector<std::unique_ptr<AgentProcess>> m_agents;
 
-    explicit Site(int entries)
+    explicit Cluster(int entries)
     {
         StandIn::LogFaults faults;
         faults.m_down = true;
-        m_unreachable.setFaults(faults);
+        m_unreachableLog.setFaults(faults);
         for (int number = 0; number < entries; ++number) {
             m_addresses.push_back(Network::freeLoopbackAddress());
         }
@@ -38,9 +38,9 @@
         m_entries.push_back(std::make_unique<EntryProcess>(number, m_addresses.at(static_cast<std::size_t>(number)), m_addresses, log));
     }
 
-    void startAgent(int number, const AgentProcess::ChangeCallback &watch = {})
+    void startAgent(int number, const AgentProcess::ChangeCallback &callback = {})
     {
-        m_agents.push_back(std::make_unique<AgentProcess>(number, m_addresses, watch));
+        m_agents.push_back(std::make_unique<AgentProcess>(number, m_addresses, callback));
     }
 
     Core::Result<Control::RecordOutcome> publishAs(const std::string &author, Control::Offset basedOn, char digest)
@@ -48,7 +48,7 @@
         Control::Publisher publisher(m_log);
         BOOST_OUTCOME_TRYV(publisher.load());
         const Control::Record record = makePublishRecord(Core::randomIdentifier(), basedOn, makeTemplate("t", {account("a", digest, 2)}), author);
-        return publisher.publish(record, Patience);
+        return publisher.publish(record, Timeout);
     }
 
     bool isInForceEverywhere(char digest) const
@@ -66,14 +66,14 @@
         return true;
     }
 
-    /// Whether a fresh reader of the log finds the template with this digest, put back after a loss.
-    bool isPutBack(char digest)
+    /// Returns whether a new reader of the log finds the template with this digest, restored after a loss.
+    bool isRestoredInLog(char digest)
     {
-        const Core::Result<Control::RecoveredState> fresh = Control::recoverFromLog(m_log, Control::ControlStream);
-        if (!fresh || !fresh.value().m_state || fresh.value().m_state->m_generation == 0) {
+        const Core::Result<Control::RecoveredState> recovered = Control::recoverFromLog(m_log, Control::ControlStream);
+        if (!recovered || !recovered.value().m_state || recovered.value().m_state->m_generation == 0) {
             return false;
         }
-        const std::map<std::string, Control::AcceptedTemplate> &templates = fresh.value().m_state->m_templates;
+        const std::map<std::string, Control::AcceptedTemplate> &templates = recovered.value().m_state->m_templates;
         return templates.contains("t") && templates.at("t").m_template.m_accounts.front().m_digest == std::string(64, digest);
     }
 
@@ -87,26 +87,26 @@
 
 }
 
-TEST_CASE("an accepted change comes into force everywhere, with a plan that names live agents, and is reported so")
+TEST_CASE("an accepted change comes into force everywhere, with a plan that names live agents, and every agent reports it")
 {
-    Site site(2);
-    site.startEntry(0, site.m_log);
-    site.startEntry(1, site.m_log);
+    Cluster cluster(2);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startEntry(1, cluster.m_log);
     for (int number = 0; number < 3; ++number) {
-        site.startAgent(number);
+        cluster.startAgent(number);
     }
-    const Core::Result<Control::RecordOutcome> outcome = site.publishAs("ann", 0, '1');
+    const Core::Result<Control::RecordOutcome> outcome = cluster.publishAs("ann", 0, '1');
     REQUIRE(outcome);
     REQUIRE(outcome.value().m_accepted);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
-    REQUIRE(eventually([&site] {
-        const std::shared_ptr<const Control::ControlState> state = site.m_agents.front()->m_store.current();
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
+    REQUIRE(eventually([&cluster] {
+        const std::shared_ptr<const Control::ControlState> state = cluster.m_agents.front()->m_store.current();
         const std::map<std::string, Control::Plan>::const_iterator plan = state->m_plans.find("drafts");
         return plan != state->m_plans.end() && plan->second.m_deployments.size() == 1 && plan->second.m_deployments.front().m_replicas.size() == 2;
     }));
-    REQUIRE(eventually([&site, &outcome] {
-        for (const std::unique_ptr<AgentProcess> &one : site.m_agents) {
-            const std::map<std::string, Control::SubscriberStatus> applied = site.m_entries.front()->m_feed.subscriberStatuses();
+    REQUIRE(eventually([&cluster, &outcome] {
+        for (const std::unique_ptr<AgentProcess> &one : cluster.m_agents) {
+            const std::map<std::string, Control::SubscriberStatus> applied = cluster.m_entries.front()->m_feed.subscriberStatuses();
             const std::map<std::string, Control::SubscriberStatus>::const_iterator found = applied.find(one->m_member.m_id);
             if (found == applied.end() || found->second.m_applied < outcome.value().m_offset) {
                 return false;
@@ -116,20 +116,21 @@
     }));
 }
 
-TEST_CASE("of operators who race, one is accepted and all instances agree which")
+TEST_CASE("of competing changes one is accepted, and all instances agree on which")
 {
-    // Four operators publish from the same revision at the same moment; each must get a clear answer, and only one may win.
-    Site site(2);
-    site.startEntry(0, site.m_log);
-    site.startEntry(1, site.m_log);
-    site.startAgent(0);
+    // Four operators publish changes based on the same revision at the same moment. Each must get a definite answer, and only one
+    // change may be accepted.
+    Cluster cluster(2);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startEntry(1, cluster.m_log);
+    cluster.startAgent(0);
     std::atomic<int> accepted = 0;
     std::atomic<int> refused = 0;
     std::atomic<char> winner = '0';
     std::vector<std::thread> operators;
     for (const char digest : {'1', '2', '3', '4'}) {
-        operators.emplace_back([&site, &accepted, &refused, &winner, digest] {
-            const Core::Result<Control::RecordOutcome> outcome = site.publishAs(std::string("operator ") + digest, 0, digest);
+        operators.emplace_back([&cluster, &accepted, &refused, &winner, digest] {
+            const Core::Result<Control::RecordOutcome> outcome = cluster.publishAs(std::string("operator ") + digest, 0, digest);
             if (outcome && outcome.value().m_accepted) {
                 ++accepted;
                 winner = digest;
@@ -143,127 +144,127 @@
     }
     REQUIRE(accepted == 1);
     REQUIRE(refused == 3);
-    REQUIRE(eventually([&site, &winner] { return site.isInForceEverywhere(winner); }));
+    REQUIRE(eventually([&cluster, &winner] { return cluster.isInForceEverywhere(winner); }));
 }
 
-TEST_CASE("an append whose answer is lost is settled by reading back")
+TEST_CASE("the outcome of an append whose answer was lost is read back from the log")
 {
-    // The log takes the record and the answer is lost on the way. The operator must learn that it was accepted, and it must count once.
-    Site site(1);
-    site.startEntry(0, site.m_log);
+    // The log appends the record, and the answer is lost. The operator must learn that the change was accepted, and the change must count once.
+    Cluster cluster(1);
+    cluster.startEntry(0, cluster.m_log);
     StandIn::LogFaults faults;
     faults.m_loseAnswers = true;
-    site.m_log.setFaults(faults);
-    const Core::Result<Control::RecordOutcome> outcome = site.publishAs("ann", 0, '1');
+    cluster.m_log.setFaults(faults);
+    const Core::Result<Control::RecordOutcome> outcome = cluster.publishAs("ann", 0, '1');
     REQUIRE(outcome);
     REQUIRE(outcome.value().m_accepted);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
-    REQUIRE(site.m_entries.front()->m_store.current()->m_templates.at("t").m_revision == outcome.value().m_offset);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
+    REQUIRE(cluster.m_entries.front()->m_store.current()->m_templates.at("t").m_revision == outcome.value().m_offset);
 }
 
-TEST_CASE("a change that one entry has read comes into force everywhere with the log down")
+TEST_CASE("a change that one entry has read comes into force everywhere while the log is down")
 {
     // The log goes down right after a change was accepted, before most of the processes have read it.
-    Site site(3);
-    site.startEntry(0, site.m_log);
-    site.startEntry(1, site.m_unreachable);
-    site.startEntry(2, site.m_unreachable);
+    Cluster cluster(3);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startEntry(1, cluster.m_unreachableLog);
+    cluster.startEntry(2, cluster.m_unreachableLog);
     for (int number = 0; number < 4; ++number) {
-        site.startAgent(number);
+        cluster.startAgent(number);
     }
-    REQUIRE(site.publishAs("ann", 0, '1'));
-    REQUIRE(eventually([&site] { return holdsTemplate(site.m_entries.front()->m_store, "t", '1'); }));
-    site.setLogDown(true);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
+    REQUIRE(cluster.publishAs("ann", 0, '1'));
+    REQUIRE(eventually([&cluster] { return holdsTemplate(cluster.m_entries.front()->m_store, "t", '1'); }));
+    cluster.setLogDown(true);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
 }
 
-TEST_CASE("an empty instance recovers from its peers while the log is down")
+TEST_CASE("an empty instance gets the state from its peers while the log is down")
 {
-    // An entry is replaced during an outage. It has no disk, so peers are all it can learn from.
-    Site site(2);
-    site.startEntry(0, site.m_log);
-    REQUIRE(site.publishAs("ann", 0, '1'));
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
-    site.setLogDown(true);
-    site.startEntry(1, site.m_log);
-    site.startAgent(0);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
+    // An entry is replaced during an outage of the log. It has no disk, so it can get the state only from its peers.
+    Cluster cluster(2);
+    cluster.startEntry(0, cluster.m_log);
+    REQUIRE(cluster.publishAs("ann", 0, '1'));
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
+    cluster.setLogDown(true);
+    cluster.startEntry(1, cluster.m_log);
+    cluster.startAgent(0);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
 }
 
-TEST_CASE("an empty instance recovers from a checkpoint and the records after it when nobody else is left")
+TEST_CASE("an empty instance recovers from a checkpoint and the records after it when no other process is left")
 {
-    Site site(1);
-    site.startEntry(0, site.m_log);
-    REQUIRE(site.publishAs("ann", 0, '1'));
-    Control::Publisher publisher(site.m_log);
+    Cluster cluster(1);
+    cluster.startEntry(0, cluster.m_log);
+    REQUIRE(cluster.publishAs("ann", 0, '1'));
+    Control::Publisher publisher(cluster.m_log);
     REQUIRE(publisher.load());
-    REQUIRE(site.m_log.append(Control::ControlStream, Control::encodeRecord(Control::makeCheckpoint(publisher.state(), "e", "c"))));
-    site.m_entries.clear();
-    site.m_log.expireRecordsBefore(publisher.state().m_position);
-    site.startEntry(0, site.m_log);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
+    REQUIRE(cluster.m_log.append(Control::ControlStream, Control::encodeRecord(Control::makeCheckpoint(publisher.state(), "e", "c"))));
+    cluster.m_entries.clear();
+    cluster.m_log.expireRecordsBefore(publisher.state().m_position);
+    cluster.startEntry(0, cluster.m_log);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
 }
 
-TEST_CASE("a log that returns without an accepted change gets it back, and nobody reverts meanwhile")
+TEST_CASE("an accepted change that the log has lost is restored into it, and no process reverts meanwhile")
 {
-    // The log loses the newest change in an outage. Agents keep it, a fresh entry takes it from the others, and the log's own
-    // readers agree again once it has been put back.
+    // The log loses the newest change in an outage. Agents keep it, a new entry gets it from the others, and the readers of the
+    // log agree again once it has been restored.
     std::atomic<bool> isAccepted = false;
     std::atomic<bool> hasReverted = false;
-    Site site(2);
-    site.startEntry(0, site.m_log);
-    site.startEntry(1, site.m_log);
-    site.startAgent(0, [&isAccepted, &hasReverted](const Control::StateStore &store) {
+    Cluster cluster(2);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startEntry(1, cluster.m_log);
+    cluster.startAgent(0, [&isAccepted, &hasReverted](const Control::StateStore &store) {
         const bool holds = holdsTemplate(store, "t", '1') || holdsTemplate(store, "t", '2');
         hasReverted = hasReverted || (isAccepted && !holds);
     });
-    const Core::Result<Control::RecordOutcome> outcome = site.publishAs("ann", 0, '1');
+    const Core::Result<Control::RecordOutcome> outcome = cluster.publishAs("ann", 0, '1');
     REQUIRE(outcome);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
     isAccepted = true;
-    site.m_log.dropRecordsFrom(outcome.value().m_offset);
-    REQUIRE(eventually([&site] { return site.isPutBack('1'); }));
-    REQUIRE(site.publishAs("bea", outcome.value().m_offset, '2').value().m_accepted);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('2'); }));
+    cluster.m_log.dropRecordsFrom(outcome.value().m_offset);
+    REQUIRE(eventually([&cluster] { return cluster.isRestoredInLog('1'); }));
+    REQUIRE(cluster.publishAs("bea", outcome.value().m_offset, '2').value().m_accepted);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('2'); }));
     REQUIRE_FALSE(hasReverted);
-    REQUIRE(site.m_entries.front()->m_store.current()->m_generation > 0);
+    REQUIRE(cluster.m_entries.front()->m_store.current()->m_generation > 0);
 }
 
-TEST_CASE("what only agents still know is put back when all entries were replaced and the log lost it")
+TEST_CASE("a change that only agents still have is restored after all entries were replaced and the log lost it")
 {
-    // Every entry is replaced during an outage, and the log comes back without the newest change, or without anything.
-    Site site(2);
-    site.startEntry(0, site.m_log);
-    site.startAgent(0);
-    const Core::Result<Control::RecordOutcome> first = site.publishAs("ann", 0, '1');
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('1'); }));
-    const Core::Result<Control::RecordOutcome> second = site.publishAs("ann", first.value().m_offset, '2');
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('2'); }));
-    site.m_entries.clear();
+    // Every entry is replaced during an outage, and the log returns without the newest change, or without any record.
+    Cluster cluster(2);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startAgent(0);
+    const Core::Result<Control::RecordOutcome> first = cluster.publishAs("ann", 0, '1');
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('1'); }));
+    const Core::Result<Control::RecordOutcome> second = cluster.publishAs("ann", first.value().m_offset, '2');
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('2'); }));
+    cluster.m_entries.clear();
     SECTION("without the newest change")
     {
-        site.m_log.dropRecordsFrom(second.value().m_offset);
+        cluster.m_log.dropRecordsFrom(second.value().m_offset);
     }
-    SECTION("without anything")
+    SECTION("without any record")
     {
-        site.m_log.dropRecordsFrom(1);
+        cluster.m_log.dropRecordsFrom(1);
     }
-    site.startEntry(1, site.m_log);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('2') && site.isPutBack('2'); }));
-    REQUIRE(site.publishAs("bea", second.value().m_offset, '3').value().m_accepted);
-    REQUIRE(eventually([&site] { return site.isInForceEverywhere('3'); }));
+    cluster.startEntry(1, cluster.m_log);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('2') && cluster.isRestoredInLog('2'); }));
+    REQUIRE(cluster.publishAs("bea", second.value().m_offset, '3').value().m_accepted);
+    REQUIRE(eventually([&cluster] { return cluster.isInForceEverywhere('3'); }));
 }
 
 TEST_CASE("a leaving agent gets no replica in the next plan")
 {
-    Site site(1);
-    site.startEntry(0, site.m_log);
+    Cluster cluster(1);
+    cluster.startEntry(0, cluster.m_log);
     for (int number = 0; number < 3; ++number) {
-        site.startAgent(number);
+        cluster.startAgent(number);
     }
-    REQUIRE(site.publishAs("ann", 0, '1'));
-    const auto plannedOn = [&site](const std::string &instance) {
-        const std::shared_ptr<const Control::ControlState> state = site.m_entries.front()->m_store.current();
+    REQUIRE(cluster.publishAs("ann", 0, '1'));
+    const auto plannedOn = [&cluster](const std::string &instance) {
+        const std::shared_ptr<const Control::ControlState> state = cluster.m_entries.front()->m_store.current();
         const std::map<std::string, Control::Plan>::const_iterator plan = state->m_plans.find("drafts");
         if (plan == state->m_plans.end() || plan->second.m_deployments.empty()) {
             return false;
@@ -272,8 +273,8 @@
         return std::any_of(replicas.begin(), replicas.end(), [&instance](const Control::PlannedReplica &one) { return one.m_instance == instance; });
     };
     AgentProcess *planned = nullptr;
-    REQUIRE(eventually([&site, &plannedOn, &planned] {
-        for (const std::unique_ptr<AgentProcess> &one : site.m_agents) {
+    REQUIRE(eventually([&cluster, &plannedOn, &planned] {
+        for (const std::unique_ptr<AgentProcess> &one : cluster.m_agents) {
             planned = plannedOn(one->m_member.m_id) ? one.get() : planned;
         }
         return planned != nullptr;
@@ -284,18 +285,18 @@
     REQUIRE(eventually([&plannedOn, &leaving] { return !plannedOn(leaving.m_id); }));
 }
 
-TEST_CASE("the fencing number is refused until state is known, and then is the plan's offset")
+TEST_CASE("a request for the fencing number is refused until state is known, and then returns the plan's offset")
 {
-    Site site(1);
-    site.startEntry(0, site.m_log);
-    site.startAgent(0);
-    Wire::Node &node = site.m_agents.front()->m_node;
+    Cluster cluster(1);
+    cluster.startEntry(0, cluster.m_log);
+    cluster.startAgent(0);
+    Wire::Node &node = cluster.m_agents.front()->m_node;
     const std::string request = Wire::pack(Protocol::FenceRequest{"drafts"});
-    const Core::Result<std::string> early = node.request(site.m_addresses.front(), "control.fence", request, Patience);
+    const Core::Result<std::string> early = node.request(cluster.m_addresses.front(), "control.fence", request, Timeout);
     REQUIRE(early.error().m_code == Core::ErrorCode::Unavailable);
-    REQUIRE(site.publishAs("ann", 0, '1'));
-    REQUIRE(eventually([&site, &node, &request] {
-        const Core::Result<std::string> answer = node.request(site.m_addresses.front(), "control.fence", request, Patience);
+    REQUIRE(cluster.publishAs("ann", 0, '1'));
+    REQUIRE(eventually([&cluster, &node, &request] {
+        const Core::Result<std::string> answer = node.request(cluster.m_addresses.front(), "control.fence", request, Timeout);
         return answer && Wire::unpack<Protocol::FenceAnswer>(answer.value(), "").value().m_planOffset > 0;
     }));
 }
