--- a/Tests/LibControl/TestStatusPage.cpp
+++ b/Tests/LibControl/TestStatusPage.cpp
@@ -1,4 +1,4 @@
-/// @file Pages of several entries combine to what is in force, and an entry that is behind misleads nobody.
+/// @file The pages of several entries are combined to what is in force, and an entry that is behind does not mislead operators.
 
 #include "LibControl/StatusPage.h"
 
@@ -30,9 +30,9 @@
 
 }
 
-TEST_CASE("combined pages know the most of any, and drop deployments of an older plan")
+TEST_CASE("combined pages have the newest status of any page, and omit deployments of an older plan")
 {
-    // An operator asks two entries; one of them is behind. It must not look as if the old version were still wanted.
+    // An operator asks two entries, and one of them is behind. The combined page must not show the old version as still wanted.
     const std::vector<Control::StatusPage> pages = {parse(First), parse(Second)};
     const Control::StatusPage page = Control::combineStatusPages(pages);
     REQUIRE(page.m_applied == 9);
@@ -44,7 +44,7 @@
     REQUIRE(Control::statusByFailureDomain(page, page.m_deployments.front()).at("hcm-a") == Control::FailureDomainStatus{1, 1});
 }
 
-TEST_CASE("progress counts what those that wait hold already")
+TEST_CASE("progress includes the weights that waiting instances already hold")
 {
     Control::StatusPage page = parse(First);
     page.m_deployments.front().m_waiting.insert("a2");
--- a/Tests/LibControl/TestTemplateDocument.cpp
+++ b/Tests/LibControl/TestTemplateDocument.cpp
@@ -1,4 +1,4 @@
-/// @file Template documents: what they mean, and that every mistake is reported at once.
+/// @file Template documents: how they are read, and that all mistakes are reported at once.
 
 #include "LibControl/ApplyRecord.h"
 #include "LibControl/TemplateDocument.h"
@@ -14,7 +14,7 @@
 
 }
 
-TEST_CASE("a document gives the template with its accounts")
+TEST_CASE("a document is read as a template with its accounts")
 {
     Control::Template document;
     REQUIRE(read(R"(
@@ -37,7 +37,7 @@
     REQUIRE_FALSE(Control::templateProblem(document).empty());
 }
 
-TEST_CASE("every mistake of a document is reported at once")
+TEST_CASE("all mistakes of a document are reported at once")
 {
     Control::Template document;
     const Settings::Problems problems = read(R"(
@@ -52,7 +52,7 @@
     REQUIRE(problems.size() == 6);
 }
 
-TEST_CASE("accounts of a plain service name no model")
+TEST_CASE("accounts of a plain service must not name a model")
 {
     Control::Template document;
     REQUIRE(read("name: bookings\nservice: booking-desk\nkind: plain\naccounts: [{account: a}]\n", document).empty());
