--- a/Libraries/LibControl/Planner.cpp
+++ b/Libraries/LibControl/Planner.cpp
@@ -85,7 +85,7 @@
     return domains.empty() || std::find(domains.begin(), domains.end(), failureDomain) != domains.end();
 }
 
-/// CandidateRank of a candidate for one digest; the smallest is the best.
+/// Rank of a candidate for one digest; the smallest is the best.
 struct CandidateRank
 {
     bool m_isNotPlanned = true; ///< The plan in progress has not placed the digest on the candidate yet.
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -165,9 +165,9 @@
             return std::nullopt;
         }
         Core::Result<ControlState> state = decodeState(checkpoint->m_state, "");
-        const bool isOfThisHistory =
+        const bool belongsToHistory =
             state && state.value().m_position == checkpoint->m_position && digests.contains(checkpoint->m_position, state.value().m_lastDigest);
-        return isOfThisHistory ? std::optional<ControlState>(std::move(state.value())) : std::nullopt;
+        return belongsToHistory ? std::optional<ControlState>(std::move(state.value())) : std::nullopt;
     }
     if (const Restore *restore = std::get_if<Restore>(&record.value().m_change)) {
         if (restore->m_position + 1 != entry.m_offset) {
--- a/Libraries/LibControl/Recovery.h
+++ b/Libraries/LibControl/Recovery.h
@@ -31,8 +31,8 @@
 struct RecoveredState
 {
     std::optional<ControlState> m_state; ///< Empty if the log contains neither its first record nor a usable checkpoint.
-    Platform::Offset m_firstOffset = 1;
-    Platform::Offset m_nextOffset = 1;
+    Platform::Offset m_firstOffset = 1; ///< Offset of the oldest record in the log.
+    Platform::Offset m_nextOffset = 1; ///< Offset after the last record that was read.
 };
 
 /**
@@ -42,10 +42,13 @@
  * with the digest that the checkpoint's state contains. A checkpoint that a paused writer appended late fails this: either
  * the record has expired, or the log lost the history in which the checkpoint was made and has another record at that
  * position.
+ *
+ * Fails with Unavailable if records expire before they are read in every one of several attempts.
  */
 Core::Result<RecoveredState> recoverFromLog(Platform::Log &log, const std::string &stream);
 
 /// Applies the records that the log still has, from offset @p first on, to a state even if records between the two have expired.
+/// Fails with NotFound if a record expires before it is read.
 Core::Result<ControlState> replayRetainedRecords(Platform::Log &log, const std::string &stream, ControlState state, Platform::Offset first);
 
 }
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -10,11 +10,11 @@
 
 namespace Control {
 
-/// Status that a subscriber last reported.
+/// What is known about a subscriber.
 struct SubscriberStatus
 {
     Protocol::Member m_member;
-    Offset m_applied = 0;
+    Offset m_applied = 0; ///< Revision in force there; 0 if none was reported.
     bool m_isSubscribed = false; ///< Its stream to this entry is open.
 
     bool operator==(const SubscriberStatus &) const = default;
