--- a/Libraries/LibEntry/Entry.cpp
+++ b/Libraries/LibEntry/Entry.cpp
@@ -106,7 +106,7 @@
 void Entry::startLeaving()
 {
     LOG(INFO) << "leaving";
-    m_frontend.m_state = Standing::Leaving;
+    m_frontend.m_state = EntryState::Leaving;
     Protocol::Member self = m_settings.m_instance.m_member;
     self.m_leaving = true;
     m_store.announce(self);
@@ -117,7 +117,7 @@
 {
     const Core::Instant announced = Core::Clock::now();
     std::this_thread::sleep_for(m_settings.m_addressLifetime + LifetimeMargin);
-    m_frontend.m_state = Standing::Draining;
+    m_frontend.m_state = EntryState::Draining;
     while (m_frontend.m_openRequests > 0) {
         if (Core::Clock::now() - announced > m_settings.m_drainLimit) {
             LOG(WARNING) << "the drain limit came before the last answer was complete";
@@ -166,7 +166,7 @@
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     object->set("id", self.m_id);
     object->set("incarnation", self.m_incarnation);
-    object->set("leaving", m_frontend.m_state != Standing::Serving);
+    object->set("leaving", m_frontend.m_state != EntryState::Serving);
     object->set("ready", m_store.isReady());
     object->set("log_up", m_tail.isLogUp());
     object->set("open_requests", m_frontend.m_openRequests.load());
--- a/Libraries/LibEntry/Frontend.cpp
+++ b/Libraries/LibEntry/Frontend.cpp
@@ -20,7 +20,7 @@
             addresses.push_back(member.m_callers.toString());
         }
     }
-    if (frontend.m_state == Standing::Serving) {
+    if (frontend.m_state == EntryState::Serving) {
         addresses.push_back(self.m_callers.toString());
     }
     Core::Random random(Core::stableHash(Core::randomIdentifier()));
@@ -33,7 +33,7 @@
 
 std::optional<CallerError> refusalWhileDraining(const Frontend &frontend)
 {
-    if (frontend.m_state != Standing::Draining) {
+    if (frontend.m_state != EntryState::Draining) {
         return std::nullopt;
     }
     CallerError error;
@@ -45,7 +45,7 @@
 
 CallerError withOtherEntries(const Frontend &frontend, CallerError error)
 {
-    if (error.m_code == CallerCode::NotRun && frontend.m_state != Standing::Serving) {
+    if (error.m_code == CallerCode::NotRun && frontend.m_state != EntryState::Serving) {
         error.m_addresses = callerAddresses(frontend, frontend.m_settings->m_addressesPerAnswer);
     }
     return error;
--- a/Libraries/LibEntry/Frontend.h
+++ b/Libraries/LibEntry/Frontend.h
@@ -27,7 +27,7 @@
     VersionTracker *m_versions = nullptr;
     ClaimService *m_claims = nullptr;
     Telemetry::Metrics *m_metrics = nullptr;
-    std::atomic<Standing> m_state = Standing::Serving;
+    std::atomic<EntryState> m_state = EntryState::Serving;
     std::atomic<std::size_t> m_openRequests = 0; ///< Requests for work that have not been answered to their end.
 };
 
--- a/Libraries/LibPlacement/Choice.cpp
+++ b/Libraries/LibPlacement/Choice.cpp
@@ -84,7 +84,7 @@
     const std::optional<double> places = view.m_slotTracker.totalFreeSlots(view.m_now);
     if (places && *places < *request.m_neededSlots) {
         usable.clear();
-        result.m_reason = NoChoice::Overloaded;
+        result.m_reason = NoChoiceReason::Overloaded;
     }
 }
 
@@ -151,16 +151,16 @@
 
 }
 
-std::string_view noChoiceReasonName(NoChoice reason)
+std::string_view noChoiceReasonName(NoChoiceReason reason)
 {
     switch (reason) {
-    case NoChoice::NoEndpoint:
+    case NoChoiceReason::NoEndpoint:
         return "no_endpoint";
-    case NoChoice::NoWeights:
+    case NoChoiceReason::NoWeights:
         return "no_weights";
-    case NoChoice::AllTried:
+    case NoChoiceReason::AllTried:
         return "all_tried";
-    case NoChoice::Overloaded:
+    case NoChoiceReason::Overloaded:
         return "overloaded";
     }
     return "unknown";
@@ -190,12 +190,12 @@
         if (endpoint.m_service != request.m_service || endpoint.m_isLeaving) {
             continue;
         }
-        result.m_reason = std::max(result.m_reason, NoChoice::NoWeights);
+        result.m_reason = std::max(result.m_reason, NoChoiceReason::NoWeights);
         const Usable candidate{&endpoint, &view.m_endpointTracker.get(endpoint), entry.second.m_missingSince.has_value()};
         if (!hasWeights(candidate, request, view)) {
             continue;
         }
-        result.m_reason = NoChoice::AllTried;
+        result.m_reason = NoChoiceReason::AllTried;
         if (!request.m_excluded.contains(endpoint.m_id)) {
             usable.push_back(candidate);
         }
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -56,13 +56,13 @@
     Overloaded, ///< The engines have no place for it.
 };
 
-std::string_view noChoiceReasonName(NoChoice reason);
+std::string_view noChoiceReasonName(NoChoiceReason reason);
 
 /// Either a choice or the reason why there is none.
 struct ChoiceResult
 {
     std::optional<Choice> m_choice;
-    NoChoice m_reason = NoChoice::NoEndpoint;
+    NoChoiceReason m_reason = NoChoiceReason::NoEndpoint;
 };
 
 /**
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -209,7 +209,7 @@
     send(choice);
 }
 
-void RelayedRequest::endWithoutEndpoint(Placement::NoChoice noChoice)
+void RelayedRequest::endWithoutEndpoint(Placement::NoChoiceReason noChoice)
 {
     const std::string reason = std::string(Placement::noChoiceReasonName(noChoice)) + (m_lastFailure.empty() ? "" : " after: " + m_lastFailure);
     if (m_isHeadForwarded) {
@@ -482,7 +482,7 @@
         fail(BadGateway, detail);
         return;
     }
-    refuse(detail, retryAfter(Placement::NoChoice::NoEndpoint));
+    refuse(detail, retryAfter(Placement::NoChoiceReason::NoEndpoint));
 }
 
 bool RelayedRequest::mayRetry(bool mayHaveRun)
--- a/Libraries/LibRelay/RelayedRequest.h
+++ b/Libraries/LibRelay/RelayedRequest.h
@@ -29,7 +29,7 @@
     /// Called once the first configuration is known.
     void onConfigurationKnown();
     /// Sends the request if there is a place for it now.
-    QueueStep trySendFromQueue();
+    QueueSendResult trySendFromQueue();
     /// Refuses it, since no place is expected in time. @p ahead: requests that go on waiting.
     void rejectFromQueue(const Placement::QueueForecast &forecast, std::size_t ahead);
 
@@ -64,7 +64,7 @@
     /// Lets the request wait for a place; false if it may not.
     bool enqueue();
     /// Notes what the refusal of an engine service tells of its weights.
-    void recordWeightAvailability(Placement::NoChoice reason);
+    void recordWeightAvailability(Placement::NoChoiceReason reason);
     bool isWaiting() const
     {
         return m_ticket.has_value();
@@ -77,10 +77,10 @@
     /// Its answer could still begin within the objective.
     bool canMeetObjective() const;
     /// Ends the request, for which no endpoint was chosen, by what has become of it so far: a refusal, a failure or a cut connection.
-    void endWithoutEndpoint(Placement::NoChoice noChoice);
+    void endWithoutEndpoint(Placement::NoChoiceReason noChoice);
     Placement::AdmissionView admissionView() const;
     /// When a caller that is refused should come back.
-    Core::Duration retryAfter(Placement::NoChoice reason) const;
+    Core::Duration retryAfter(Placement::NoChoiceReason reason) const;
     void send(const Placement::Choice &choice);
     Http::ClientCallLimits callLimits() const;
     AttemptFacts attemptFacts(const Placement::Choice &choice) const;
--- a/Libraries/LibRelay/RelayedRequestQueueing.cpp
+++ b/Libraries/LibRelay/RelayedRequestQueueing.cpp
@@ -60,10 +60,10 @@
     return bounds;
 }
 
-void RelayedRequest::recordWeightAvailability(Placement::NoChoice reason)
+void RelayedRequest::recordWeightAvailability(Placement::NoChoiceReason reason)
 {
     if (m_service->m_engine.m_slots > 0) {
-        m_relay.m_waitingRequests.recordWeightAvailability(m_service->m_name, reason == Placement::NoChoice::Overloaded, Core::Clock::now());
+        m_relay.m_waitingRequests.recordWeightAvailability(m_service->m_name, reason == Placement::NoChoiceReason::Overloaded, Core::Clock::now());
     }
 }
 
@@ -97,19 +97,19 @@
     return needed && ledger.enginesWithSlots(now) > 0 && ledger.totalFreeSlots(now).value_or(0) < *needed;
 }
 
-QueueStep RelayedRequest::trySendFromQueue()
+QueueSendResult RelayedRequest::trySendFromQueue()
 {
     if (lacksSlots()) {
-        return QueueStep::NoSlot;
+        return QueueSendResult::NoSlot;
     }
     const Placement::ChoiceResult result = chooseEndpoint();
     if (result.m_choice) {
         stopWaiting();
         admitAndSend(*result.m_choice);
-        return QueueStep::Dequeued;
+        return QueueSendResult::Dequeued;
     }
     recordWeightAvailability(result.m_reason);
-    return result.m_reason == Placement::NoChoice::Overloaded ? QueueStep::NoSlot : QueueStep::NoEndpoint;
+    return result.m_reason == Placement::NoChoiceReason::Overloaded ? QueueSendResult::NoSlot : QueueSendResult::NoEndpoint;
 }
 
 void RelayedRequest::rejectFromQueue(const Placement::QueueForecast &forecast, std::size_t ahead)
@@ -117,15 +117,15 @@
     logNoSlotExpected(forecast, ahead);
     stopWaiting();
     const bool hasWeights = forecast.m_untilWeights.count() == 0;
-    endWithoutEndpoint(hasWeights ? Placement::NoChoice::Overloaded : Placement::NoChoice::NoWeights);
+    endWithoutEndpoint(hasWeights ? Placement::NoChoiceReason::Overloaded : Placement::NoChoiceReason::NoWeights);
 }
 
-Core::Duration RelayedRequest::retryAfter(Placement::NoChoice reason) const
+Core::Duration RelayedRequest::retryAfter(Placement::NoChoiceReason reason) const
 {
-    if (reason == Placement::NoChoice::NoWeights || m_hasMetRestartedEngine) {
+    if (reason == Placement::NoChoiceReason::NoWeights || m_hasMetRestartedEngine) {
         return Placement::retryAfterWithoutWeights(timeLeft(), m_relay.m_parts.m_random);
     }
-    if (reason != Placement::NoChoice::Overloaded) {
+    if (reason != Placement::NoChoiceReason::Overloaded) {
         return m_relay.m_settings.m_retryAfter;
     }
     const Placement::QueueForecast forecast = m_relay.m_waitingRequests.forecast(m_service->m_name, Core::Clock::now());
--- a/Libraries/LibRelay/WaitingRequests.cpp
+++ b/Libraries/LibRelay/WaitingRequests.cpp
@@ -147,7 +147,7 @@
 {
     for (const std::uint64_t ticket : tickets) {
         const std::shared_ptr<RelayedRequest> request = find(ticket);
-        if (request && request->trySendFromQueue() == QueueStep::NoSlot) {
+        if (request && request->trySendFromQueue() == QueueSendResult::NoSlot) {
             return; // Those behind it need as much.
         }
     }
--- a/Libraries/LibStaging/EngineControl.h
+++ b/Libraries/LibStaging/EngineControl.h
@@ -35,7 +35,7 @@
 {
     std::string m_model;
     std::uint64_t m_version = 0;
-    RunningRequests m_runningRequestPolicy = RunningRequests::Finish;
+    RunningRequestPolicy m_runningRequestPolicy = RunningRequestPolicy::Finish;
     std::uint64_t m_fence = 0; ///< Offset of the declaration; engines that check refuse lower ones than seen.
     std::uint64_t m_expectedAcceptedOrders = 0; ///< The order counts only if the engine has accepted as many before.
 
--- a/Libraries/LibStaging/WeightsManager.cpp
+++ b/Libraries/LibStaging/WeightsManager.cpp
@@ -556,7 +556,7 @@
         m_onStatus(*m_status, true, true);
     }
     const bool isServing = !m_status->m_weights.empty() && m_status->m_running > 0;
-    const bool willCut = runningRequestPolicy() == RunningRequests::Abort;
+    const bool willCut = runningRequestPolicy() == RunningRequestPolicy::Abort;
     runAfter(isServing && willCut ? m_settings.m_drainTime : Core::Duration(0), run, [this, run] {
         enterStep(Step::Verify);
         verifyStagedChunks(run);
@@ -593,10 +593,10 @@
  * Streams that another engine may continue are cut. To wait for the longest of them keeps an engine idle for about two seconds, which for a whole
  * fleet within the bound of a version takes over a quarter of its capacity; a stream that moves pauses for the reading of its prompt.
  */
-RunningRequests WeightsManager::runningRequestPolicy() const
+RunningRequestPolicy WeightsManager::runningRequestPolicy() const
 {
     const Fleet::Service *own = ownService();
-    return own && own->m_mayMoveRequests ? RunningRequests::Abort : RunningRequests::Finish;
+    return own && own->m_mayMoveRequests ? RunningRequestPolicy::Abort : RunningRequestPolicy::Finish;
 }
 
 void WeightsManager::sendLoadOrder(std::uint64_t run)
@@ -608,7 +608,7 @@
     }
     m_ordersSent.add();
     m_orderSentAt = Core::Clock::now();
-    const RunningRequests running = runningRequestPolicy();
+    const RunningRequestPolicy running = runningRequestPolicy();
     const LoadOrder order{m_target->m_model, m_target->m_version, running, m_target->m_fence, m_status->m_acceptedOrders};
     m_engine.m_load(order, [this, alive = m_isAlive, run](const Core::Result<void> &result) {
         if (*alive && isCurrentRun(run)) {
--- a/Libraries/LibStaging/WeightsManager.h
+++ b/Libraries/LibStaging/WeightsManager.h
@@ -140,7 +140,7 @@
     void drainEngine();
     bool isEngineUnavailable() const;
     void verifyStagedChunks(std::uint64_t run);
-    RunningRequests runningRequestPolicy() const;
+    RunningRequestPolicy runningRequestPolicy() const;
     void sendLoadOrder(std::uint64_t run);
     void handleOrderResult(std::uint64_t run, const Core::Result<void> &result);
     void enterStep(Step step);
--- a/Libraries/LibTransfer/Coordinator.cpp
+++ b/Libraries/LibTransfer/Coordinator.cpp
@@ -319,12 +319,12 @@
 }
 
 /// Draws of a later version wait until those of the first are due: side by side, each would take twice as long on the origin's link.
-Effort Coordinator::transferModeFor(const Version &version, const Version *first, Core::Instant now) const
+TransferMode Coordinator::transferModeFor(const Version &version, const Version *first, Core::Instant now) const
 {
     if (!version.m_isWanted || !first || version.m_priority <= first->m_priority) {
-        return Effort::Full;
+        return TransferMode::Full;
     }
-    return first->m_exchange && first->m_exchange->areDownloadsDue(now) ? Effort::OwnDownloadsOnly : Effort::MonitorOnly;
+    return first->m_exchange && first->m_exchange->areDownloadsDue(now) ? TransferMode::OwnDownloadsOnly : TransferMode::MonitorOnly;
 }
 
 std::uint64_t Coordinator::memoryUsed() const
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -74,7 +74,7 @@
     void makeDecisions(Core::Instant now);
     /// The most urgent wanted version that is not whole; null if there is none.
     const Version *firstIncomplete() const;
-    Effort transferModeFor(const Version &version, const Version *first, Core::Instant now) const;
+    TransferMode transferModeFor(const Version &version, const Version *first, Core::Instant now) const;
     void fetchManifest(Version &version, Core::Instant now);
     std::optional<Core::Address> manifestSource(const Version &version);
     void adoptManifest(Version &version, const std::string &encoded, const Weights::Manifest &manifest);
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -103,7 +103,7 @@
     void onFollowEnded(const Core::Address &peer, Core::Instant now);
 
     /// Everything that is to be done now.
-    std::vector<Action> decide(Pacer &download, Core::Instant now, Effort effort = Effort::Full);
+    std::vector<Action> decide(Pacer &download, Core::Instant now, TransferMode effort = TransferMode::Full);
 
     /// Every chunk's turn on the origin's link has come, by the rate that is known of it.
     bool areDownloadsDue(Core::Instant now) const;
--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -191,21 +191,21 @@
     return open;
 }
 
-std::vector<Action> Exchange::decide(Pacer &download, Core::Instant now, Effort effort)
+std::vector<Action> Exchange::decide(Pacer &download, Core::Instant now, TransferMode effort)
 {
     std::vector<Action> actions;
     if (!m_self) {
         return actions;
     }
     decideStalls(actions, now);
-    if (effort == Effort::MonitorOnly) {
+    if (effort == TransferMode::MonitorOnly) {
         return actions;
     }
     decideFollows(actions, now);
     if (!isComplete()) {
         decideDownloads(actions, download, now);
     }
-    if (!isComplete() && effort == Effort::Full) {
+    if (!isComplete() && effort == TransferMode::Full) {
         decideRequests(actions, download, now);
         decideHedges(actions, download, now);
     }
--- a/Tests/LibPlacement/TestChoice.cpp
+++ b/Tests/LibPlacement/TestChoice.cpp
@@ -72,7 +72,7 @@
     loading.m_weights = {Fleet::LoadedWeights{"draft", 1, {{0, 16}}}};
     fleet.m_book.recordEngineReport(fleet.add("loading"), loading, Start);
     CHECK_FALSE(fleet.choose(request()).m_choice);
-    CHECK(fleet.choose(request()).m_reason == Placement::NoChoice::NoWeights);
+    CHECK(fleet.choose(request()).m_reason == Placement::NoChoiceReason::NoWeights);
     fleet.add("good");
     for (std::size_t draw = 0; draw < Draws; ++draw) {
         REQUIRE(fleet.choose(request()).m_choice->m_endpoint.m_id == "good");
@@ -82,11 +82,11 @@
 TEST_CASE("without endpoints a service cannot serve, and says so at once")
 {
     TestFleet fleet;
-    CHECK(fleet.choose(request()).m_reason == Placement::NoChoice::NoEndpoint);
+    CHECK(fleet.choose(request()).m_reason == Placement::NoChoiceReason::NoEndpoint);
     fleet.add("only");
     Placement::ChoiceRequest again = request();
     again.m_excluded = {"only"};
-    CHECK(fleet.choose(again).m_reason == Placement::NoChoice::AllTried);
+    CHECK(fleet.choose(again).m_reason == Placement::NoChoiceReason::AllTried);
 }
 
 TEST_CASE("the choice tells the version that the engine has, which may be newer than required")
--- a/Tests/LibTransfer/TestExchange.cpp
+++ b/Tests/LibTransfer/TestExchange.cpp
@@ -36,7 +36,7 @@
     std::set<Core::Address> m_followed;
     std::vector<Transfer::Action> m_asked; ///< Every AskPeer and AskOrigin so far.
     bool m_isOriginAway = false; ///< Draws fail as soon as they are asked for.
-    Transfer::Effort m_effort = Transfer::Effort::Full;
+    Transfer::TransferMode m_effort = Transfer::TransferMode::Full;
 
     Bench(std::uint32_t replicas, std::uint32_t own, std::uint32_t originCopies = 1)
     {
@@ -188,7 +188,7 @@
     // Two versions are declared two seconds apart, and the origin goes away soon after the second. Chunks that left it by then shorten the wait for the
     // second version; asking peers for them too would delay the first.
     Bench bench(4, 0);
-    bench.m_effort = Transfer::Effort::OwnDownloadsOnly;
+    bench.m_effort = Transfer::TransferMode::OwnDownloadsOnly;
     for (Weights::ChunkIndex chunk = 0; chunk < Chunks; ++chunk) {
         if (!bench.ranked(0, 0).contains(chunk)) {
             bench.m_holdings[bench.m_replicas[1].m_wire].push_back(chunk);
