--- a/Libraries/LibProtocol/InstanceSettings.cpp
+++ b/Libraries/LibProtocol/InstanceSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the sections that every process has.
+/// @file Reading of the settings sections common to every process.
 
 #include "LibProtocol/InstanceSettings.h"
 #include "LibCore/Random.h"
--- a/Libraries/LibProtocol/InstanceSettings.h
+++ b/Libraries/LibProtocol/InstanceSettings.h
@@ -1,4 +1,4 @@
-/// @file The sections of a settings file that every process of the system has.
+/// @file Settings sections common to every process of the system.
 #pragma once
 
 #include "LibNetwork/NetworkSettings.h"
@@ -7,12 +7,12 @@
 
 namespace Protocol {
 
-/// Who the process is, where it listens and how it dials.
+/// Identity, listening addresses and outgoing network settings of a process.
 struct InstanceSettings
 {
-    Member m_member; ///< With a fresh incarnation.
+    Member m_member; ///< Has a new random incarnation.
     Network::NetworkSettings m_network;
-    std::string m_logDirectory; ///< Empty logs to standard error.
+    std::string m_logDirectory; ///< Empty to log to standard error.
 };
 
 /// Reads the sections "instance", "listen", "network" and the field "log_directory".
--- a/Libraries/LibProtocol/Member.h
+++ b/Libraries/LibProtocol/Member.h
@@ -1,4 +1,4 @@
-/// @file A process of the system as the others know it.
+/// @file Description of a process of the system, as exchanged between processes.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -9,23 +9,23 @@
 namespace Protocol {
 
 enum class Role {
-    Entry = 0, ///< Runs on an entry instance: addresses, routing, control decisions.
-    Agent = 1, ///< Runs in the slot of an endpoint instance.
+    Entry = 0, ///< Runs on an entry instance: gives addresses to callers, routes their requests and takes part in control decisions.
+    Agent = 1, ///< Runs on an endpoint instance, beside the endpoint.
 };
 
-/// One process of the system, as it announces itself and as the instance list names it.
+/// One process of the system, as announced by itself or by the instance list.
 struct Member
 {
     std::string m_id; ///< Name of the instance; unique among live instances.
-    std::string m_incarnation; ///< Random for each start of the process, so that a replaced one is not taken for its predecessor.
+    std::string m_incarnation; ///< Random for each start of the process; distinguishes a restarted or replaced process from its predecessor.
     Role m_role = Role::Entry;
-    std::string m_service; ///< Service whose endpoint the agent stands beside; empty for entries.
+    std::string m_service; ///< Service of the endpoint that the agent runs beside; empty for entries.
     std::string m_region;
     std::string m_failureDomain;
-    Core::Address m_wire; ///< Where it answers other processes.
-    Core::Address m_callers; ///< Where it answers callers; empty for agents.
-    Core::Address m_admin; ///< Where it answers operators.
-    bool m_leaving = false; ///< It takes no new work.
+    Core::Address m_wire; ///< Address for other processes.
+    Core::Address m_callers; ///< Address for callers; empty for agents.
+    Core::Address m_admin; ///< Address for operators.
+    bool m_leaving = false; ///< The instance is leaving and takes no new work.
 
     bool operator==(const Member &) const = default;
 
--- a/Libraries/LibProtocol/Report.cpp
+++ b/Libraries/LibProtocol/Report.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the frames of a watch.
+/// @file Decoding of the frames of a report stream.
 
 #include "LibProtocol/Report.h"
 #include "LibWire/Pack.h"
--- a/Libraries/LibProtocol/Report.h
+++ b/Libraries/LibProtocol/Report.h
@@ -1,4 +1,4 @@
-/// @file What an agent tells the entries that watch it (method control.watch, a stream of AgentReport and LoadReport frames).
+/// @file Reports of an agent to the entries that watch it (method control.watch, a stream of AgentReport and LoadReport frames).
 #pragma once
 
 #include "LibCore/Error.h"
@@ -11,30 +11,30 @@
 
 namespace Protocol {
 
-/// The engine serves exactly this whole, verified version now.
+/// States that the engine serves exactly this version, complete and verified.
 struct Attestation
 {
     std::string m_digest; ///< Manifest digest of the weights, in hexadecimal.
-    std::uint64_t m_fence = 0; ///< Offset of the plan under which they were loaded.
+    std::uint64_t m_fence = 0; ///< Offset of the plan under which the weights were loaded.
 
     bool operator==(const Attestation &) const = default;
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("digest", m_digest), MSGPACK_NVP("fence", m_fence));
 };
 
-/// Load as the endpoint reported it; it lags.
+/// Load as last reported by the endpoint; may be stale.
 struct EndpointLoad
 {
     std::uint32_t m_running = 0;
     std::uint32_t m_queued = 0;
-    std::uint32_t m_capacity = 1; ///< Requests that it runs at once.
+    std::uint32_t m_capacity = 1; ///< Requests that the endpoint can run at once.
 
     bool operator==(const EndpointLoad &) const = default;
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("running", m_running), MSGPACK_NVP("queued", m_queued), MSGPACK_NVP("capacity", m_capacity));
 };
 
-/// How far a transfer of weights has come.
+/// Progress of a transfer of weights.
 struct TransferProgress
 {
     std::string m_digest;
@@ -46,14 +46,14 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("digest", m_digest), MSGPACK_NVP("held", m_chunksHeld), MSGPACK_NVP("total", m_chunksTotal));
 };
 
-/// A whole report.
+/// A full report.
 struct AgentReport
 {
     Member m_member;
-    std::uint64_t m_sequence = 0; ///< Grows by one with each report of an incarnation.
-    std::uint64_t m_appliedOffset = 0; ///< Control state in force at the agent.
+    std::uint64_t m_sequence = 0; ///< Incremented by one with each report of an incarnation.
+    std::uint64_t m_appliedOffset = 0; ///< Offset of the control state in force at the agent.
     bool m_endpointHealthy = false;
-    std::vector<Attestation> m_attestations; ///< For plain services empty; m_endpointHealthy alone counts.
+    std::vector<Attestation> m_attestations; ///< Empty for plain services, for which only m_endpointHealthy matters.
     EndpointLoad m_load;
     std::vector<TransferProgress> m_transfers;
 
@@ -69,16 +69,16 @@
 };
 
 /**
- * Stands for a whole report in which only the load differs from an earlier one.
+ * Replaces a full report in which only the load differs from an earlier one.
  *
- * Whole reports each second were most of an entry's control traffic. A watcher that missed a whole report must not take the load for
- * a sign that what it holds is still true, so it names the whole report that it builds on.
+ * Sending full reports each second made up most of an entry's control traffic. A watcher that missed a full report must not treat a load report
+ * as confirmation of its stale data, so each load report names the full report that it builds on.
  */
 struct LoadReport
 {
-    bool m_isLoadOnly = false; ///< Tells this frame from a whole report, which has no such field.
-    std::uint64_t m_sequence = 0; ///< Counted on with the whole reports.
-    std::uint64_t m_fullReportSequence = 0; ///< Sequence of the last whole report; everything but the load is as it said.
+    bool m_isLoadOnly = false; ///< Distinguishes this frame from a full report, which has no such field.
+    std::uint64_t m_sequence = 0; ///< Continues the sequence of the full reports.
+    std::uint64_t m_fullReportSequence = 0; ///< Sequence of the last full report; all its fields but the load and the sequence still hold.
     EndpointLoad m_load;
 
     bool operator==(const LoadReport &) const = default;
@@ -90,10 +90,10 @@
 };
 
 /**
- * Brings @p held up to date with a frame of the stream.
+ * Updates @p held with a frame of the stream.
  *
- * Fails with Corrupt on a malformed frame, and with Conflict, leaving @p held unchanged, on a load that builds on a whole report that was
- * missed; the next whole report makes that good.
+ * Fails with Corrupt on a malformed frame. Fails with Conflict, leaving @p held unchanged, on a load report that builds on a full report that
+ * was missed; the next full report resolves the conflict.
  */
 Core::Result<void> applyWatchFrame(const std::string &frame, const std::string &peer, AgentReport &held);
 
--- a/Libraries/LibProtocol/StateFeed.h
+++ b/Libraries/LibProtocol/StateFeed.h
@@ -1,4 +1,4 @@
-/// @file How control state reaches a process that does not read the log itself, or cannot (method control.state, a stream of StateUpdate frames).
+/// @file Messages that bring control state to processes that do not or cannot read the log (method control.state, a stream of StateUpdate frames).
 #pragma once
 
 #include "LibProtocol/Member.h"
@@ -13,13 +13,13 @@
 struct StateRequest
 {
     Member m_subscriber;
-    std::uint64_t m_appliedOffset = 0; ///< What the subscriber has; 0 if nothing.
-    std::string m_chain; ///< Digest of the history that the subscriber has folded; empty if nothing.
+    std::uint64_t m_appliedOffset = 0; ///< Offset of the subscriber's control state; 0 if it has none.
+    std::string m_chain; ///< Digest of the history that the subscriber has applied; empty if it has none.
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("subscriber", m_subscriber), MSGPACK_NVP("applied", m_appliedOffset), MSGPACK_NVP("chain", m_chain));
 };
 
-/// A record of the control stream as the log holds it.
+/// A record of a stream, as stored in the log.
 struct LogRecord
 {
     std::uint64_t m_offset = 0;
@@ -30,16 +30,16 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("offset", m_offset), MSGPACK_NVP("body", m_body));
 };
 
-/// Either a snapshot, or records that follow what the subscriber has, or members, or several of them.
+/// A snapshot, records that follow the subscriber's state, members, or several of these.
 struct StateUpdate
 {
     std::uint64_t m_snapshotOffset = 0; ///< 0 if there is no snapshot in this update.
     std::string m_snapshot; ///< Encoded control state as of m_snapshotOffset.
-    std::string m_baseChain; ///< Digest of the history that m_records follow.
+    std::string m_baseChain; ///< Digest of the history that precedes m_records.
     std::vector<LogRecord> m_records;
     std::uint64_t m_membersVersion = 0; ///< 0 if there are no members in this update.
-    std::vector<Member> m_members; ///< Every known member, not a difference.
-    std::vector<std::string> m_endedIncarnations; ///< Incarnations that have ended; the newest ones.
+    std::vector<Member> m_members; ///< Every known member, not a delta.
+    std::vector<std::string> m_endedIncarnations; ///< Incarnations that ended most recently.
     bool m_wantsState = false; ///< The entry is behind the subscriber and asks for its state (control.offer).
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("snapshot_offset", m_snapshotOffset),
@@ -52,7 +52,7 @@
                        MSGPACK_NVP("wants_state", m_wantsState));
 };
 
-/// A subscriber has something in force that the entry does not have (method control.offer).
+/// Sends the control state of a subscriber to an entry that is behind it (method control.offer).
 struct StateOffer
 {
     std::string m_instance;
@@ -61,7 +61,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("instance", m_instance), MSGPACK_NVP("snapshot", m_snapshot));
 };
 
-/// An agent asks for the fencing number that its orders must not fall below (method control.fence).
+/// An agent's request for the lowest fencing number that its orders may have (method control.fence).
 struct FenceRequest
 {
     std::string m_service;
@@ -71,15 +71,15 @@
 
 struct FenceAnswer
 {
-    std::uint64_t m_planOffset = 0; ///< Of the service's plan in force at the entry; 0 if there is none.
-    std::uint64_t m_appliedOffset = 0; ///< Control state in force at the entry.
+    std::uint64_t m_planOffset = 0; ///< Offset of the service's plan in force at the entry; 0 if there is none.
+    std::uint64_t m_appliedOffset = 0; ///< Offset of the control state in force at the entry.
 
     bool operator==(const FenceAnswer &) const = default;
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("plan", m_planOffset), MSGPACK_NVP("applied", m_appliedOffset));
 };
 
-/// A subscriber says which state is in force at it (method control.applied).
+/// Reports which control state is in force at a subscriber (method control.applied).
 struct AppliedNotice
 {
     std::string m_instance;
--- a/Tests/LibProtocol/TestReport.cpp
+++ b/Tests/LibProtocol/TestReport.cpp
@@ -1,4 +1,4 @@
-/// @file Reports of agents, whole and of the load alone.
+/// @file Full and load-only reports of agents.
 
 #include "LibProtocol/Report.h"
 #include "LibWire/Pack.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-Protocol::AgentReport wholeReport(std::uint64_t sequence, const std::string &digest)
+Protocol::AgentReport makeFullReport(std::uint64_t sequence, const std::string &digest)
 {
     Protocol::AgentReport report;
     report.m_member.m_id = "models-1";
@@ -18,23 +18,23 @@
 
 }
 
-TEST_CASE("a load report changes the load and nothing else")
+TEST_CASE("A load report changes only the load and the sequence")
 {
     Protocol::AgentReport held;
-    REQUIRE(Protocol::applyWatchFrame(Wire::pack(wholeReport(5, "old")), "agent", held));
+    REQUIRE(Protocol::applyWatchFrame(Wire::pack(makeFullReport(5, "old")), "agent", held));
     REQUIRE(Protocol::applyWatchFrame(Wire::pack(Protocol::LoadReport{true, 6, 5, {3, 1, 8}}), "agent", held));
-    Protocol::AgentReport expected = wholeReport(6, "old");
+    Protocol::AgentReport expected = makeFullReport(6, "old");
     expected.m_load = Protocol::EndpointLoad{3, 1, 8};
     REQUIRE(held == expected);
 }
 
-TEST_CASE("a load report that builds on a missed whole report is not taken for a sign of life")
+TEST_CASE("A load report that builds on a missed full report is rejected and does not refresh the held report")
 {
-    // An entry fell behind and missed the report in which an engine gave a version up. Were the loads that follow applied to the old report, the entry
-    // would go on sending requests for a version that is not there; ignored, the old report expires until the next whole one.
-    Protocol::AgentReport held = wholeReport(5, "old");
+    // An entry falls behind and misses the report in which an engine unloads a version. If the load reports that follow were applied to the old report, the
+    // entry would keep sending requests for that version. If they are ignored, the old report expires until the next full one arrives.
+    Protocol::AgentReport held = makeFullReport(5, "old");
     const Core::Result<void> applied = Protocol::applyWatchFrame(Wire::pack(Protocol::LoadReport{true, 8, 7, {}}), "agent", held);
     REQUIRE(applied.error().m_code == Core::ErrorCode::Conflict);
-    REQUIRE(held == wholeReport(5, "old"));
+    REQUIRE(held == makeFullReport(5, "old"));
     REQUIRE(Protocol::applyWatchFrame("noise", "agent", held).error().m_code == Core::ErrorCode::Corrupt);
 }
