--- a/Libraries/LibPlatform/HttpExchange.h
+++ b/Libraries/LibPlatform/HttpExchange.h
@@ -1,4 +1,4 @@
-/// @file One HTTP request to a service of the platform, with bounded answers and errors that say whether it can have taken effect.
+/// @file HTTP requests to services of the platform, with bounded answers and errors that tell whether a request may have taken effect.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,12 +11,12 @@
 
 struct HttpRequest
 {
-    std::string m_step; ///< For errors, for example "append record".
+    std::string m_step; ///< Step named in errors, for example "append record".
     std::string m_method = "GET";
     std::string m_target; ///< Path and query.
     std::string m_body;
-    Core::Duration m_timeout{3000}; ///< For each wait on the peer.
-    std::size_t m_maximumAnswerBytes = 16 << 20; ///< Larger answers are refused as Corrupt.
+    Core::Duration m_timeout{3000}; ///< Limit for each wait for the server.
+    std::size_t m_maximumAnswerBytes = 16 << 20; ///< Larger answers fail with Corrupt.
 };
 
 struct HttpAnswer
@@ -25,7 +25,12 @@
     std::string m_body;
 };
 
-/// Unavailable: no byte of the request was sent. Ambiguous: it was sent, at least in part, and no whole answer came back.
-Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpRequest &question);
+/**
+ * Sends the request and returns the answer.
+ *
+ * Fails with Unavailable if no byte of the request was sent, with Ambiguous if it was sent at least in part and no complete answer came back, and with
+ * Corrupt if the answer is too long.
+ */
+Core::Result<HttpAnswer> exchangeHttp(const Network::NetworkSettings &network, const Core::Address &server, const HttpRequest &request);
 
 }
--- a/Libraries/LibPlatform/HttpInstanceList.cpp
+++ b/Libraries/LibPlatform/HttpInstanceList.cpp
@@ -38,12 +38,12 @@
 
 Core::Result<std::vector<Protocol::Member>> HttpInstanceList::instances()
 {
-    HttpRequest question;
-    question.m_step = "read instance list";
-    question.m_target = "/instances";
-    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, question));
+    HttpRequest request;
+    request.m_step = "read instance list";
+    request.m_target = "/instances";
+    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, request));
     if (answer.m_status != Ok) {
-        return Core::makeError(Core::ErrorCode::Unavailable, question.m_step, m_server.toString(), "status " + std::to_string(answer.m_status));
+        return Core::makeError(Core::ErrorCode::Unavailable, request.m_step, m_server.toString(), "status " + std::to_string(answer.m_status));
     }
     return parseInstanceList(answer.m_body, m_server.toString());
 }
--- a/Libraries/LibPlatform/HttpInstanceList.h
+++ b/Libraries/LibPlatform/HttpInstanceList.h
@@ -1,4 +1,4 @@
-/// @file The instance list over HTTP; docs/STANDINS.md gives the protocol.
+/// @file Client of the instance list over HTTP; docs/STANDINS.md describes the protocol.
 #pragma once
 
 #include "LibNetwork/NetworkSettings.h"
@@ -18,7 +18,7 @@
     const Core::Address m_server;
 };
 
-/// Reads the list's JSON text; entries that are malformed make the whole list Corrupt, so that half a list is never taken for the whole.
+/// Parses the list's JSON text. Fails with Corrupt on any malformed entry, so that a partial list is never used.
 Core::Result<std::vector<Protocol::Member>> parseInstanceList(const std::string &text, const std::string &peer);
 
 }
--- a/Libraries/LibPlatform/HttpLog.cpp
+++ b/Libraries/LibPlatform/HttpLog.cpp
@@ -28,7 +28,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("first", m_first), MSGPACK_NVP("next", m_next), MSGPACK_NVP("records", m_records));
 };
 
-Core::Error refusal(const std::string &step, const std::string &peer, int status)
+Core::Error errorForStatus(const std::string &step, const std::string &peer, int status)
 {
     switch (status) {
     case TooManyRequests:
@@ -40,7 +40,7 @@
     }
 }
 
-/// The offset that an append returned. An answer that cannot be read leaves it open which one it was.
+/// Parses the offset that an append returned. Fails with Ambiguous if the answer is unreadable, since the record is then at an unknown offset.
 Core::Result<Offset> parseOffset(const std::string &body, const std::string &peer)
 {
     try {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A page with gaps or out of order would make readers disagree, so it counts as corrupt.
+/// Fails with Corrupt if the records have gaps or are out of order, since readers would then derive different states.
 Core::Result<LogPage> checkPage(EncodedPage encoded, Offset from, const std::string &peer)
 {
     LogPage page{encoded.m_first, encoded.m_next, std::move(encoded.m_records)};
@@ -82,15 +82,15 @@
     if (body.size() > MaximumRecordBytes) {
         return Core::makeError(Core::ErrorCode::InvalidInput, step, peer, "the record is longer than " + std::to_string(MaximumRecordBytes) + " bytes");
     }
-    HttpRequest question;
-    question.m_step = step;
-    question.m_method = "POST";
-    question.m_target = "/log/" + stream;
-    question.m_body = body;
-    question.m_timeout = m_timeout;
-    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, question));
+    HttpRequest request;
+    request.m_step = step;
+    request.m_method = "POST";
+    request.m_target = "/log/" + stream;
+    request.m_body = body;
+    request.m_timeout = m_timeout;
+    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, request));
     if (answer.m_status != Ok) {
-        return refusal(step, peer, answer.m_status);
+        return errorForStatus(step, peer, answer.m_status);
     }
     return parseOffset(answer.m_body, peer);
 }
@@ -99,15 +99,15 @@
 {
     const std::string peer = m_server.toString();
     const std::size_t maximum = std::min(options.m_maximumRecords, MaximumPageRecords);
-    HttpRequest question;
-    question.m_step = "read log";
-    question.m_target =
+    HttpRequest request;
+    request.m_step = "read log";
+    request.m_target =
         "/log/" + stream + "?from=" + std::to_string(from) + "&max=" + std::to_string(maximum) + "&wait_ms=" + std::to_string(options.m_wait.count());
-    question.m_timeout = m_timeout + options.m_wait;
-    question.m_maximumAnswerBytes = MaximumPageBytes;
-    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, question));
+    request.m_timeout = m_timeout + options.m_wait;
+    request.m_maximumAnswerBytes = MaximumPageBytes;
+    const HttpAnswer answer = BOOST_OUTCOME_TRYX(exchangeHttp(m_network, m_server, request));
     if (answer.m_status != Ok && answer.m_status != Gone) {
-        return refusal(question.m_step, peer, answer.m_status);
+        return errorForStatus(request.m_step, peer, answer.m_status);
     }
     EncodedPage page = BOOST_OUTCOME_TRYX(Wire::unpack<EncodedPage>(answer.m_body, peer));
     return checkPage(std::move(page), from, peer);
--- a/Libraries/LibPlatform/HttpLog.h
+++ b/Libraries/LibPlatform/HttpLog.h
@@ -1,4 +1,4 @@
-/// @file The log service over HTTP; docs/STANDINS.md gives the protocol.
+/// @file Client of the log service over HTTP; docs/STANDINS.md describes the protocol.
 #pragma once
 
 #include "LibNetwork/NetworkSettings.h"
@@ -17,7 +17,7 @@
 private:
     const Network::NetworkSettings m_network;
     const Core::Address m_server;
-    const Core::Duration m_timeout; ///< For each wait on the server, beyond the wait that a read asks for.
+    const Core::Duration m_timeout; ///< Limit for each wait for the server, in addition to the wait that a read requests.
 };
 
 }
--- a/Libraries/LibPlatform/InstanceList.h
+++ b/Libraries/LibPlatform/InstanceList.h
@@ -1,4 +1,4 @@
-/// @file The platform's list of live and leaving instances, which lags behind the truth.
+/// @file The platform's list of live and leaving instances, which may be stale.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -8,13 +8,13 @@
 
 namespace Platform {
 
-/// Source of the list. Thread-safe.
+/// Source of the instance list. Thread-safe.
 class InstanceList
 {
 public:
     virtual ~InstanceList() = default;
 
-    /// Every listed instance. Members from the list have no incarnation and know their wire address only.
+    /// Returns every listed instance. The members have no incarnation, and m_wire is their only address.
     virtual Core::Result<std::vector<Protocol::Member>> instances() = 0;
 };
 
--- a/Libraries/LibPlatform/Log.h
+++ b/Libraries/LibPlatform/Log.h
@@ -1,4 +1,4 @@
-/// @file The platform's log service as the system uses it: streams of records, each with an offset.
+/// @file Interface to the platform's log service: streams of records, each with an offset.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -14,10 +14,10 @@
 /// Offset of a record in a stream. Offsets start at 1; 0 means none.
 using Offset = std::uint64_t;
 
-/// Largest record that is appended.
+/// Largest record that can be appended.
 inline constexpr std::size_t MaximumRecordBytes = 4 << 20;
 
-/// What a read returned.
+/// Result of a read.
 struct LogPage
 {
     Offset m_first = 1; ///< Oldest offset that the log still holds; m_next if it holds none.
@@ -27,16 +27,16 @@
     bool operator==(const LogPage &) const = default;
 };
 
-/// Where a read starts and how long it may take.
+/// Limits of a read.
 struct ReadOptions
 {
     std::size_t m_maximumRecords = 256;
-    Core::Duration m_wait{0}; ///< How long to wait for a record if there is none yet.
+    Core::Duration m_wait{0}; ///< How long to wait for a record if there is none at the offset yet.
 
     bool operator==(const ReadOptions &) const = default;
 };
 
-/// Append-only streams that are kept for a limited time. Thread-safe.
+/// Append-only streams with limited retention. Thread-safe.
 class Log
 {
 public:
@@ -45,12 +45,12 @@
     /**
      * Appends a record and returns its offset.
      *
-     * Ambiguous means that the record may have been appended and its answer was lost: the caller must read back by the
-     * record's own id and must not just append again. Unavailable and Overloaded mean that nothing was appended.
+     * Fails with Ambiguous if the record may have been appended but the answer was lost: the caller must read the log and look for
+     * the record's id before it appends again. Fails with Unavailable or Overloaded if nothing was appended.
      */
     virtual Core::Result<Offset> append(const std::string &stream, const std::string &body) = 0;
 
-    /// Reads from @p from on. A page whose m_first lies above @p from holds no records: the older ones are gone.
+    /// Reads records from offset @p from on. A page with m_first above @p from has no records, because the record at @p from has expired.
     virtual Core::Result<LogPage> read(const std::string &stream, Offset from, const ReadOptions &options) = 0;
 };
 
--- a/Tests/LibPlatform/TestHttpLog.cpp
+++ b/Tests/LibPlatform/TestHttpLog.cpp
@@ -1,4 +1,4 @@
-/// @file The log's and the list's clients against the stand-in, over HTTP.
+/// @file Clients of the log service and the instance list, tested over HTTP against the stand-in.
 
 #include "LibNetwork/Listener.h"
 #include "LibPlatform/HttpExchange.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// The stand-in on a free port.
+/// The stand-in log service on a free address.
 struct Service
 {
     StandIn::LogServiceSettings m_settings;
@@ -37,17 +37,17 @@
 
     void send(const std::string &method, const std::string &target, const std::string &body)
     {
-        Platform::HttpRequest question;
-        question.m_method = method;
-        question.m_target = target;
-        question.m_body = body;
-        REQUIRE(Platform::exchangeHttp({}, m_settings.m_listen, question).value().m_status < 300);
+        Platform::HttpRequest request;
+        request.m_method = method;
+        request.m_target = target;
+        request.m_body = body;
+        REQUIRE(Platform::exchangeHttp({}, m_settings.m_listen, request).value().m_status < 300);
     }
 };
 
 }
 
-TEST_CASE("records come back in order, from any offset, and a wait ends with the next record")
+TEST_CASE("Records are returned in order from any offset, and a waiting read returns with the next record")
 {
     Service service;
     Platform::HttpLog log({}, service.m_settings.m_listen);
@@ -64,7 +64,7 @@
     REQUIRE(waited.m_records == std::vector<Protocol::LogRecord>{{3, "three"}});
 }
 
-TEST_CASE("expired records are told, and not taken for an empty log")
+TEST_CASE("A read of expired records reports the oldest offset instead of an empty log")
 {
     Service service;
     Platform::HttpLog log({}, service.m_settings.m_listen);
@@ -78,10 +78,10 @@
     REQUIRE(page.m_records.empty());
 }
 
-TEST_CASE("an append whose answer is lost is ambiguous, one that was refused is not")
+TEST_CASE("An append whose answer is lost is ambiguous, and a refused append is not")
 {
-    // The service acts and the connection breaks before the answer. Reported as a failure, the caller would act a second time;
-    // reported as ambiguous, it reads back.
+    // The service appends the record and the connection breaks before the answer. If that were reported as a failure, the caller would append a second
+    // time. If it is reported as ambiguous, the caller reads the log first.
     Service service(1);
     Platform::HttpLog log({}, service.m_settings.m_listen);
     service.send("POST", "/faults", R"({"lose_answers": true})");
@@ -92,12 +92,12 @@
     service.send("POST", "/faults", R"({"down": true})");
     REQUIRE(log.append("control", "down").error().m_code == Core::ErrorCode::Unavailable);
     REQUIRE(log.read("control", 1, Platform::ReadOptions{}).error().m_code == Core::ErrorCode::Unavailable);
-    Platform::HttpLog nobody({}, Network::freeLoopbackAddress());
-    REQUIRE(nobody.append("control", "nobody").error().m_code == Core::ErrorCode::Unavailable);
-    REQUIRE(nobody.append("control", std::string(Platform::MaximumRecordBytes + 1, 'x')).error().m_code == Core::ErrorCode::InvalidInput);
+    Platform::HttpLog unreachable({}, Network::freeLoopbackAddress());
+    REQUIRE(unreachable.append("control", "nobody").error().m_code == Core::ErrorCode::Unavailable);
+    REQUIRE(unreachable.append("control", std::string(Platform::MaximumRecordBytes + 1, 'x')).error().m_code == Core::ErrorCode::InvalidInput);
 }
 
-TEST_CASE("the instance list is read whole, and half a list is an error")
+TEST_CASE("The instance list is read completely, and a partial list is an error")
 {
     Service service;
     service.send("PUT",
