--- a/Libraries/LibCore/Address.h
+++ b/Libraries/LibCore/Address.h
@@ -11,7 +11,7 @@
 
 namespace Core {
 
-/// Where a process listens. The host is an IP number, never a name.
+/// Address at which a process listens. The host is a numeric IP address, never a name.
 struct Address
 {
     std::string m_host;
@@ -19,7 +19,7 @@
 
     auto operator<=>(const Address &) const = default;
 
-    /// "host:port".
+    /// Returns "host:port".
     std::string toString() const;
 
     bool isEmpty() const
@@ -30,7 +30,7 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("host", m_host), MSGPACK_NVP("port", m_port));
 };
 
-/// Parses "host:port" with an IPv4 number; fails with InvalidInput.
+/// Parses "host:port" with a numeric IPv4 address; fails with InvalidInput.
 Result<Address> parseAddress(std::string_view text);
 
 }
--- a/Libraries/LibCore/Clock.h
+++ b/Libraries/LibCore/Clock.h
@@ -1,4 +1,4 @@
-/// @file Time as the project uses it: a monotonic clock for durations, never the wall clock for decisions.
+/// @file The monotonic clock of the project. No decision uses the wall clock.
 #pragma once
 
 #include <chrono>
--- a/Libraries/LibCore/Digest.h
+++ b/Libraries/LibCore/Digest.h
@@ -1,4 +1,4 @@
-/// @file SHA-256 by OpenSSL, for everything that is addressed or attested by its content.
+/// @file SHA-256 with OpenSSL, for everything that is identified or verified by its content.
 #pragma once
 
 #include <string>
@@ -14,7 +14,7 @@
 /// Length of a SHA-256 digest in hexadecimal.
 inline constexpr std::size_t Sha256HexLength = 64;
 
-/// SHA-256 over data that arrives in parts.
+/// Incremental SHA-256.
 class Sha256
 {
 public:
@@ -25,9 +25,9 @@
     Sha256 &operator=(const Sha256 &) = delete;
 
     void update(std::string_view bytes);
-    /// The digest's 32 bytes; the object starts anew afterwards.
+    /// Returns the digest's 32 bytes and resets the object.
     std::string finishRaw();
-    /// As finishRaw, in 64 lower-case hexadecimal digits.
+    /// As finishRaw(), but returns 64 lower-case hexadecimal digits.
     std::string finishHex();
 
 private:
--- a/Libraries/LibCore/Random.cpp
+++ b/Libraries/LibCore/Random.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of stable hashing and the replayable generator.
+/// @file Implementation of stable hashing and the random number generator.
 
 #include "LibCore/Random.h"
 
--- a/Libraries/LibCore/Random.h
+++ b/Libraries/LibCore/Random.h
@@ -13,7 +13,7 @@
 /// Rendezvous weight of @p node for @p key: the node with the highest weight owns the key.
 std::uint64_t rendezvousWeight(std::string_view key, std::string_view node);
 
-/// Small deterministic generator (splitmix64). Passed into decision logic so that tests can replay a seed.
+/// Small deterministic generator (splitmix64). Passed to decision logic so that tests can replay a seed.
 class Random
 {
 public:
@@ -34,10 +34,10 @@
     std::uint64_t m_state;
 };
 
-/// A seed that differs between instances and between starts of a process.
+/// Returns a seed that differs between instances and between starts of a process.
 std::uint64_t freshSeed(std::string_view instance);
 
-/// 128 random bits as 32 lower-case hexadecimal digits, from the system's entropy source.
+/// Returns 128 random bits as 32 lower-case hexadecimal digits, from the system's entropy source.
 std::string randomIdentifier();
 
 }
--- a/Libraries/LibCore/Ring.h
+++ b/Libraries/LibCore/Ring.h
@@ -1,4 +1,4 @@
-/// @file A bounded queue between two duties of a process.
+/// @file A bounded queue between two threads of a process.
 #pragma once
 
 #include <chrono>
@@ -11,10 +11,10 @@
 namespace Core {
 
 /**
- * Bounded multi-producer queue that joins two threads.
+ * Bounded multi-producer queue between threads.
  *
- * A full ring refuses instead of growing: a duty that falls behind shows up as refused pushes at its producers,
- * which can shed load at once, and not as a process that slowly runs out of memory.
+ * A full ring refuses items instead of growing. When a consumer falls behind, its producers see refused pushes and can shed load at once,
+ * instead of the process slowly running out of memory.
  */
 template <typename T>
 class Ring
@@ -39,11 +39,11 @@
         return true;
     }
 
-    /// Waits at most @p patience for an item; empty on timeout, or when closed and drained.
-    std::optional<T> pop(std::chrono::milliseconds patience)
+    /// Waits at most @p timeout for an item. Returns nothing on timeout, or if the ring is closed and empty.
+    std::optional<T> pop(std::chrono::milliseconds timeout)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_filled.wait_for(lock, patience, [this] { return m_closed || !m_items.empty(); });
+        m_filled.wait_for(lock, timeout, [this] { return m_closed || !m_items.empty(); });
         if (m_items.empty()) {
             return std::nullopt;
         }
--- a/Tests/LibCore/TestRing.cpp
+++ b/Tests/LibCore/TestRing.cpp
@@ -1,4 +1,4 @@
-/// @file Bounds and closing of the ring between two duties.
+/// @file Capacity and closing of the ring.
 
 #include "LibCore/Ring.h"
 
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("a full ring refuses and keeps what it holds")
+TEST_CASE("A full ring refuses items and keeps those that it holds")
 {
     Core::Ring<int> ring(2);
     REQUIRE(ring.tryPush(1));
@@ -17,7 +17,7 @@
     REQUIRE_FALSE(ring.pop(0ms).has_value());
 }
 
-TEST_CASE("a closed ring drains and then stays empty")
+TEST_CASE("A closed ring can be drained and then stays empty")
 {
     Core::Ring<int> ring(2);
     REQUIRE(ring.tryPush(1));
