--- a/Libraries/LibNetwork/Dialer.cpp
+++ b/Libraries/LibNetwork/Dialer.cpp
@@ -30,8 +30,8 @@
     return settings.m_gateway.value_or(target);
 }
 
-/// Passes the gateway on a blocking socket. The answer is read byte by byte, since what follows belongs to the target.
-Core::Result<void> passGateway(Poco::Net::StreamSocket &socket, const Core::Address &target)
+/// Connects through the gateway on a blocking socket. Reads the answer byte by byte, since the bytes after it come from the target.
+Core::Result<void> connectThroughGateway(Poco::Net::StreamSocket &socket, const Core::Address &target)
 {
     const std::string request = gatewayRequest(target);
     socket.sendBytes(request.data(), static_cast<int>(request.size()));
@@ -98,7 +98,7 @@
         socket.setSendTimeout(toTimespan(timeout));
         socket.setNoDelay(true);
         if (settings.m_gateway) {
-            BOOST_OUTCOME_TRY(passGateway(socket, target));
+            BOOST_OUTCOME_TRY(connectThroughGateway(socket, target));
         }
         return socket;
     } catch (const Poco::Exception &exception) {
--- a/Libraries/LibNetwork/Listener.cpp
+++ b/Libraries/LibNetwork/Listener.cpp
@@ -10,8 +10,8 @@
 
 constexpr int ProbeBacklog = 1;
 
-/// A host number made of the process's id: 127.(224 to 255).x.y, so that it meets no host that is written down anywhere.
-std::string ownLoopbackHost()
+/// Returns a host derived from the process id: 127.(224 to 255).x.y, a range that no fixed address uses.
+std::string processLoopbackHost()
 {
     constexpr std::uint32_t firstBlock = 224;
     constexpr std::uint32_t blocks = 32;
@@ -25,7 +25,8 @@
 
 Poco::Net::ServerSocket listenOn(const Core::Address &address, int backlog)
 {
-    // An address that was just given up stays bound to connections that linger. A free port has none, and is the caller's alone only without the option.
+    // Connections that linger keep a released address bound, and reuse allows to listen on it nevertheless. A free port has no such connections, and is
+    // exclusive to the caller only without reuse.
     const bool reusesAddress = address.m_port != 0;
     Poco::Net::ServerSocket socket;
     socket.bind(Poco::Net::SocketAddress(address.m_host, address.m_port), reusesAddress, false);
@@ -35,7 +36,7 @@
 
 Core::Address freeLoopbackAddress()
 {
-    const std::string host = ownLoopbackHost();
+    const std::string host = processLoopbackHost();
     const Poco::Net::ServerSocket socket = listenOn(Core::Address{host, 0}, ProbeBacklog);
     return Core::Address{host, socket.address().port()};
 }
--- a/Libraries/LibNetwork/Listener.h
+++ b/Libraries/LibNetwork/Listener.h
@@ -1,4 +1,4 @@
-/// @file Sockets that listen, of which no two may share an address, and addresses for those that are made at random.
+/// @file Listening sockets with exclusive addresses, and choice of free loopback addresses.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -8,17 +8,17 @@
 namespace Network {
 
 /**
- * Listens on the address; port 0 takes a free port. Throws Poco::Exception, also if anybody listens there already.
+ * Listens on the address; port 0 selects a free port. Throws Poco::Exception, also if another socket already listens on the address.
  *
- * Poco's own constructor lets several processes listen on one address, and the kernel then deals connections out among them. Whoever connects may reach
- * the wrong process, and its connection ends when that process does.
+ * Poco's own constructor lets several processes listen on one address, and the kernel then distributes connections among them. A client may reach the
+ * wrong process, and its connection ends when that process does.
  */
 Poco::Net::ServerSocket listenOn(const Core::Address &address, int backlog);
 
 /**
- * An address of the loopback range at which nobody listens, for processes that are started afterwards.
+ * Returns a loopback address on which no socket listens, for processes that are started afterwards.
  *
- * The host is this process's own. With one host for all, a port that was found free could be found by another process too before either listens.
+ * The host is specific to this process. With a common host, two processes could find the same free port before either listens on it.
  */
 Core::Address freeLoopbackAddress();
 
--- a/Libraries/LibNetwork/NetworkSettings.h
+++ b/Libraries/LibNetwork/NetworkSettings.h
@@ -1,4 +1,4 @@
-/// @file How a process reaches others: its own IP number and, where a site has one, the gateway it must go through.
+/// @file Settings for outgoing connections: the source address and the gateway, if one is required.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -11,7 +11,7 @@
 /// The "network" section of a settings file.
 struct NetworkSettings
 {
-    std::string m_bindHost; ///< Source IP number of outgoing connections; empty leaves the choice to the system.
+    std::string m_bindHost; ///< Source IP address of outgoing connections; if empty, the system chooses.
     std::optional<Core::Address> m_gateway; ///< HTTP CONNECT gateway for every outgoing connection, if any.
 
     bool operator==(const NetworkSettings &) const = default;
--- a/Libraries/LibNetwork/NonBlocking.cpp
+++ b/Libraries/LibNetwork/NonBlocking.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of output on sockets that do not block.
+/// @file Implementation of sending on non-blocking sockets.
 
 #include "LibNetwork/NonBlocking.h"
 
--- a/Libraries/LibNetwork/NonBlocking.h
+++ b/Libraries/LibNetwork/NonBlocking.h
@@ -1,4 +1,4 @@
-/// @file Output on sockets that do not block.
+/// @file Sending on non-blocking sockets.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -9,10 +9,10 @@
 namespace Network {
 
 /**
- * Sends as much as the kernel takes now and returns how many bytes that was: 0 if its buffer is full. Fails if the connection is lost.
+ * Sends as much as the kernel accepts and returns the number of bytes sent: 0 if the send buffer is full. Fails with Unavailable if the connection is lost.
  *
- * Poco's sendBytes() throws on a full buffer as on a lost connection. Whoever takes that for a loss cuts a sound connection off in the middle, rarely and
- * under load only: it needs a buffer that takes not even one byte. Seen in 3 of 3,320 runs of a test beside others.
+ * Poco's sendBytes() throws on a full buffer as it does on a lost connection. A caller that treats both as a loss closes a working connection. That happens
+ * rarely and only under load, when the buffer has no room for a single byte (in 3 of 3,320 runs of a test that ran beside others).
  */
 Core::Result<std::size_t> sendSome(Poco::Net::StreamSocket &socket, std::string_view bytes);
 
--- a/Tests/LibNetwork/TestListener.cpp
+++ b/Tests/LibNetwork/TestListener.cpp
@@ -1,4 +1,4 @@
-/// @file Listening sockets: an address has one listener, and free addresses are the process's own.
+/// @file Listening sockets: exclusive addresses, reuse of released addresses, and free ports.
 
 #include "LibNetwork/Listener.h"
 
@@ -11,18 +11,18 @@
 
 }
 
-TEST_CASE("an address at which somebody listens cannot be taken a second time")
+TEST_CASE("An address with a listening socket cannot be bound a second time")
 {
-    // Two processes are started with the same address by mistake, or chose the same free one. If both could listen, the kernel would deal connections out
-    // between them: callers would reach the wrong one now and then, and would lose their connection in the middle when it ends.
+    // Two processes are started with the same address by mistake, or choose the same free one. If both could listen, the kernel would distribute connections
+    // between them. Callers would sometimes reach the wrong process, and would lose their connections when it ends.
     const Core::Address address = Network::freeLoopbackAddress();
     const Poco::Net::ServerSocket first = Network::listenOn(address, Backlog);
     REQUIRE_THROWS_AS(Network::listenOn(address, Backlog), Poco::Net::NetException);
 }
 
-TEST_CASE("an address that was given up can be taken again at once, although a connection to it lingers")
+TEST_CASE("A released address can be bound again at once while a connection to it lingers")
 {
-    // A process is killed and started again while its callers' connections are still closing. It must not wait a minute for its own address.
+    // A process is killed and restarted while its callers' connections are still closing. It must not have to wait a minute for its own address.
     const Core::Address address = Network::freeLoopbackAddress();
     {
         Poco::Net::ServerSocket first = Network::listenOn(address, Backlog);
@@ -33,7 +33,7 @@
     REQUIRE_NOTHROW(Network::listenOn(address, Backlog));
 }
 
-TEST_CASE("listeners on port 0 get different ports")
+TEST_CASE("Listeners on port 0 get different ports")
 {
     const std::string host = Network::freeLoopbackAddress().m_host;
     const Poco::Net::ServerSocket first = Network::listenOn(Core::Address{host, 0}, Backlog);
--- a/Tests/LibNetwork/TestNonBlocking.cpp
+++ b/Tests/LibNetwork/TestNonBlocking.cpp
@@ -1,4 +1,4 @@
-/// @file Output on sockets that do not block.
+/// @file Sending on non-blocking sockets.
 
 #include "LibCore/Clock.h"
 #include "LibNetwork/Listener.h"
@@ -11,14 +11,14 @@
 
 constexpr int Backlog = 4;
 
-/// Two ends of a connection, of which the near one does not block.
-struct Connected
+/// Both ends of a connection; the near end does not block.
+struct Connection
 {
     Poco::Net::ServerSocket m_listener = Network::listenOn(Network::freeLoopbackAddress(), Backlog);
     Poco::Net::StreamSocket m_near{m_listener.address()};
     Poco::Net::StreamSocket m_far = m_listener.acceptConnection();
 
-    Connected()
+    Connection()
     {
         m_near.setBlocking(false);
     }
@@ -26,39 +26,39 @@
 
 }
 
-TEST_CASE("a full buffer is no lost connection")
+TEST_CASE("A full send buffer is not reported as a lost connection")
 {
-    // The peer reads slowly and the kernel takes not one byte more. If that passes for a lost connection, a sound one is closed, and the peer misses the end
-    // of what it was sent.
-    Connected connected;
+    // The peer reads slowly and the kernel accepts no more bytes. If that is treated as a lost connection, a working connection is closed and the peer misses
+    // the end of the data.
+    Connection connection;
     const std::string bytes(1 << 16, 'x');
     std::size_t sent = 0;
-    Core::Result<std::size_t> last = Network::sendSome(connected.m_near, bytes);
+    Core::Result<std::size_t> last = Network::sendSome(connection.m_near, bytes);
     while (last && last.value() > 0) {
         sent += last.value();
-        last = Network::sendSome(connected.m_near, bytes);
+        last = Network::sendSome(connection.m_near, bytes);
     }
     REQUIRE(last);
     REQUIRE(last.value() == 0);
     std::size_t received = 0;
     std::string buffer(bytes.size(), '\0');
     while (received < sent) {
-        received += static_cast<std::size_t>(connected.m_far.receiveBytes(buffer.data(), static_cast<int>(buffer.size())));
+        received += static_cast<std::size_t>(connection.m_far.receiveBytes(buffer.data(), static_cast<int>(buffer.size())));
     }
-    last = Network::sendSome(connected.m_near, "more");
+    last = Network::sendSome(connection.m_near, "more");
     REQUIRE(last);
     CHECK(last.value() == 4);
 }
 
-TEST_CASE("a lost connection is an error")
+TEST_CASE("A lost connection is reported as an error")
 {
-    Connected connected;
-    connected.m_far.setLinger(true, 0);
-    connected.m_far.close();
-    Core::Result<std::size_t> last = Network::sendSome(connected.m_near, "first");
+    Connection connection;
+    connection.m_far.setLinger(true, 0);
+    connection.m_far.close();
+    Core::Result<std::size_t> last = Network::sendSome(connection.m_near, "first");
     for (int attempt = 0; last && attempt < 1000; ++attempt) {
         std::this_thread::sleep_for(Core::Duration(1));
-        last = Network::sendSome(connected.m_near, "again");
+        last = Network::sendSome(connection.m_near, "again");
     }
     REQUIRE(!last);
     CHECK(last.error().m_step == "send");
