--- a/Libraries/LibSettings/ExpandedSize.cpp
+++ b/Libraries/LibSettings/ExpandedSize.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the count of nodes.
+/// @file Implementation of the node count.
 
 #include "LibSettings/ExpandedSize.h"
 
@@ -13,16 +13,16 @@
 
 namespace {
 
-/// Sums saturate here, far beyond any limit and far from an overflow.
-constexpr std::uint64_t Most = std::uint64_t{1} << 40;
+/// Counts saturate at this value, which is far above any limit and cannot overflow in a sum.
+constexpr std::uint64_t SaturatedNodeCount = std::uint64_t{1} << 40;
 
-/// Adds up the nodes of what is open; a list or mapping that ends is added to the one around it.
+/// Counts the nodes of each open list and mapping. When one ends, its count is added to the enclosing one.
 class NodeCounter : public YAML::EventHandler
 {
 public:
     std::uint64_t total() const
     {
-        return m_open.front().m_nodes;
+        return m_openNodes.front().m_nodes;
     }
 
     void OnDocumentStart(const YAML::Mark &) override
@@ -45,7 +45,7 @@
     }
     void OnSequenceStart(const YAML::Mark &, const std::string &, YAML::anchor_t anchor, YAML::EmitterStyle::value) override
     {
-        m_open.push_back(Open{anchor, 1});
+        m_openNodes.push_back(OpenNode{anchor, 1});
     }
     void OnSequenceEnd() override
     {
@@ -53,7 +53,7 @@
     }
     void OnMapStart(const YAML::Mark &, const std::string &, YAML::anchor_t anchor, YAML::EmitterStyle::value) override
     {
-        m_open.push_back(Open{anchor, 1});
+        m_openNodes.push_back(OpenNode{anchor, 1});
     }
     void OnMapEnd() override
     {
@@ -62,15 +62,15 @@
 
 private:
     /// A list or mapping that has not ended, or the document.
-    struct Open
+    struct OpenNode
     {
         YAML::anchor_t m_anchor = 0; ///< 0 for none.
-        std::uint64_t m_nodes = 0; ///< At most Most.
+        std::uint64_t m_nodes = 0; ///< At most SaturatedNodeCount.
     };
 
     void count(YAML::anchor_t anchor, std::uint64_t nodes)
     {
-        m_open.back().m_nodes = std::min(Most, m_open.back().m_nodes + nodes);
+        m_openNodes.back().m_nodes = std::min(SaturatedNodeCount, m_openNodes.back().m_nodes + nodes);
         if (anchor != 0) {
             m_anchors[anchor] = nodes;
         }
@@ -78,12 +78,12 @@
 
     void closeInnermost()
     {
-        const Open ended = m_open.back();
-        m_open.pop_back();
+        const OpenNode ended = m_openNodes.back();
+        m_openNodes.pop_back();
         count(ended.m_anchor, ended.m_nodes);
     }
 
-    std::vector<Open> m_open{Open{}}; ///< The document first; never empty.
+    std::vector<OpenNode> m_openNodes{OpenNode{}}; ///< The document first; never empty.
     std::map<YAML::anchor_t, std::uint64_t> m_anchors; ///< Nodes that each anchor stands for.
 };
 
--- a/Libraries/LibSettings/ExpandedSize.h
+++ b/Libraries/LibSettings/ExpandedSize.h
@@ -1,4 +1,4 @@
-/// @file How large a YAML document is once its aliases are written out.
+/// @file Size of a YAML document with its aliases expanded.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 namespace Settings {
 
 /**
- * Nodes of the first document with every alias counted as the nodes that it stands for. Throws YAML::Exception if the text is not YAML.
+ * Returns the number of nodes of the first document, counting each alias as the nodes that it stands for. Throws YAML::Exception if the text is not YAML.
  *
- * Aliases of lists of aliases multiply: 341 bytes can stand for billions of nodes. The parser shares them, but whoever walks over the tree visits each, and
- * a program that reads such a document neither ends nor says why. The count is made from the parser's events, without a tree.
+ * Nested aliases multiply: 341 bytes can stand for billions of nodes. The parser shares them, but code that walks the tree visits each one, so that a
+ * program that reads such a document hangs without an error. The count is taken from the parser's events, without building a tree.
  */
 std::uint64_t expandedSize(const std::string &content);
 
--- a/Libraries/LibSettings/Reader.cpp
+++ b/Libraries/LibSettings/Reader.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the checked YAML reader.
+/// @file Implementation of the validating YAML reader.
 
 #include "LibSettings/Reader.h"
 
@@ -28,7 +28,7 @@
     return false;
 }
 
-/// The parser recurses for each level before the tree can be inspected, so brackets are counted beforehand.
+/// Counts brackets before parsing, because the parser recurses for each level before the tree can be inspected.
 bool nestsTooDeep(const std::string &content, int maximumDepth)
 {
     int depth = 0;
--- a/Libraries/LibSettings/Reader.h
+++ b/Libraries/LibSettings/Reader.h
@@ -1,4 +1,4 @@
-/// @file Checked reading of YAML documents: every mistake is reported at once, with file, line, field and expectation.
+/// @file Validated reading of YAML documents: all mistakes are reported in one pass, with file, line, field and expected value.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -18,7 +18,7 @@
 struct Problem
 {
     std::string m_file;
-    int m_line = 0; ///< Counted from 1; 0 if the whole document is meant.
+    int m_line = 0; ///< Counted from 1; 0 if the problem concerns the document as a whole.
     std::string m_field; ///< Dotted path, for example "accounts[2].replicas".
     std::string m_expected;
 
@@ -30,20 +30,20 @@
 
 using Problems = std::vector<Problem>;
 
-/// Limits on a document, so that a hostile or broken one cannot exhaust the process.
+/// Limits on a document, so that a malicious or broken one cannot exhaust the process.
 struct DocumentLimits
 {
     std::size_t m_maximumBytes = 1 << 20;
     int m_maximumDepth = 16;
-    std::uint64_t m_maximumNodes = 1 << 19; ///< With aliases written out. More than a document of the largest size holds without any.
+    std::uint64_t m_maximumNodes = 1 << 19; ///< With aliases expanded. More than a document of the maximum size can have without aliases.
 };
 
 /**
  * Reads one mapping of a document.
  *
- * Each accessor notes a problem and returns a harmless value when the field is wrong, so that one pass finds every
- * mistake; the caller must not use the values unless the list of problems stayed empty. Fields without a default
- * are required. finish() reports the fields that nobody asked for.
+ * Each accessor records a problem and returns a default value if the field is wrong, so that one pass finds every
+ * mistake. The caller must not use the values unless the list of problems stays empty. Fields without a fallback
+ * are required. finish() reports the fields that were not requested.
  */
 class Reader
 {
@@ -52,7 +52,7 @@
 
     std::string text(const std::string &field);
     std::string text(const std::string &field, const std::string &fallback);
-    /// One of the given words.
+    /// Reads one of the given words.
     std::string choice(const std::string &field, const std::vector<std::string> &words, const std::string &fallback);
     std::int64_t integer(const std::string &field, std::int64_t minimum, std::int64_t maximum);
     std::int64_t integer(const std::string &field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback);
@@ -61,7 +61,7 @@
     Core::Address address(const std::string &field);
     std::vector<Core::Address> addresses(const std::string &field);
     std::vector<std::string> texts(const std::string &field);
-    /// A whole number of milliseconds within the bounds.
+    /// Reads a whole number of milliseconds within the bounds.
     Core::Duration milliseconds(const std::string &field, std::int64_t minimum, std::int64_t maximum, std::int64_t fallback);
 
     bool has(const std::string &field) const;
@@ -70,7 +70,7 @@
     /// Reads each mapping of a list.
     void list(const std::string &field, std::size_t maximumItems, const std::function<void(Reader &)> &read);
 
-    /// Notes a problem with a field of this mapping.
+    /// Records a problem with a field of this mapping.
     void addProblem(const std::string &field, const std::string &expected);
     /// Reports unknown fields.
     void finish();
@@ -83,10 +83,10 @@
     std::string m_file;
     std::string m_path;
     Problems &m_problems;
-    std::set<std::string> m_requestedFields; ///< Every field that was asked for.
+    std::set<std::string> m_requestedFields; ///< Every field that was requested.
 };
 
-/// Parses @p content and hands its top mapping to @p read. Returns every problem found, in order of line.
+/// Parses @p content and passes its top-level mapping to @p read. Returns every problem found, in order of line.
 Problems readDocument(const std::string &content, const std::string &file, const std::function<void(Reader &)> &read, DocumentLimits limits = {});
 
 /// As readDocument, for a file; a file that cannot be read is a problem too.
--- a/Tests/LibSettings/TestReader.cpp
+++ b/Tests/LibSettings/TestReader.cpp
@@ -1,4 +1,4 @@
-/// @file Mistakes in a settings document are all reported at once, each with its line.
+/// @file All mistakes in a settings document are reported in one pass, each with its line.
 
 #include "LibSettings/Reader.h"
 
@@ -18,12 +18,12 @@
 
 }
 
-TEST_CASE("a right document has no problems")
+TEST_CASE("A valid document has no problems")
 {
     REQUIRE(readExample("name: a\nreplicas: 3\nlisten: 127.0.0.1:80\nlimits: {bytes: 7}\n").empty());
 }
 
-TEST_CASE("every mistake is reported with its line, field and expectation")
+TEST_CASE("Every mistake is reported with its line, field and expected value")
 {
     const Settings::Problems problems = readExample("name: a\nreplicas: many\nlisten: somewhere:80\nlimits:\n  bytes: 700\n  colour: red\n");
     REQUIRE(problems.size() == 4);
@@ -33,9 +33,9 @@
     REQUIRE(problems[3].message() == "example.yaml:6: limits.colour: unknown field");
 }
 
-TEST_CASE("aliases that multiply are refused at once, and others are read")
+TEST_CASE("Documents whose aliases multiply are refused, and other aliases are read")
 {
-    // Nine lists of nine aliases each stand for hundreds of millions of values. A program that walks over them seems to hang, and nobody learns why.
+    // Nine levels of lists with nine aliases each stand for hundreds of millions of values. A program that walks over them hangs without an error.
     std::string document = "name: a\nreplicas: 3\nlisten: 127.0.0.1:80\nlimits: {bytes: 7}\na0: &a0 x\n";
     for (int level = 1; level <= 9; ++level) {
         const std::string below = "*a" + std::to_string(level - 1);
@@ -54,7 +54,7 @@
     CHECK(unknown[0].m_field == "other");
 }
 
-TEST_CASE("missing, doubled and too deeply nested fields are refused")
+TEST_CASE("Missing, duplicate and too deeply nested fields are refused")
 {
     REQUIRE(readExample("name: a\n").size() == 2);
     REQUIRE(readExample("name: a\nname: b\nreplicas: 3\nlisten: 127.0.0.1:80\n").size() == 1);
