--- a/Libraries/LibJson/Json.cpp
+++ b/Libraries/LibJson/Json.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the bounded JSON reading.
+/// @file Implementation of bounded JSON reading.
 
 #include "LibJson/Json.h"
 
--- a/Libraries/LibJson/Json.h
+++ b/Libraries/LibJson/Json.h
@@ -1,4 +1,4 @@
-/// @file Bounded reading of JSON objects from outside.
+/// @file Bounded reading of JSON objects from other programs, and JSON text on one line.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -14,30 +14,31 @@
 /// Parses one object; fails with InvalidInput when it is malformed, nested too deep or not an object.
 Core::Result<Poco::JSON::Object::Ptr> parseObject(const std::string &text);
 
-/// The value of a field, or InvalidInput if it has another type. The overloads differ by the wanted type.
+/// Each returns the value of a field, or fails with InvalidInput if the field is absent or has another type.
 Core::Result<bool> flagOf(const Poco::JSON::Object &object, const std::string &field);
 Core::Result<double> numberOf(const Poco::JSON::Object &object, const std::string &field);
 Core::Result<std::string> textOf(const Poco::JSON::Object &object, const std::string &field);
 
-/// The value of a field if it is there with the wanted type; empty otherwise. For records that others write, of which the rest still holds.
+/// Each returns the value of a field if it is present with the right type, and nothing otherwise. For records of other programs, whose other fields
+/// remain usable.
 std::optional<bool> optionalFlag(const Poco::JSON::Object &object, const std::string &field);
 std::optional<double> optionalNumber(const Poco::JSON::Object &object, const std::string &field);
-/// Whole numbers from 0 on.
+/// Accepts whole numbers of at least 0.
 std::optional<std::uint64_t> optionalCount(const Poco::JSON::Object &object, const std::string &field);
 std::optional<std::string> optionalText(const Poco::JSON::Object &object, const std::string &field);
-/// Null if the field is absent or no object.
+/// Returns null if the field is absent or not an object.
 Poco::JSON::Object::Ptr optionalObject(const Poco::JSON::Object &object, const std::string &field);
-/// The elements of a list that are objects, or texts; empty if the field is absent or no list.
+/// Each returns the elements of a list that are objects or texts; empty if the field is absent or not a list.
 std::vector<Poco::JSON::Object::Ptr> objectsOf(const Poco::JSON::Object &object, const std::string &field);
 std::vector<std::string> textsOf(const Poco::JSON::Object &object, const std::string &field);
 
 /// Fails with InvalidInput if the object has a field outside @p known.
 Core::Result<void> refuseUnknownFields(const Poco::JSON::Object &object, const std::vector<std::string> &known);
 
-/// JSON text of an object on one line.
+/// Returns the JSON text of an object on one line, with a line break at its end.
 std::string toLine(const Poco::JSON::Object &object);
 
-/// A JSON object with one error, as a refused request is answered.
+/// Returns a JSON object with one error on one line, as sent in answer to a refused request.
 std::string errorLine(const Core::Error &error);
 
 }
