--- a/Libraries/LibDaemon/HeapSettings.cpp
+++ b/Libraries/LibDaemon/HeapSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the heap's settings.
+/// @file Implementation of the settings of the heap allocator.
 
 #include "LibDaemon/HeapSettings.h"
 
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr int LargeBlock = 16 << 10; ///< Bytes; below a chunk's size, far above that of messages.
+constexpr int LargeBlockBytes = 16 << 10; ///< Smaller than a chunk and much larger than a message.
 
 }
 
 void returnLargeBlocks()
 {
-    mallopt(M_MMAP_THRESHOLD, LargeBlock);
+    mallopt(M_MMAP_THRESHOLD, LargeBlockBytes);
 }
 
 }
--- a/Libraries/LibDaemon/HeapSettings.h
+++ b/Libraries/LibDaemon/HeapSettings.h
@@ -1,13 +1,13 @@
-/// @file How a process uses its heap.
+/// @file Settings of the heap allocator.
 #pragma once
 
 namespace Daemon {
 
 /**
- * Makes blocks of the size of a chunk of weights go back to the system as soon as they are freed.
+ * Makes the allocator return blocks of the size of a chunk of weights to the system as soon as they are freed.
  *
- * Chunks, their copies on the way and whole frames come and go in several threads. In the heap's arenas each size leaves holes that the next one does
- * not fit into, and a process beside an engine, which has little memory, keeps several times what it holds.
+ * Several threads allocate and free chunks, copies of chunks in transfer and complete frames. In the allocator's arenas each size leaves gaps that other
+ * sizes do not fit into. The process would keep several times the memory that it uses, and beside an engine memory is scarce.
  */
 void returnLargeBlocks();
 
--- a/Libraries/LibDaemon/Program.cpp
+++ b/Libraries/LibDaemon/Program.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the shared parts of the main functions.
+/// @file Implementation of the shared parts of main functions.
 
 #include "LibDaemon/Program.h"
 #include "LibCore/Version.h"
--- a/Libraries/LibDaemon/Program.h
+++ b/Libraries/LibDaemon/Program.h
@@ -1,4 +1,4 @@
-/// @file What the main functions of the long-running processes share: command line, settings check, logs, and draining on a signal.
+/// @file Shared parts of the main functions of long-running processes: command line, settings check, logs, and draining on a signal.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -29,22 +29,22 @@
     bool m_checkOnly = false;
 };
 
-/// Reads the command line. On help, version or wrong usage it prints what is due, sets @p exitCode and returns nothing.
+/// Parses the command line. For help, version or wrong usage, prints the text, sets @p exitCode and returns nothing.
 std::optional<CommandLine> readCommandLine(int argc, char **argv, const ProgramDescription &description, int &exitCode);
 
-/// Prints every problem; true if there is none.
+/// Prints every problem to standard error. Returns true if there is none.
 bool reportProblems(const Settings::Problems &problems);
 
-/// Starts the logs in @p directory, or on standard error if it is empty.
+/// Starts logging to @p directory, or to standard error if it is empty.
 void startLogs(const char *program, const std::string &directory);
 
-/// Blocks the signals that end the process, in this and all later threads, and returns them.
+/// Blocks SIGTERM and SIGINT in this thread and all threads started later, and returns them as a set. Ignores SIGPIPE.
 sigset_t blockTerminationSignals();
 
 /**
- * Runs a process to its end: checks the settings whole before anything starts, and drains on SIGTERM or SIGINT.
+ * Runs a process until it ends: checks all settings before anything starts, and drains on SIGTERM or SIGINT.
  *
- * @p Process is made from the settings and has start(), startLeaving(), awaitDrained() and stop().
+ * @p Process is constructed from the settings and has start(), startLeaving(), awaitDrained() and stop().
  */
 template <typename Process, typename ProcessSettings>
 int runProgram(int argc, char **argv, const ProgramDescription &description, ProcessSettings (*readSettings)(Settings::Reader &))
@@ -80,10 +80,10 @@
 }
 
 /**
- * Runs a process that handles its signals on its own event loop: checks the settings whole before anything starts.
+ * Runs a process that handles signals on its own event loop: checks all settings before anything starts.
  *
- * @p Process is made from the settings and an adapter and has run() and onReload(), whose callback reads the settings file again; it gives nothing
- * if the file has mistakes, which are reported on standard error.
+ * @p Process is constructed from the settings and an adapter and has run() and onReload(). The callback that is passed to onReload() reads the settings
+ * file again. It returns nothing if the file has mistakes, and reports them on standard error.
  */
 template <typename Process, typename ProcessSettings, typename Adapter>
 int runLoopProgram(int argc, char **argv, const ProgramDescription &description, ProcessSettings (*readSettings)(Settings::Reader &), const Adapter &adapter)
