--- a/Services/Agent/main.cpp
+++ b/Services/Agent/main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-agent: the process in the slot of an endpoint instance.
+/// @file oriolerail-agent: the process beside an endpoint.
 
 #include "LibDaemon/Program.h"
 #include "LibEndpoint/Agent.h"
--- a/Services/Entry/main.cpp
+++ b/Services/Entry/main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-entry: the process on an entry instance.
+/// @file oriolerail-entry: the process that routes requests.
 
 #include "LibDaemon/Program.h"
 #include "LibEntry/Entry.h"
