--- a/Utilities/oriolerail/Command.cpp
+++ b/Utilities/oriolerail/Command.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of what the commands share.
+/// @file Implementation of the shared parts of the commands.
 
 #include "Command.h"
 #include "LibPlatform/HttpExchange.h"
@@ -50,10 +50,10 @@
 
 Core::Result<std::string> fetch(const Arguments &arguments, const Core::Address &server, const std::string &step, const std::string &target)
 {
-    Platform::HttpRequest question;
-    question.m_step = step;
-    question.m_target = target;
-    const Platform::HttpAnswer answer = BOOST_OUTCOME_TRYX(Platform::exchangeHttp(arguments.m_network, server, question));
+    Platform::HttpRequest request;
+    request.m_step = step;
+    request.m_target = target;
+    const Platform::HttpAnswer answer = BOOST_OUTCOME_TRYX(Platform::exchangeHttp(arguments.m_network, server, request));
     if (answer.m_status == StatusOk) {
         return answer.m_body;
     }
--- a/Utilities/oriolerail/Command.h
+++ b/Utilities/oriolerail/Command.h
@@ -1,4 +1,4 @@
-/// @file What the commands of the operators' program share: arguments, exit codes and output.
+/// @file Shared parts of the commands of the operators' program: arguments, exit codes and output.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -18,10 +18,10 @@
 inline constexpr int ExitFailed = 1;
 inline constexpr int ExitUsage = 2;
 
-/// Everything that was given on the command line.
+/// Parsed command line.
 struct Arguments
 {
-    std::vector<std::string> m_operands; ///< After the command's name.
+    std::vector<std::string> m_operands; ///< Arguments after the command's name.
     bool m_json = false;
     bool m_isTerminal = false; ///< Standard output is a terminal.
     std::string m_operator;
@@ -46,14 +46,14 @@
 int runAddresses(const Arguments &arguments);
 int runExplain(const Arguments &arguments);
 
-/// Reports an error on standard error, in JSON on standard output too if asked for; returns ExitFailed.
+/// Prints an error to standard error, and in JSON to standard output if JSON is selected. Returns ExitFailed.
 int reportError(const Arguments &arguments, const Core::Error &error);
-/// Reports wrong usage; returns ExitUsage.
+/// Prints a usage error to standard error. Returns ExitUsage.
 int reportUsage(const std::string &problem);
-/// Prints the object in JSON, or else the text.
+/// Prints the object if JSON is selected, otherwise the text.
 void print(const Arguments &arguments, const Poco::JSON::Object::Ptr &object, const std::string &text);
 
-/// Body of a successful GET; NotFound for 404, Unavailable for other statuses.
+/// Returns the body of a successful GET. Fails with NotFound on status 404 and with Unavailable on other statuses.
 Core::Result<std::string> fetch(const Arguments &arguments, const Core::Address &server, const std::string &step, const std::string &target);
 
 }
--- a/Utilities/oriolerail/EntryStatus.cpp
+++ b/Utilities/oriolerail/EntryStatus.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of asking entries.
+/// @file Implementation of the queries to entries.
 
 #include "EntryStatus.h"
 
@@ -43,9 +43,9 @@
     const Core::Instant deadline = Core::Clock::now() + arguments.m_timeout;
     while (true) {
         const EntryStatus status = fetchEntryStatus(arguments);
-        const RevisionProgress inForce{countLive(status.m_page), Control::instancesBehind(status.m_page, revision), status.m_errors.size()};
-        if (inForce.isComplete() || Core::Clock::now() >= deadline) {
-            return inForce;
+        const RevisionProgress progress{countLive(status.m_page), Control::instancesBehind(status.m_page, revision), status.m_errors.size()};
+        if (progress.isComplete() || Core::Clock::now() >= deadline) {
+            return progress;
         }
         std::this_thread::sleep_for(PollInterval);
     }
--- a/Utilities/oriolerail/EntryStatus.h
+++ b/Utilities/oriolerail/EntryStatus.h
@@ -1,4 +1,4 @@
-/// @file Asking entries what is in force.
+/// @file Queries to entries for what is in force.
 #pragma once
 
 #include "Command.h"
@@ -6,21 +6,21 @@
 
 namespace Cli {
 
-/// Pages of the entries that answered, combined.
+/// Combined status pages of the entries that answered.
 struct EntryStatus
 {
     Control::StatusPage m_page;
     std::size_t m_answeredEntries = 0;
-    std::vector<Core::Error> m_errors; ///< Of the entries that did not answer.
+    std::vector<Core::Error> m_errors; ///< One for each entry that did not answer.
 };
 
 EntryStatus fetchEntryStatus(const Arguments &arguments);
 
-/// How far a revision has come.
+/// On which instances a revision is in force.
 struct RevisionProgress
 {
-    std::size_t m_instances = 0; ///< Live ones that are known.
-    std::vector<std::string> m_instancesBehind; ///< Those among them where it is not in force.
+    std::size_t m_instances = 0; ///< Number of known live instances.
+    std::vector<std::string> m_instancesBehind; ///< Those of them on which the revision is not in force.
     std::size_t m_unreachableEntries = 0; ///< Entries that did not answer.
 
     bool isComplete() const
@@ -29,7 +29,7 @@
     }
 };
 
-/// Asks until the revision is in force on every live instance, or the time is over.
+/// Polls the entries until the revision is in force on every live instance or the timeout expires.
 RevisionProgress waitUntilInForce(const Arguments &arguments, Control::Offset revision);
 
 }
--- a/Utilities/oriolerail/Publish.cpp
+++ b/Utilities/oriolerail/Publish.cpp
@@ -45,7 +45,7 @@
     return encoded;
 }
 
-/// What the version's name stands for at the weight store now.
+/// Returns the manifest digest that the version's name currently has at the weight store.
 Core::Result<std::string> resolveDigest(const Arguments &arguments, const Control::AccountParameters &parameters)
 {
     const std::string target = "/weights/" + encodeSegment(parameters.m_model) + "/" + encodeSegment(parameters.m_version) + "/manifest";
@@ -53,7 +53,7 @@
     return Core::sha256Hex(manifest);
 }
 
-/// Resolves each version once, so that accounts that name the same version get the same digest even if the store changes meanwhile.
+/// Resolves each version once, so that accounts with the same version get the same digest even if the store changes in the meantime.
 Core::Result<void> resolveVersions(const Arguments &arguments, Control::Template &document)
 {
     std::map<std::pair<std::string, std::string>, std::string> digests;
@@ -94,7 +94,7 @@
     return object;
 }
 
-/// Appends the change, reads its outcome back, and waits until it is in force if asked to.
+/// Appends the change, reads its outcome back, and waits until it is in force if requested.
 int publishChange(const Arguments &arguments, Control::Publisher &publisher, const Control::Record &record)
 {
     const Core::Result<Control::RecordOutcome> outcome = publisher.publish(record, arguments.m_timeout);
@@ -107,22 +107,22 @@
         print(arguments, object, text);
         return outcome.value().m_accepted ? ExitOk : ExitFailed;
     }
-    const RevisionProgress inForce = waitUntilInForce(arguments, outcome.value().m_offset);
+    const RevisionProgress progress = waitUntilInForce(arguments, outcome.value().m_offset);
     Poco::JSON::Array::Ptr behind = new Poco::JSON::Array;
-    for (const std::string &instance : inForce.m_instancesBehind) {
+    for (const std::string &instance : progress.m_instancesBehind) {
         behind->add(instance);
         text += "not in force at " + instance + "\n";
     }
-    object->set("instances", static_cast<Poco::UInt64>(inForce.m_instances));
+    object->set("instances", static_cast<Poco::UInt64>(progress.m_instances));
     object->set("not_in_force", behind);
-    object->set("unreachable_entries", static_cast<Poco::UInt64>(inForce.m_unreachableEntries));
-    if (inForce.isComplete()) {
-        text += "in force on all " + std::to_string(inForce.m_instances) + " instances\n";
-    } else if (inForce.m_instancesBehind.empty()) {
+    object->set("unreachable_entries", static_cast<Poco::UInt64>(progress.m_unreachableEntries));
+    if (progress.isComplete()) {
+        text += "in force on all " + std::to_string(progress.m_instances) + " instances\n";
+    } else if (progress.m_instancesBehind.empty()) {
         text += "no entry could be asked\n";
     }
     print(arguments, object, text);
-    return inForce.isComplete() ? ExitOk : ExitFailed;
+    return progress.isComplete() ? ExitOk : ExitFailed;
 }
 
 }
--- a/Utilities/oriolerail/Show.cpp
+++ b/Utilities/oriolerail/Show.cpp
@@ -18,14 +18,14 @@
 
 constexpr Core::Duration WatchInterval{500};
 constexpr int BarWidth = 30;
-constexpr std::size_t ShownDigits = 12;
+constexpr std::size_t ShownDigestDigits = 12;
 
 std::string shortDigest(const std::string &digest)
 {
-    return digest.substr(0, ShownDigits);
+    return digest.substr(0, ShownDigestDigits);
 }
 
-std::string bar(double fraction)
+std::string progressBar(double fraction)
 {
     const int filled = static_cast<int>(fraction * BarWidth);
     return "[" + std::string(static_cast<std::size_t>(filled), '#') + std::string(static_cast<std::size_t>(BarWidth - filled), '.') + "]";
@@ -44,8 +44,8 @@
 
 bool servesEverything(const Control::StatusPage &page)
 {
-    const auto isWhole = [](const Control::DeploymentStatus &status) { return status.m_serving.size() >= status.m_wanted; };
-    return std::all_of(page.m_deployments.begin(), page.m_deployments.end(), isWhole);
+    const auto hasAllReplicas = [](const Control::DeploymentStatus &status) { return status.m_serving.size() >= status.m_wanted; };
+    return std::all_of(page.m_deployments.begin(), page.m_deployments.end(), hasAllReplicas);
 }
 
 std::string statusText(const EntryStatus &status)
@@ -56,9 +56,9 @@
     for (const Control::DeploymentStatus &deployment : page.m_deployments) {
         text << deployment.m_service << " " << deployment.m_model << " " << deployment.m_version << " (" << shortDigest(deployment.m_digest)
              << "): " << deployment.m_serving.size() << " of " << deployment.m_wanted << " replicas serve "
-             << bar(Control::deploymentProgress(page, deployment)) << "\n";
-        for (const std::pair<const std::string, Control::FailureDomainStatus> &place : Control::statusByFailureDomain(page, deployment)) {
-            text << "  " << place.first << ": " << place.second.m_serving << " of " << place.second.m_wanted << "\n";
+             << progressBar(Control::deploymentProgress(page, deployment)) << "\n";
+        for (const std::pair<const std::string, Control::FailureDomainStatus> &domain : Control::statusByFailureDomain(page, deployment)) {
+            text << "  " << domain.first << ": " << domain.second.m_serving << " of " << domain.second.m_wanted << "\n";
         }
     }
     const std::vector<std::string> behind = Control::instancesBehind(page, page.m_applied);
@@ -72,18 +72,18 @@
     return text.str();
 }
 
-/// The same in JSON.
+/// Returns the status in JSON.
 Poco::JSON::Object::Ptr statusJson(const EntryStatus &status)
 {
     const Control::StatusPage &page = status.m_page;
     Poco::JSON::Array::Ptr deployments = new Poco::JSON::Array;
     for (const Control::DeploymentStatus &deployment : page.m_deployments) {
-        Poco::JSON::Object::Ptr places = new Poco::JSON::Object;
-        for (const std::pair<const std::string, Control::FailureDomainStatus> &entry : Control::statusByFailureDomain(page, deployment)) {
-            Poco::JSON::Object::Ptr place = new Poco::JSON::Object;
-            place->set("wanted", entry.second.m_wanted);
-            place->set("serving", entry.second.m_serving);
-            places->set(entry.first, place);
+        Poco::JSON::Object::Ptr domains = new Poco::JSON::Object;
+        for (const std::pair<const std::string, Control::FailureDomainStatus> &domain : Control::statusByFailureDomain(page, deployment)) {
+            Poco::JSON::Object::Ptr counts = new Poco::JSON::Object;
+            counts->set("wanted", domain.second.m_wanted);
+            counts->set("serving", domain.second.m_serving);
+            domains->set(domain.first, counts);
         }
         Poco::JSON::Object::Ptr row = new Poco::JSON::Object;
         row->set("service", deployment.m_service);
@@ -94,7 +94,7 @@
         row->set("wanted", deployment.m_wanted);
         row->set("serving", static_cast<Poco::UInt64>(deployment.m_serving.size()));
         row->set("progress", Control::deploymentProgress(page, deployment));
-        row->set("places", places);
+        row->set("places", domains);
         deployments->add(row);
     }
     Poco::JSON::Object::Ptr applied = new Poco::JSON::Object;
@@ -109,7 +109,7 @@
     return object;
 }
 
-/// Shows one line that is rewritten until everything serves.
+/// Shows a progress line and updates it until every wanted replica serves or the timeout expires.
 int watchStatus(const Arguments &arguments)
 {
     const Core::Instant started = Core::Clock::now();
@@ -120,7 +120,7 @@
         const double elapsed = Core::secondsBetween(started, Core::Clock::now());
         std::ostringstream line;
         if (status.m_answeredEntries > 0) {
-            line << bar(progress) << " " << std::fixed << std::setprecision(0) << progress * 100 << "%";
+            line << progressBar(progress) << " " << std::fixed << std::setprecision(0) << progress * 100 << "%";
         } else {
             line << "no entry answers";
         }
@@ -146,7 +146,7 @@
     return ExitOk;
 }
 
-Core::Result<Core::Address> soleAddress(const Arguments &arguments)
+Core::Result<Core::Address> singleAddress(const Arguments &arguments)
 {
     if (arguments.m_operands.size() != 1) {
         return Core::makeError(Core::ErrorCode::InvalidInput, "read arguments", "", "one address is needed");
@@ -175,7 +175,7 @@
     return ExitOk;
 }
 
-/// Where one account's version is planned.
+/// Adds a row and a line of text for each planned replica of one account's version.
 void explainParameters(const Control::ControlState &state,
                        const Control::AcceptedTemplate &accepted,
                        const Control::AccountParameters &parameters,
@@ -253,13 +253,13 @@
 
 int runDump(const Arguments &arguments)
 {
-    const Core::Result<Core::Address> address = soleAddress(arguments);
+    const Core::Result<Core::Address> address = singleAddress(arguments);
     return address ? printJsonBody(arguments, fetch(arguments, address.value(), "read dump", "/dump")) : reportUsage(address.error().message());
 }
 
 int runAddresses(const Arguments &arguments)
 {
-    const Core::Result<Core::Address> address = soleAddress(arguments);
+    const Core::Result<Core::Address> address = singleAddress(arguments);
     return address ? printJsonBody(arguments, fetch(arguments, address.value(), "read addresses", "/v1/addresses")) : reportUsage(address.error().message());
 }
 
