--- a/Meta/CMake/Oriolerail.cmake
+++ b/Meta/CMake/Oriolerail.cmake
@@ -1,6 +1,6 @@
-# Helpers that keep each directory's CMakeLists.txt to one line a target.
+# Functions that keep each directory's CMakeLists.txt to one line per target.
 
-# One library from every source file of the current directory: oriolerail_library(LibName [linked libraries]).
+# Makes one library from every source file of the current directory: oriolerail_library(LibName [linked libraries]).
 function(oriolerail_library name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
     if(sources)
@@ -16,7 +16,7 @@
     endif()
 endfunction()
 
-# One program from every source file of the current directory: oriolerail_program(program-name [linked libraries]).
+# Makes one program from every source file of the current directory: oriolerail_program(program-name [linked libraries]).
 function(oriolerail_program name)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
     add_executable(${name} ${sources})
@@ -24,7 +24,7 @@
     target_precompile_headers(${name} REUSE_FROM LibCore)
 endfunction()
 
-# One test program from every Test*.cpp of the current directory, known to ctest by the directory's name.
+# Makes one test program from every Test*.cpp of the current directory, registered with ctest as DIRECTORY/TEST.
 function(oriolerail_tests)
     get_filename_component(directory ${CMAKE_CURRENT_SOURCE_DIR} NAME)
     file(GLOB sources CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*.cpp)
@@ -39,7 +39,7 @@
     endforeach()
 endfunction()
 
-# Adds every sub-directory that has a CMakeLists.txt, so that a new library needs no edit here. Those named are passed over.
+# Adds every sub-directory that has a CMakeLists.txt, so that a new library needs no edit here. Skips the directories that are given as arguments.
 function(oriolerail_add_subdirectories)
     file(GLOB lists CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/*/CMakeLists.txt)
     foreach(list ${lists})
