--- a/Tests/Agent/TestModelAgent.cpp
+++ b/Tests/Agent/TestModelAgent.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-using Rig::await;
-using Rig::Caller;
+using Rig::EntryClient;
 using Rig::Version;
+using Rig::waitUntil;
 
 /// Tokens of a draft that takes much longer than an agent needs to stop.
 constexpr int LongDraft = 3000;
@@ -31,7 +31,7 @@
     Rig::Entry m_entry;
     Endpoint::AgentSettings m_settings;
     std::unique_ptr<Endpoint::Agent> m_agent;
-    std::unique_ptr<Caller> m_caller;
+    std::unique_ptr<EntryClient> m_caller;
 
     ModelRig()
     {
@@ -45,13 +45,13 @@
         m_settings = Rig::agentSettings(m_entry.m_address, m_origin.m_address, m_engine.m_address, Endpoint::EndpointKind::Model, incarnation);
         m_agent = std::make_unique<Endpoint::Agent>(m_settings);
         REQUIRE(m_agent->start());
-        m_caller = std::make_unique<Caller>(m_settings.m_instance.m_member.m_wire);
+        m_caller = std::make_unique<EntryClient>(m_settings.m_instance.m_member.m_wire);
     }
 
     void serve(const Version &version)
     {
         m_entry.publishPlan({version});
-        await("the version to be attested", [this, &version] { return m_caller->isAttested(version); });
+        waitUntil("the version to be attested", [this, &version] { return m_caller->isAttested(version); });
     }
 
     std::size_t loadedModels() const
@@ -82,7 +82,7 @@
 {
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
     REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
     REQUIRE(call->m_frames.size() == 6);
@@ -98,7 +98,7 @@
     REQUIRE(call->m_frames.back().m_totalDigest == Core::sha256Hex(text));
 
     rig.serve(rig.m_new);
-    await("the old version to go", [&rig] { return rig.loadedModels() == 1; });
+    waitUntil("the old version to go", [&rig] { return rig.loadedModels() == 1; });
     REQUIRE_FALSE(rig.m_caller->isAttested(rig.m_old));
     REQUIRE(rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 5))->waitForEnd().m_error.m_code == Core::ErrorCode::NotFound);
     REQUIRE(rig.m_caller->call(Rig::draftRequest("a3", rig.m_new, 5))->waitForEnd().m_succeeded);
@@ -111,7 +111,7 @@
     rig.serve(rig.m_old);
     rig.m_origin.m_withheldFrom = 10'000;
     rig.m_entry.publishPlan({rig.m_new});
-    await("some chunks of the new version", [&rig] {
+    waitUntil("some chunks of the new version", [&rig] {
         for (const Protocol::TransferProgress &progress : rig.m_caller->report().m_transfers) {
             if (progress.m_digest == rig.m_new.m_digest && progress.m_chunksHeld > 0) {
                 return true;
@@ -123,7 +123,7 @@
     REQUIRE(rig.m_caller->isAttested(rig.m_old));
     REQUIRE(rig.loadedModels() == 1);
     rig.m_origin.m_withheldFrom = SIZE_MAX;
-    await("the new version", [&rig] { return rig.m_caller->isAttested(rig.m_new); });
+    waitUntil("the new version", [&rig] { return rig.m_caller->isAttested(rig.m_new); });
 }
 
 TEST_CASE("an engine that dies while it loads is not attested, and is ordered again")
@@ -132,10 +132,10 @@
     ModelRig rig;
     rig.m_engine.setFaults(R"({"die_while_loading":true})");
     rig.m_entry.publishPlan({rig.m_old});
-    await("a failed order", [&rig] { return rig.metrics().find("orders_total{end=\"failed\"} 0") == std::string::npos; });
+    waitUntil("a failed order", [&rig] { return rig.metrics().find("orders_total{end=\"failed\"} 0") == std::string::npos; });
     REQUIRE_FALSE(rig.m_caller->isAttested(rig.m_old));
     rig.m_engine.setFaults(R"({"die_while_loading":false})");
-    await("the version", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
+    waitUntil("the version", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
 }
 
 TEST_CASE("an engine that names another version than asked delivers nothing, and is no longer attested")
@@ -143,14 +143,14 @@
     // An engine mixes up its weights. Its answers look like any other; only the version that it names tells them apart.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> before = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 3));
+    const std::shared_ptr<EntryClient::Call> before = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 3));
     REQUIRE(before->waitForEnd().m_succeeded);
     rig.m_engine.setFaults(R"({"misreport_digest":")" + std::string(64, '0') + R"("})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 3));
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 3));
     const Wire::CallEnd end = call->waitForEnd();
     REQUIRE_FALSE(end.m_succeeded);
     REQUIRE(call->frameCount() == 0);
-    await("the attestation to go", [&rig] { return !rig.m_caller->isAttested(rig.m_old); });
+    waitUntil("the attestation to go", [&rig] { return !rig.m_caller->isAttested(rig.m_old); });
 }
 
 TEST_CASE("an answer that the engine cuts is not whole")
@@ -159,7 +159,7 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"cut_answers_after_tokens":2})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
     REQUIRE(call->waitForEnd().m_error.m_code == Core::ErrorCode::Ambiguous);
     REQUIRE_FALSE(call->isComplete());
 }
@@ -169,10 +169,10 @@
     // The buyer closes the page. An engine that goes on drafting for nobody is slow for everybody else.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 100'000));
-    await("the first tokens", [&call] { return call->frameCount() > 2; });
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 100'000));
+    waitUntil("the first tokens", [&call] { return call->frameCount() > 2; });
     rig.m_caller->cancel(*call);
-    await("the engine to stop", [&rig] {
+    waitUntil("the engine to stop", [&rig] {
         const Poco::JSON::Array::Ptr ran = Rig::request(rig.m_engine.m_address, "GET", "/journal")->getArray("ran");
         return ran->size() == 1 && !ran->getObject(0)->getValue<bool>("completed");
     });
@@ -184,11 +184,11 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"hang":true})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
-    await("the call to run", [&rig] { return rig.runningCalls() == 1; });
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5));
+    waitUntil("the call to run", [&rig] { return rig.runningCalls() == 1; });
     rig.m_caller->cancel(*call);
-    await("the place to be free", [&rig] { return rig.runningCalls() == 0; });
-    await("the engine to be unhealthy", [&rig] { return !rig.m_caller->report().m_endpointHealthy; });
+    waitUntil("the place to be free", [&rig] { return rig.runningCalls() == 0; });
+    waitUntil("the engine to be unhealthy", [&rig] { return !rig.m_caller->report().m_endpointHealthy; });
 }
 
 TEST_CASE("a call to a hanging engine ends at its deadline")
@@ -196,9 +196,9 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     rig.m_engine.setFaults(R"({"hang":true})");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5), Core::Duration(300));
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5), Core::Duration(300));
     REQUIRE_FALSE(call->waitForEnd().m_succeeded);
-    await("the place to be free", [&rig] { return rig.runningCalls() == 0; });
+    waitUntil("the place to be free", [&rig] { return rig.runningCalls() == 0; });
 }
 
 TEST_CASE("a leaving agent says so, refuses new calls and finishes the running one")
@@ -206,10 +206,10 @@
     // The instance is replaced in the middle of a draft. Cutting it off would cost the analyst the whole draft.
     ModelRig rig;
     rig.serve(rig.m_old);
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, LongDraft));
-    await("the first tokens", [&call] { return call->frameCount() > 2; });
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, LongDraft));
+    waitUntil("the first tokens", [&call] { return call->frameCount() > 2; });
     rig.m_agent->startLeaving();
-    await("the notice", [&rig] { return rig.m_caller->report().m_member.m_leaving; });
+    waitUntil("the notice", [&rig] { return rig.m_caller->report().m_member.m_leaving; });
     const Wire::CallEnd refused = rig.m_caller->call(Rig::draftRequest("a2", rig.m_old, 5))->waitForEnd();
     REQUIRE(refused.m_error.m_code == Core::ErrorCode::Unavailable);
     REQUIRE(refused.m_error.m_detail == "leaving");
@@ -227,7 +227,7 @@
     rig.serve(rig.m_old);
     rig.m_origin.m_withheldFrom = 0;
     rig.startAgent("life-2");
-    await("the version to be attested anew", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
+    waitUntil("the version to be attested anew", [&rig] { return rig.m_caller->isAttested(rig.m_old); });
     REQUIRE(rig.m_caller->call(Rig::draftRequest("a1", rig.m_old, 5))->waitForEnd().m_succeeded);
     REQUIRE(rig.metrics().find("orders_total{end=\"done\"} 0") != std::string::npos);
     REQUIRE(rig.loadedModels() == 1);
@@ -240,11 +240,11 @@
     ModelRig rig;
     rig.serve(rig.m_old);
     Rig::BlackholeProxy relay(rig.m_settings.m_instance.m_member.m_wire);
-    Caller far(relay.address());
-    const std::shared_ptr<Caller::Call> call = far.call(Rig::draftRequest("a1", rig.m_old, 100'000), Core::Duration(0));
-    await("the first tokens", [&call] { return call->frameCount() > 2; });
+    EntryClient far(relay.address());
+    const std::shared_ptr<EntryClient::Call> call = far.call(Rig::draftRequest("a1", rig.m_old, 100'000), Core::Duration(0));
+    waitUntil("the first tokens", [&call] { return call->frameCount() > 2; });
     relay.m_dropsBytes = true;
-    await("the engine to stop", [&rig] {
+    waitUntil("the engine to stop", [&rig] {
         const Poco::JSON::Array::Ptr ran = Rig::request(rig.m_engine.m_address, "GET", "/journal")->getArray("ran");
         return ran->size() == 1 && !ran->getObject(0)->getValue<bool>("completed");
     });
--- a/Tests/Agent/TestPlainAgent.cpp
+++ b/Tests/Agent/TestPlainAgent.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 using Protocol::Outcome;
-using Rig::await;
-using Rig::Caller;
+using Rig::EntryClient;
+using Rig::waitUntil;
 
 struct PlainRig
 {
@@ -14,7 +14,7 @@
     Rig::Entry m_entry;
     Endpoint::AgentSettings m_settings;
     std::unique_ptr<Endpoint::Agent> m_agent;
-    std::unique_ptr<Caller> m_caller;
+    std::unique_ptr<EntryClient> m_caller;
 
     explicit PlainRig(std::size_t threads = 64, std::size_t queue = 256)
     {
@@ -30,8 +30,8 @@
         m_settings.m_relay.m_pool.m_maximumQueue = queue;
         m_agent = std::make_unique<Endpoint::Agent>(m_settings);
         REQUIRE(m_agent->start());
-        m_caller = std::make_unique<Caller>(m_settings.m_instance.m_member.m_wire);
-        await("the service to be healthy", [this] { return m_caller->report().m_endpointHealthy; });
+        m_caller = std::make_unique<EntryClient>(m_settings.m_instance.m_member.m_wire);
+        waitUntil("the service to be healthy", [this] { return m_caller->report().m_endpointHealthy; });
     }
 
     int live(const std::string &count) const
@@ -52,7 +52,7 @@
 {
     PlainRig rig;
     const Protocol::LiveRequest request = Rig::bookingRequest("b1", "key", "life-1");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(request);
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(request);
     REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
     const Protocol::OutcomeAnswer outcome = rig.m_caller->outcome(request);
@@ -94,15 +94,15 @@
     rig.m_service.setFaults(R"({"hang":true})");
     const Protocol::LiveRequest first = Rig::bookingRequest("b1", "key-1", "life-1");
     const Protocol::LiveRequest second = Rig::bookingRequest("b2", "key-2", "life-1");
-    const std::shared_ptr<Caller::Call> running = rig.m_caller->call(first);
-    await("the first to run", [&rig, &first] { return rig.m_caller->outcome(first).m_outcome == Outcome::Running; });
-    const std::shared_ptr<Caller::Call> waiting = rig.m_caller->call(second);
-    await("the second to wait", [&rig] { return rig.live("queued") == 1; });
+    const std::shared_ptr<EntryClient::Call> running = rig.m_caller->call(first);
+    waitUntil("the first to run", [&rig, &first] { return rig.m_caller->outcome(first).m_outcome == Outcome::Running; });
+    const std::shared_ptr<EntryClient::Call> waiting = rig.m_caller->call(second);
+    waitUntil("the second to wait", [&rig] { return rig.live("queued") == 1; });
     rig.m_caller->cancel(*waiting);
     waiting->waitForEnd();
     rig.m_service.setFaults(R"({"hang":false})");
     REQUIRE(running->waitForEnd().m_succeeded);
-    await("the second to be settled", [&rig, &second] { return rig.m_caller->outcome(second).m_outcome == Outcome::NeverRan; });
+    waitUntil("the second to be settled", [&rig, &second] { return rig.m_caller->outcome(second).m_outcome == Outcome::NeverRan; });
     REQUIRE(rig.effects() == 1);
 }
 
@@ -110,10 +110,10 @@
 {
     PlainRig rig(1, 1);
     rig.m_service.setFaults(R"({"hang":true})");
-    const std::shared_ptr<Caller::Call> running = rig.m_caller->call(Rig::bookingRequest("b1", "key-1", "life-1"));
-    await("the first to run", [&rig] { return rig.live("running") == 1; });
-    const std::shared_ptr<Caller::Call> waiting = rig.m_caller->call(Rig::bookingRequest("b2", "key-2", "life-1"));
-    await("the second to wait", [&rig] { return rig.live("queued") == 1; });
+    const std::shared_ptr<EntryClient::Call> running = rig.m_caller->call(Rig::bookingRequest("b1", "key-1", "life-1"));
+    waitUntil("the first to run", [&rig] { return rig.live("running") == 1; });
+    const std::shared_ptr<EntryClient::Call> waiting = rig.m_caller->call(Rig::bookingRequest("b2", "key-2", "life-1"));
+    waitUntil("the second to wait", [&rig] { return rig.live("queued") == 1; });
     const Protocol::LiveRequest third = Rig::bookingRequest("b3", "key-3", "life-1");
     REQUIRE(rig.m_caller->call(third)->waitForEnd().m_error.m_code == Core::ErrorCode::Overloaded);
     REQUIRE(rig.m_caller->outcome(third).m_outcome == Outcome::NeverRan);
@@ -129,10 +129,10 @@
     PlainRig rig;
     rig.m_service.setFaults(R"({"slow_ms":100})");
     const Protocol::LiveRequest request = Rig::bookingRequest("b1", "key", "life-1");
-    const std::shared_ptr<Caller::Call> call = rig.m_caller->call(request);
-    await("it to be at the service", [&rig] { return Rig::request(rig.m_service.m_address, "GET", "/status")->getValue<int>("running") == 1; });
+    const std::shared_ptr<EntryClient::Call> call = rig.m_caller->call(request);
+    waitUntil("it to be at the service", [&rig] { return Rig::request(rig.m_service.m_address, "GET", "/status")->getValue<int>("running") == 1; });
     rig.m_caller->cancel(*call);
-    await("it to finish", [&rig, &request] { return rig.m_caller->outcome(request).m_outcome == Outcome::Finished; });
+    waitUntil("it to finish", [&rig, &request] { return rig.m_caller->outcome(request).m_outcome == Outcome::Finished; });
     REQUIRE(rig.effects() == 1);
 }
 
@@ -143,7 +143,7 @@
         Rig::agentSettings(rig.m_entry.m_address, rig.m_entry.m_address, Network::freeLoopbackAddress(), Endpoint::EndpointKind::Plain, "life-3");
     Endpoint::Agent agent(settings);
     REQUIRE(agent.start());
-    Caller caller(settings.m_instance.m_member.m_wire);
+    EntryClient caller(settings.m_instance.m_member.m_wire);
     const Protocol::LiveRequest request = Rig::bookingRequest("b1", "key", "life-3");
     REQUIRE(caller.call(request)->waitForEnd().m_error.m_code == Core::ErrorCode::Unavailable);
     REQUIRE(caller.outcome(request).m_outcome == Outcome::NeverRan);
--- a/Tests/Agent/TestProgram.cpp
+++ b/Tests/Agent/TestProgram.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-using Rig::await;
-using Rig::Caller;
+using Rig::EntryClient;
 using Rig::Version;
+using Rig::waitUntil;
 
 std::string program()
 {
@@ -56,14 +56,14 @@
                                 + engine.m_address.toString() + "\"}\nduties: {status_interval_ms: 20, leave_notice_ms: 50}\n");
     Core::Result<Bench::Process> process = Bench::Process::start(program(), {"--settings", settings.path()}, settings.path() + ".log");
     REQUIRE(process);
-    Caller caller(wire);
+    EntryClient caller(wire);
     entry.publishPlan({version});
-    await("the version to be attested", [&caller, &version] {
+    waitUntil("the version to be attested", [&caller, &version] {
         caller.watch();
         return caller.isAttested(version);
     });
-    const std::shared_ptr<Caller::Call> call = caller.call(Rig::draftRequest("a1", version, 3000));
-    await("the first tokens", [&call] { return call->frameCount() > 2; });
+    const std::shared_ptr<EntryClient::Call> call = caller.call(Rig::draftRequest("a1", version, 3000));
+    waitUntil("the first tokens", [&call] { return call->frameCount() > 2; });
     process.value().signal(SIGTERM);
     REQUIRE(call->waitForEnd().m_succeeded);
     REQUIRE(call->isComplete());
--- a/Tests/LibEndpoint/TestAttemptTracker.cpp
+++ b/Tests/LibEndpoint/TestAttemptTracker.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 using Endpoint::Admission;
-using Endpoint::AttemptGate;
-using Endpoint::AttemptGateLimits;
 using Endpoint::AttemptTag;
+using Endpoint::AttemptTracker;
+using Endpoint::AttemptTrackerLimits;
 using Protocol::Outcome;
 
 const std::string Life = "life-1";
@@ -21,7 +21,7 @@
 }
 
 /// Admits, begins and finishes an attempt.
-void runWhole(AttemptGate &gate, const AttemptTag &attempt, const std::string &body)
+void runWhole(AttemptTracker &gate, const AttemptTag &attempt, const std::string &body)
 {
     REQUIRE(gate.admit(attempt) == Admission::Admitted);
     REQUIRE(gate.tryBegin(attempt.m_attempt));
@@ -33,7 +33,7 @@
 TEST_CASE("a finished attempt does not run again and its answer is kept")
 {
     // The answer to a booking is lost on its way back, and the entry or the network sends the call once more. A second run would book twice.
-    AttemptGate gate(Life, {});
+    AttemptTracker gate(Life, {});
     runWhole(gate, tag("a", "key"), "booked");
     REQUIRE(gate.admit(tag("a", "key")) == Admission::Duplicate);
     REQUIRE_FALSE(gate.tryBegin("a"));
@@ -44,7 +44,7 @@
 TEST_CASE("an attempt that was asked after before it arrived never runs")
 {
     // The call is held up in the network; the entry asks, learns that nothing ran, and tells its caller so. Then the call arrives.
-    AttemptGate gate(Life, {});
+    AttemptTracker gate(Life, {});
     REQUIRE(gate.outcome(tag("late")).m_outcome == Outcome::NeverRan);
     REQUIRE(gate.admit(tag("late", "key")) == Admission::Tombstoned);
     REQUIRE_FALSE(gate.tryBegin("late"));
@@ -52,7 +52,7 @@
 
 TEST_CASE("an attempt that was cancelled in the queue never runs and says so")
 {
-    AttemptGate gate(Life, {});
+    AttemptTracker gate(Life, {});
     REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
     gate.cancel(tag("a", "key"));
     REQUIRE_FALSE(gate.tryBegin("a"));
@@ -63,7 +63,7 @@
 TEST_CASE("a lost answer is unknown and never repeated")
 {
     // The service has posted the invoice, and its answer is lost. Neither "not run" nor a second try would be true or safe.
-    AttemptGate gate(Life, {});
+    AttemptTracker gate(Life, {});
     REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
     REQUIRE(gate.tryBegin("a"));
     gate.recordLostAnswer("a");
@@ -75,7 +75,7 @@
 TEST_CASE("a fresh agent does not claim that an attempt of an earlier life did not run")
 {
     // The agent is replaced while a booking runs. Its successor has never heard of the booking and must not deny it.
-    AttemptGate gate("life-2", {});
+    AttemptTracker gate("life-2", {});
     REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
     REQUIRE(gate.outcome(AttemptTag{"b", "", "", 0}).m_outcome == Outcome::Unknown);
     REQUIRE(gate.admit(tag("a", "key")) == Admission::OtherIncarnation);
@@ -84,9 +84,9 @@
 TEST_CASE("what is forgotten is unknown and is not run late")
 {
     // An agent remembers a bounded number of attempts. One that it has forgotten looks like one that never arrived.
-    AttemptGateLimits limits;
+    AttemptTrackerLimits limits;
     limits.m_maximumAttempts = 2;
-    AttemptGate gate(Life, limits);
+    AttemptTracker gate(Life, limits);
     runWhole(gate, tag("a", "", 10), "1");
     runWhole(gate, tag("b", "", 11), "2");
     runWhole(gate, tag("c", "", 12), "3");
@@ -98,10 +98,10 @@
 
 TEST_CASE("stored answers are bounded, oldest dropped first")
 {
-    AttemptGateLimits limits;
+    AttemptTrackerLimits limits;
     limits.m_maximumStoredAnswerBytes = 10;
     limits.m_maximumBytesPerAnswer = 8;
-    AttemptGate gate(Life, limits);
+    AttemptTracker gate(Life, limits);
     runWhole(gate, tag("a"), "123456");
     runWhole(gate, tag("b"), "123456");
     REQUIRE(gate.storedAnswerBytes() == 6);
@@ -113,9 +113,9 @@
 
 TEST_CASE("open attempts are never forgotten; a full gate refuses")
 {
-    AttemptGateLimits limits;
+    AttemptTrackerLimits limits;
     limits.m_maximumAttempts = 1;
-    AttemptGate gate(Life, limits);
+    AttemptTracker gate(Life, limits);
     REQUIRE(gate.admit(tag("a")) == Admission::Admitted);
     REQUIRE(gate.admit(tag("b")) == Admission::Full);
     REQUIRE(gate.outcome(tag("b")).m_outcome == Outcome::NeverRan);
@@ -142,7 +142,7 @@
 /// The world around a gate, and what it has been told.
 struct World
 {
-    AttemptGate m_gate{"life-0", AttemptGateLimits{2, 4, 4}};
+    AttemptTracker m_gate{"life-0", AttemptTrackerLimits{2, 4, 4}};
     int m_life = 0;
     std::map<std::string, int> m_runs; ///< By attempt: how often the endpoint got it.
     std::set<std::string> m_deniedRuns; ///< Attempts that were reported as never run.
@@ -182,7 +182,7 @@
             break;
         case Event::Restart:
             ++m_life;
-            m_gate = AttemptGate("life-" + std::to_string(m_life), AttemptGateLimits{2, 4, 4});
+            m_gate = AttemptTracker("life-" + std::to_string(m_life), AttemptTrackerLimits{2, 4, 4});
             break;
         }
     }
--- a/Tests/LibEndpoint/TestOrderDecision.cpp
+++ b/Tests/LibEndpoint/TestOrderDecision.cpp
@@ -10,16 +10,16 @@
 using Endpoint::KnownWeights;
 using Endpoint::ModelState;
 using Endpoint::Order;
+using Endpoint::OrderDecisionInput;
 using Endpoint::OrderKind;
-using Endpoint::OrderSituation;
 
 const Core::Instant Start{std::chrono::seconds(1000)};
 const KnownWeights Old{"manifest-old", "content-old", true};
 const KnownWeights New{"manifest-new", "content-new", true};
 
-OrderSituation situation(std::uint32_t slots)
+OrderDecisionInput situation(std::uint32_t slots)
 {
-    OrderSituation result;
+    OrderDecisionInput result;
     result.m_planOffset = 7;
     result.m_plannedManifests = {New.m_manifestDigest};
     result.m_engine.m_reachable = true;
@@ -38,7 +38,7 @@
 TEST_CASE("partial weights are never ordered")
 {
     // The plan names a version that is still on its way here. An engine that got what there is would draft with partial weights.
-    OrderSituation partial = situation(2);
+    OrderDecisionInput partial = situation(2);
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
     partial.m_knownWeights = {KnownWeights{New.m_manifestDigest, New.m_contentDigest, false}};
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
@@ -48,9 +48,9 @@
 
 TEST_CASE("nothing is ordered without a plan, without the engine, or while it loads")
 {
-    OrderSituation ready = situation(2);
+    OrderDecisionInput ready = situation(2);
     ready.m_knownWeights = {New};
-    OrderSituation changed = ready;
+    OrderDecisionInput changed = ready;
     changed.m_planOffset = 0;
     REQUIRE_FALSE(Endpoint::decideOrder(changed, Start));
     changed = ready;
@@ -63,7 +63,7 @@
 
 TEST_CASE("with a free slot the new version is loaded beside the old one, which goes after the grace period")
 {
-    OrderSituation now = situation(2);
+    OrderDecisionInput now = situation(2);
     now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Load);
@@ -79,7 +79,7 @@
 
 TEST_CASE("a version that the plan names again is not unloaded")
 {
-    OrderSituation now = situation(2);
+    OrderDecisionInput now = situation(2);
     now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old), serving(New)};
     now.m_retirementTimes = {{Old.m_contentDigest, Start}};
@@ -90,7 +90,7 @@
 
 TEST_CASE("an engine with one slot swaps only once the new version is whole here")
 {
-    OrderSituation now = situation(1);
+    OrderDecisionInput now = situation(1);
     now.m_knownWeights = {Old};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start));
@@ -103,7 +103,7 @@
 TEST_CASE("after a restart of the agent the engine keeps what may be planned")
 {
     // The agent has lost its memory and does not know yet which manifest the engine's weights belong to. Unloading them would stop the service.
-    OrderSituation now = situation(1);
+    OrderDecisionInput now = situation(1);
     now.m_engine.m_models = {serving(New)};
     REQUIRE(Endpoint::retirementTimes(now, Start).empty());
     now.m_retirementTimes = Endpoint::retirementTimes(now, Start);
@@ -112,7 +112,7 @@
 
 TEST_CASE("weights under which the engine answered with another version are unloaded and not attested")
 {
-    OrderSituation now = situation(2);
+    OrderDecisionInput now = situation(2);
     now.m_knownWeights = {New};
     now.m_engine.m_models = {serving(New)};
     now.m_mismatched = {New.m_contentDigest};
