--- a/Libraries/LibEndpoint/Agent.cpp
+++ b/Libraries/LibEndpoint/Agent.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the joining of an agent's duties.
+/// @file Implementation of the agent process.
 
 #include "LibEndpoint/Agent.h"
 #include "LibWire/Pack.h"
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr Core::Duration FenceTimeout{700};
-constexpr std::size_t MaximumEntriesAsked = 3;
-constexpr Core::Duration DrainInterval{20};
-/// After the last answer has left the process, the network still needs its connections for a moment.
-constexpr Core::Duration FlushTime{200};
+constexpr std::size_t MaximumQueriedEntries = 3;
+constexpr Core::Duration DrainPollInterval{20};
+/// Delay before shutdown so that the connections can still deliver the last answers, which have already left the process.
+constexpr Core::Duration FlushDelay{200};
 
 Wire::NodeSettings nodeSettings(const AgentSettings &settings)
 {
@@ -23,12 +23,12 @@
     return node;
 }
 
-ReportSettings reportSettings(const WorkerSettings &duties)
+ReportSettings reportSettings(const WorkerSettings &workers)
 {
     ReportSettings settings;
-    settings.m_interval = duties.m_reportInterval;
-    settings.m_bytesPerSecond = duties.m_reportBytesPerSecond;
-    settings.m_maximumWatchers = duties.m_maximumWatchers;
+    settings.m_interval = workers.m_reportInterval;
+    settings.m_bytesPerSecond = workers.m_reportBytesPerSecond;
+    settings.m_maximumWatchers = workers.m_maximumWatchers;
     return settings;
 }
 
@@ -104,15 +104,15 @@
     }
     m_subscriber.start();
     BOOST_OUTCOME_TRYV(m_admin.start());
-    LOG(INFO) << "agent " << m_settings.m_instance.m_member.m_id << " runs";
+    LOG(INFO) << "agent " << m_settings.m_instance.m_member.m_id << " started";
     return Core::success();
 }
 
 void Agent::startLeaving()
 {
-    LOG(INFO) << "leaving";
+    LOG(INFO) << "leaving: new calls are refused";
     m_relay.startLeaving();
-    m_state.update([](KnownState &facts) { facts.m_leaving = true; });
+    m_state.update([](KnownState &knownState) { knownState.m_leaving = true; });
     Protocol::Member self = m_settings.m_instance.m_member;
     self.m_leaving = true;
     m_subscriber.updateSelf(self);
@@ -123,12 +123,12 @@
     const Core::Instant start = Core::Clock::now();
     while (Core::Clock::now() - start < m_settings.m_workers.m_leaveNotice || !m_relay.isDrained()) {
         if (Core::Clock::now() - start > m_settings.m_workers.m_drainLimit) {
-            LOG(WARNING) << "the drain limit came before the last answer was complete";
+            LOG(WARNING) << "drain limit reached before the last answer was complete";
             return false;
         }
-        std::this_thread::sleep_for(DrainInterval);
+        std::this_thread::sleep_for(DrainPollInterval);
     }
-    std::this_thread::sleep_for(FlushTime);
+    std::this_thread::sleep_for(FlushDelay);
     return true;
 }
 
@@ -154,35 +154,35 @@
     const std::shared_ptr<const Control::ControlState> state = m_store.current();
     const Protocol::Member &self = m_settings.m_instance.m_member;
     const std::map<std::string, Control::Plan>::const_iterator plan = state->m_plans.find(self.m_service);
-    std::vector<Control::Deployment> wanted;
+    std::vector<Control::Deployment> planned;
     if (plan != state->m_plans.end()) {
-        wanted = deploymentsOf(plan->second, self.m_id);
+        planned = deploymentsOf(plan->second, self.m_id);
     }
     const Control::Offset planOffset = plan == state->m_plans.end() ? 0 : plan->second.m_offset;
     const bool isNewPlan = planOffset > m_state.knownState().m_planOffset;
-    m_state.update([&state, &wanted, planOffset](KnownState &facts) {
-        facts.m_appliedOffset = std::max(facts.m_appliedOffset, state->m_applied);
-        if (planOffset <= facts.m_planOffset) {
+    m_state.update([&state, &planned, planOffset](KnownState &knownState) {
+        knownState.m_appliedOffset = std::max(knownState.m_appliedOffset, state->m_applied);
+        if (planOffset <= knownState.m_planOffset) {
             return;
         }
-        facts.m_planOffset = planOffset;
-        facts.m_plannedManifests.clear();
-        for (const Control::Deployment &deployment : wanted) {
-            facts.m_plannedManifests.push_back(deployment.m_digest);
+        knownState.m_planOffset = planOffset;
+        knownState.m_plannedManifests.clear();
+        for (const Control::Deployment &deployment : planned) {
+            knownState.m_plannedManifests.push_back(deployment.m_digest);
         }
     });
     if (isNewPlan && m_isModel) {
-        m_transfer.setTargets(std::move(wanted));
+        m_transfer.setTargets(std::move(planned));
     }
 }
 
 void Agent::onKnownWeightsChange()
 {
-    std::vector<KnownWeights> known;
+    std::vector<KnownWeights> weights;
     for (const Transfer::KnownVersion &version : m_transfer.knownVersions()) {
-        known.push_back(KnownWeights{version.m_manifestDigest, version.m_contentDigest, version.m_isComplete});
+        weights.push_back(KnownWeights{version.m_manifestDigest, version.m_contentDigest, version.m_isComplete});
     }
-    m_state.update([&known](KnownState &facts) { facts.m_knownWeights = known; });
+    m_state.update([&weights](KnownState &knownState) { knownState.m_knownWeights = weights; });
 }
 
 Core::Result<Control::Offset> Agent::newestPlanOffset()
@@ -201,8 +201,8 @@
 
 Core::Result<Control::Offset> Agent::requestPlanOffset(const Core::Address &entry, Control::Offset applied)
 {
-    const std::string question = Wire::pack(Protocol::FenceRequest{m_settings.m_instance.m_member.m_service});
-    const std::string bytes = BOOST_OUTCOME_TRYX(m_node.request(entry, "control.fence", question, FenceTimeout));
+    const std::string request = Wire::pack(Protocol::FenceRequest{m_settings.m_instance.m_member.m_service});
+    const std::string bytes = BOOST_OUTCOME_TRYX(m_node.request(entry, "control.fence", request, FenceTimeout));
     const Protocol::FenceAnswer answer = BOOST_OUTCOME_TRYX(Wire::unpack<Protocol::FenceAnswer>(bytes, entry.toString()));
     if (answer.m_appliedOffset < applied) {
         return Core::makeError(Core::ErrorCode::Unavailable, "ask fence", entry.toString(), "the entry is behind this agent");
@@ -221,8 +221,8 @@
     addresses.insert(addresses.end(), m_settings.m_entries.begin(), m_settings.m_entries.end());
     std::vector<Core::Address> distinct;
     for (const Core::Address &address : addresses) {
-        const bool known = std::find(distinct.begin(), distinct.end(), address) != distinct.end();
-        if (!known && distinct.size() < MaximumEntriesAsked) {
+        const bool isDuplicate = std::find(distinct.begin(), distinct.end(), address) != distinct.end();
+        if (!isDuplicate && distinct.size() < MaximumQueriedEntries) {
             distinct.push_back(address);
         }
     }
@@ -247,24 +247,24 @@
 
 Poco::JSON::Object::Ptr Agent::dumpInstance() const
 {
-    const KnownState facts = m_state.knownState();
+    const KnownState knownState = m_state.knownState();
     const Protocol::Member &self = m_settings.m_instance.m_member;
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     object->set("id", self.m_id);
     object->set("incarnation", self.m_incarnation);
     object->set("service", self.m_service);
-    object->set("leaving", facts.m_leaving);
-    object->set("applied", facts.m_appliedOffset);
-    object->set("plan", facts.m_planOffset);
-    object->set("endpoint_healthy", facts.m_engine.m_reachable);
+    object->set("leaving", knownState.m_leaving);
+    object->set("applied", knownState.m_appliedOffset);
+    object->set("plan", knownState.m_planOffset);
+    object->set("endpoint_healthy", knownState.m_engine.m_reachable);
     object->set("watchers", m_reportWorker.watchers());
     Poco::JSON::Array::Ptr planned = new Poco::JSON::Array;
-    for (const std::string &manifest : facts.m_plannedManifests) {
+    for (const std::string &manifest : knownState.m_plannedManifests) {
         planned->add(manifest);
     }
     object->set("planned", planned);
     Poco::JSON::Array::Ptr attested = new Poco::JSON::Array;
-    for (const Protocol::Attestation &attestation : attestationsOf(facts)) {
+    for (const Protocol::Attestation &attestation : attestationsOf(knownState)) {
         Poco::JSON::Object::Ptr item = new Poco::JSON::Object;
         item->set("digest", attestation.m_digest);
         item->set("fence", attestation.m_fence);
--- a/Libraries/LibEndpoint/Agent.h
+++ b/Libraries/LibEndpoint/Agent.h
@@ -1,4 +1,4 @@
-/// @file The agent: its duties, joined together.
+/// @file The agent process: owns and connects its workers, transfers, relay and network node.
 #pragma once
 
 #include "LibControl/StateStore.h"
@@ -18,9 +18,9 @@
 namespace Endpoint {
 
 /**
- * The process in the slot of one endpoint instance.
+ * The process that runs beside one endpoint instance.
  *
- * State feed -> plan -> targets of the transfer -> whole weights -> order to the engine -> its status -> attestation -> report.
+ * Data flow: state feed -> plan -> transfer targets -> complete weights -> order to the engine -> engine status -> attestation -> report.
  */
 class Agent : private OrderHost
 {
@@ -32,9 +32,9 @@
     Agent &operator=(const Agent &) = delete;
 
     Core::Result<void> start();
-    /// Announces that the instance leaves and refuses new calls; running ones go on.
+    /// Announces that the instance is leaving and refuses new calls. Running calls continue.
     void startLeaving();
-    /// Waits until the notice has passed and nothing runs any more; false if the drain limit came first.
+    /// Waits until the leave notice has passed and no call is running. Returns false if the drain limit is reached first.
     bool awaitDrained();
     void stop();
 
--- a/Libraries/LibEndpoint/AgentSettings.cpp
+++ b/Libraries/LibEndpoint/AgentSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of an agent's settings.
+/// @file Reads the settings of an agent.
 
 #include "LibEndpoint/AgentSettings.h"
 
@@ -13,7 +13,7 @@
     return reader.milliseconds(field, 1, MaximumMilliseconds, fallback.count());
 }
 
-WorkerSettings readDutySettings(Settings::Reader &reader)
+WorkerSettings readWorkerSettings(Settings::Reader &reader)
 {
     WorkerSettings settings;
     settings.m_statusInterval = readDuration(reader, "status_interval_ms", settings.m_statusInterval);
@@ -41,7 +41,7 @@
     reader.section("engine", [&settings](Settings::Reader &section) { settings.m_engine = readEngineSettings(section); });
     reader.section("transfer", [&settings](Settings::Reader &section) { settings.m_transfer = Transfer::readTransferSettings(section); });
     reader.section("relay", [&settings](Settings::Reader &section) { settings.m_relay = readRelaySettings(section); });
-    reader.section("duties", [&settings](Settings::Reader &section) { settings.m_workers = readDutySettings(section); });
+    reader.section("duties", [&settings](Settings::Reader &section) { settings.m_workers = readWorkerSettings(section); });
     return settings;
 }
 
--- a/Libraries/LibEndpoint/AgentSettings.h
+++ b/Libraries/LibEndpoint/AgentSettings.h
@@ -1,4 +1,4 @@
-/// @file Settings of an agent, checked whole before anything starts.
+/// @file Settings of an agent. All of them are validated before anything starts.
 #pragma once
 
 #include "LibEndpoint/EngineClient.h"
@@ -11,19 +11,19 @@
 
 namespace Endpoint {
 
-/// How an agent orders its engine, reports and leaves.
+/// Settings of the agent's workers (section "duties"): engine orders, reports and leaving.
 struct WorkerSettings
 {
-    Core::Duration m_statusInterval{500}; ///< Between two inquiries of the endpoint's status.
-    Core::Duration m_reportInterval{1000}; ///< Between two reports without a change.
-    std::uint64_t m_reportBytesPerSecond = 4096; ///< Bound on those, which stretches the interval when many watch.
-    Core::Duration m_maximumFenceAge{2000}; ///< Oldest confirmation of the newest plan on which an order may go out.
-    Core::Duration m_orderRetryDelay{2000}; ///< Pause after an order that failed.
-    Core::Duration m_retirementGrace{5000}; ///< How long weights that the plan leaves out stay loaded.
-    Core::Duration m_withdrawNotice{300}; ///< Between the report that weights will go and the order to unload them.
-    Core::Duration m_leaveNotice{2000}; ///< How long a leaving agent refuses calls before it may end.
-    Core::Duration m_drainLimit{600000}; ///< Longest wait for running answers when leaving.
-    std::size_t m_maximumWatchers = 64; ///< Entries that follow the reports.
+    Core::Duration m_statusInterval{500}; ///< Interval between two status requests to the endpoint.
+    Core::Duration m_reportInterval{1000}; ///< Interval between two reports while nothing changes.
+    std::uint64_t m_reportBytesPerSecond = 4096; ///< Limit on the traffic of such reports; with many watchers the interval grows.
+    Core::Duration m_maximumFenceAge{2000}; ///< Maximum age of the confirmation of the newest plan when an order is sent.
+    Core::Duration m_orderRetryDelay{2000}; ///< Delay before the retry of a failed order; doubles with each further failure.
+    Core::Duration m_retirementGrace{5000}; ///< How long weights that are no longer in the plan stay loaded.
+    Core::Duration m_withdrawNotice{300}; ///< Time between the report that withdraws weights and the order to unload them.
+    Core::Duration m_leaveNotice{2000}; ///< Minimum time for which a leaving agent keeps refusing calls before it exits.
+    Core::Duration m_drainLimit{600000}; ///< Maximum wait for running answers when leaving.
+    std::size_t m_maximumWatchers = 64; ///< Maximum number of entries that watch the reports.
 
     bool operator==(const WorkerSettings &) const = default;
 };
@@ -31,16 +31,16 @@
 struct AgentSettings
 {
     Protocol::InstanceSettings m_instance;
-    std::vector<Core::Address> m_entries; ///< Seeds; further entries are learned from them.
+    std::vector<Core::Address> m_entries; ///< Seed entries; other entries are discovered through them.
     Core::Address m_origin;
-    std::string m_originRegion; ///< Where the origin stands; empty if unknown.
+    std::string m_originRegion; ///< Region of the origin; empty if unknown.
     EngineSettings m_engine;
     Transfer::TransferSettings m_transfer;
     RelaySettings m_relay;
     WorkerSettings m_workers;
 };
 
-/// Reads the whole document; the result may be used only if no problem was noted.
+/// Reads the complete settings document. The result is valid only if the reader has recorded no problem.
 AgentSettings readAgentSettings(Settings::Reader &reader);
 
 }
--- a/Libraries/LibEndpoint/AgentState.cpp
+++ b/Libraries/LibEndpoint/AgentState.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the facts that the duties share.
+/// @file Implementation of the shared state of an agent's workers.
 
 #include "LibEndpoint/AgentState.h"
 
@@ -6,11 +6,11 @@
 
 namespace Endpoint {
 
-std::vector<Protocol::Attestation> attestationsOf(const KnownState &facts)
+std::vector<Protocol::Attestation> attestationsOf(const KnownState &state)
 {
-    std::set<std::string> withheld = facts.m_withdrawn;
-    withheld.insert(facts.m_mismatched.begin(), facts.m_mismatched.end());
-    return attestationsOf(facts.m_engine, facts.m_knownWeights, withheld, facts.m_loadPlanOffsets);
+    std::set<std::string> excluded = state.m_withdrawn;
+    excluded.insert(state.m_mismatched.begin(), state.m_mismatched.end());
+    return attestationsOf(state.m_engine, state.m_knownWeights, excluded, state.m_loadPlanOffsets);
 }
 
 KnownState AgentState::knownState() const
@@ -40,10 +40,10 @@
     m_changed.notify_all();
 }
 
-std::uint64_t AgentState::waitForChange(std::uint64_t seen, Core::Duration patience) const
+std::uint64_t AgentState::waitForChange(std::uint64_t seen, Core::Duration timeout) const
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    m_changed.wait_for(lock, patience, [this, seen] { return m_closed || m_version != seen; });
+    m_changed.wait_for(lock, timeout, [this, seen] { return m_closed || m_version != seen; });
     return m_version;
 }
 
@@ -91,8 +91,8 @@
 
 void AgentState::onVersionMismatch(const std::string &contentDigest)
 {
-    update([&contentDigest](KnownState &facts) { facts.m_mismatched.insert(contentDigest); });
-    LOG(ERROR) << "the engine answered for " << contentDigest << " under another version";
+    update([&contentDigest](KnownState &state) { state.m_mismatched.insert(contentDigest); });
+    LOG(ERROR) << "the engine was asked for " << contentDigest << " but reported another version";
 }
 
 void AgentState::onLiveBytes(std::uint64_t bytes)
--- a/Libraries/LibEndpoint/AgentState.h
+++ b/Libraries/LibEndpoint/AgentState.h
@@ -1,4 +1,4 @@
-/// @file What the duties of an agent know, in one place.
+/// @file State that the workers of an agent share.
 #pragma once
 
 #include "LibEndpoint/Engine.h"
@@ -16,41 +16,41 @@
 
 namespace Endpoint {
 
-/// Facts that one duty learns and others act upon.
+/// The agent's known state of its plan, weights and engine. Each component updates what it learns and reacts to the changes of the others.
 struct KnownState
 {
-    Control::Offset m_appliedOffset = 0; ///< Control state in force here.
-    Control::Offset m_planOffset = 0; ///< Of the service's plan; 0 while none is known.
-    std::vector<std::string> m_plannedManifests; ///< What this instance is to hold.
-    std::vector<KnownWeights> m_knownWeights; ///< Those with a verified manifest.
+    Control::Offset m_appliedOffset = 0; ///< Offset of the control state that is applied here.
+    Control::Offset m_planOffset = 0; ///< Offset of the service's plan; 0 while no plan is known.
+    std::vector<std::string> m_plannedManifests; ///< Manifest digests that the plan assigns to this instance.
+    std::vector<KnownWeights> m_knownWeights; ///< Weights with a verified manifest.
     EngineStatus m_engine;
-    std::set<std::string> m_withdrawn; ///< Content digests that are about to be unloaded; no longer attested.
-    std::set<std::string> m_mismatched; ///< Content digests under which the engine named another version.
-    std::map<std::string, Control::Offset> m_loadPlanOffsets; ///< Plan offset of the order that loaded a content digest.
+    std::set<std::string> m_withdrawn; ///< Content digests that will be unloaded shortly; they are no longer attested.
+    std::set<std::string> m_mismatched; ///< Content digests for which the engine reported another version.
+    std::map<std::string, Control::Offset> m_loadPlanOffsets; ///< By content digest: plan offset of the order that loaded it.
     bool m_leaving = false; ///< Once true, stays true.
 
     bool operator==(const KnownState &) const = default;
 };
 
-/// What the agent attests under these facts.
-std::vector<Protocol::Attestation> attestationsOf(const KnownState &facts);
+/// Returns what the agent attests in this state.
+std::vector<Protocol::Attestation> attestationsOf(const KnownState &state);
 
-/// Shared by the duties. Thread-safe.
+/// Holds the known state shared by the workers. Thread-safe.
 class AgentState : public RelayHost
 {
 public:
     KnownState knownState() const;
-    /// Counts the changes; for waitForChange().
+    /// Number of changes so far, to be passed to waitForChange().
     std::uint64_t version() const;
-    /// Applies a change; those who wait are woken if anything differs.
-    void update(const std::function<void(KnownState &facts)> &apply);
-    /// Waits at most @p patience for a version other than @p seen, and returns the current one.
-    std::uint64_t waitForChange(std::uint64_t seen, Core::Duration patience) const;
-    /// Makes every wait return at once from now on.
+    /// Applies @p apply to the state and wakes the waiting threads if the state has changed.
+    void update(const std::function<void(KnownState &state)> &apply);
+    /// Waits up to @p timeout until the version differs from @p seen, and returns the current version.
+    std::uint64_t waitForChange(std::uint64_t seen, Core::Duration timeout) const;
+    /// Wakes all waiting threads and makes later waits return immediately.
     void close();
     bool isClosed() const;
 
-    /// Called for the bytes that live traffic takes. Set before any duty starts.
+    /// Sets the callback for bytes used by live traffic. Must be called before any worker starts.
     void onLiveTraffic(std::function<void(std::uint64_t bytes)> callback);
 
     std::optional<std::string> servedContentDigest(const std::string &manifestDigest) const override;
--- a/Libraries/LibEndpoint/AnswerFramer.cpp
+++ b/Libraries/LibEndpoint/AnswerFramer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the numbering of frames.
+/// @file Implementation of AnswerFramer.
 
 #include "LibEndpoint/AnswerFramer.h"
 
--- a/Libraries/LibEndpoint/AnswerFramer.h
+++ b/Libraries/LibEndpoint/AnswerFramer.h
@@ -1,4 +1,4 @@
-/// @file Numbers the frames of one answer and closes it with its totals. Pure.
+/// @file Numbers the frames of an answer and ends it with a frame of totals. Pure.
 #pragma once
 
 #include "LibCore/Digest.h"
@@ -12,10 +12,10 @@
 namespace Endpoint {
 
 /**
- * Makes the frames of one attempt's answer.
+ * Builds the frames of one attempt's answer.
  *
- * Answers can come late, crossed or cut. The receiver can tell only if each frame names its attempt and place, and the last
- * one the length and digest of everything before it.
+ * Frames can be delayed, belong to another attempt, or be truncated. To let the receiver detect this, each frame carries its attempt and
+ * sequence number, and the end frame carries the length and digest of all data before it.
  */
 class AnswerFramer
 {
@@ -33,7 +33,7 @@
     const std::int32_t m_status;
     std::uint64_t m_nextNumber = 0;
     std::uint64_t m_totalBytes = 0;
-    Core::Sha256 m_digest; ///< Over the data of every frame made so far.
+    Core::Sha256 m_digest; ///< Digest of the data of all frames built so far.
 };
 
 }
--- a/Libraries/LibEndpoint/AttemptTracker.cpp
+++ b/Libraries/LibEndpoint/AttemptTracker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the gate for calls that may not be repeated.
+/// @file Implementation of AttemptTracker.
 
 #include "LibEndpoint/AttemptTracker.h"
 
@@ -17,8 +17,8 @@
     if (!tag.m_incarnation.empty() && tag.m_incarnation != m_incarnation) {
         return Admission::OtherIncarnation;
     }
-    if (const Record *known = find(tag.m_attempt)) {
-        return known->m_state == State::Tombstoned ? Admission::Tombstoned : Admission::Duplicate;
+    if (const Record *record = find(tag.m_attempt)) {
+        return record->m_state == State::Tombstoned ? Admission::Tombstoned : Admission::Duplicate;
     }
     if (isPossiblyForgotten(tag)) {
         return Admission::PossiblyForgotten;
@@ -98,15 +98,15 @@
 Protocol::OutcomeAnswer AttemptTracker::outcome(const AttemptTag &tag)
 {
     if (tag.m_incarnation != m_incarnation) {
-        // The attempt may have run in another life, or its entry cannot say in which. Barring it here is all that can be done.
+        // The attempt may have run in another incarnation, or the entry does not know which one. It can only be prevented from running here.
         cancel(tag);
         return Protocol::OutcomeAnswer{Protocol::Outcome::Unknown, 0, ""};
     }
     const Record *record = find(tag.m_attempt);
     if (!record) {
-        const bool forgotten = isPossiblyForgotten(tag);
+        const bool mayHaveRun = isPossiblyForgotten(tag);
         addTombstone(tag);
-        return Protocol::OutcomeAnswer{forgotten ? Protocol::Outcome::Unknown : Protocol::Outcome::NeverRan, 0, ""};
+        return Protocol::OutcomeAnswer{mayHaveRun ? Protocol::Outcome::Unknown : Protocol::Outcome::NeverRan, 0, ""};
     }
     switch (record->m_state) {
     case State::Waiting:
@@ -154,7 +154,7 @@
         evictOldest();
     }
     if (m_records.size() >= m_limits.m_maximumAttempts) {
-        // No room for a tombstone: the horizon takes its place, which bars everything that was sent on as old a report.
+        // No record is free for a tombstone. Raising the horizon blocks every attempt that was sent with this report or an older one instead.
         m_horizon = std::max(m_horizon.value_or(0), tag.m_reportSequence);
         return;
     }
--- a/Libraries/LibEndpoint/AttemptTracker.h
+++ b/Libraries/LibEndpoint/AttemptTracker.h
@@ -1,4 +1,4 @@
-/// @file At most one run for each call that may not be repeated, and truthful answers about what became of it. Pure.
+/// @file Ensures that each call that must not be repeated runs at most once, and reports its outcome. Pure.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -12,66 +12,68 @@
 
 namespace Endpoint {
 
-/// Names one attempt, and the agent's life and report that the entry had seen when it sent it.
+/// Identifies an attempt, with the agent incarnation and report that the entry knew when it sent the attempt.
 struct AttemptTag
 {
     std::string m_attempt;
     std::string m_key;
-    std::string m_incarnation; ///< Of the agent that the attempt was meant for; empty if the entry did not say.
-    std::uint64_t m_reportSequence = 0; ///< Newest report of that agent which the entry had seen.
+    std::string m_incarnation; ///< Incarnation of the agent that the attempt was sent to; empty if the entry did not specify it.
+    std::uint64_t m_reportSequence = 0; ///< Sequence number of that agent's newest report at the entry.
 
     bool operator==(const AttemptTag &) const = default;
 };
 
-/// What is to be done with a call that has arrived.
+/// Result of admitting an incoming call.
 enum class Admission {
-    Admitted, ///< It waits for begin().
-    Duplicate, ///< The attempt arrived earlier; it must not run again, outcome() tells what became of it.
-    Tombstoned, ///< It was cancelled or asked after before it arrived; it never runs.
-    KeyInUse, ///< Another attempt with the same key was admitted here.
-    PossiblyForgotten, ///< It may have been forgotten here, so it may have run.
-    OtherIncarnation, ///< It was meant for an earlier life of this agent.
-    Full, ///< Too many attempts are open; it never runs.
+    Admitted, ///< It is waiting for tryBegin().
+    Duplicate, ///< The attempt has arrived before and must not run again; see outcome().
+    Tombstoned, ///< It was cancelled, or its outcome was requested, before it arrived; it never runs.
+    KeyInUse, ///< Another attempt with the same key has been admitted here.
+    PossiblyForgotten, ///< Its record may have been evicted, so it may already have run.
+    OtherIncarnation, ///< It was sent to another incarnation of this agent.
+    Full, ///< Too many attempts are open; it does not run.
 };
 
 struct AttemptTrackerLimits
 {
-    std::size_t m_maximumAttempts = 65536; ///< Attempts that are remembered, open ones included.
-    std::size_t m_maximumStoredAnswerBytes = 16 << 20; ///< Sum of the stored answers.
-    std::size_t m_maximumBytesPerAnswer = 1 << 20; ///< A longer answer is not stored.
+    std::size_t m_maximumAttempts = 65536; ///< Attempts with a record, including open ones.
+    std::size_t m_maximumStoredAnswerBytes = 16 << 20; ///< Total size of the stored answers.
+    std::size_t m_maximumBytesPerAnswer = 1 << 20; ///< Longer answers are not stored.
 };
 
 /**
- * State machine of the attempts at calls that may not be repeated.
+ * State machine of attempts at calls that must not be repeated.
  *
- * An attempt can arrive twice, after its cancellation, or after the entry has asked what became of it and told its caller.
- * The caller would see a booking made twice, or one made that was reported as not run. Therefore each attempt moves one way only:
- * admitted, then begun at most once, then closed; and a question about an attempt that never arrived closes it as barred.
+ * An attempt can arrive twice, after its cancellation, or after the entry has requested its outcome and passed it to the caller.
+ * The caller could then see a booking made twice, or a booking that was made although it was reported as not run. Therefore the state of an
+ * attempt only moves forward: admitted, begun at most once, closed. A request for the outcome of an attempt that has not arrived leaves a
+ * tombstone, so that the attempt never runs.
  *
- * Eviction: closed attempts are forgotten in the order in which they closed, once there are too many; stored answers likewise.
- * An attempt whose answer was dropped is Unknown. What is forgotten altogether raises the horizon: an attempt that was sent on the strength of a
- * report at or below it may be a forgotten one, so its outcome is Unknown, never NeverRan, and its late arrival is refused.
- * That no forgotten attempt had the same key is the claims' matter, which outlast every agent.
- * Nothing is kept over a restart: attempts meant for another life are Unknown.
+ * Eviction: when there are too many records, closed attempts are evicted in the order in which they were closed. Stored answers are evicted
+ * oldest first; an attempt without its answer is Unknown. Evicting a record raises the horizon. An attempt that was sent when the entry had
+ * only seen reports up to the horizon may be an evicted one, so its outcome is Unknown and never NeverRan, and its late arrival is refused.
+ * The key of an evicted attempt is not checked here: the claims, which outlive every agent, guard against its reuse.
+ * Nothing survives a restart: attempts sent to another incarnation are Unknown.
  */
 class AttemptTracker
 {
 public:
     AttemptTracker(std::string incarnation, AttemptTrackerLimits limits);
 
-    /// A call has arrived.
+    /// Registers an incoming call.
     Admission admit(const AttemptTag &tag);
-    /// The call is about to be handed to the endpoint. False if it was cancelled meanwhile; it must not be handed over then.
+    /// Marks a waiting attempt as begun; called before it is sent to the endpoint.
+    /// Returns false if it is no longer waiting, for example because it was cancelled. It must not be sent then.
     bool tryBegin(const std::string &attempt);
-    /// The endpoint was never reached; the attempt will not run.
+    /// Records that the endpoint was not reached, so that the attempt never runs.
     void recordNotRun(const std::string &attempt);
-    /// The endpoint's whole answer has arrived.
+    /// Records the endpoint's complete answer.
     void recordAnswer(const std::string &attempt, std::int32_t status, std::string body);
-    /// The endpoint may have acted, but its answer is lost.
+    /// Records that the endpoint may have run the attempt but that its answer was lost.
     void recordLostAnswer(const std::string &attempt);
-    /// The entry no longer wants the call. One that has begun goes on; any other is barred.
+    /// Cancels an attempt. One that has begun keeps running; any other never runs.
     void cancel(const AttemptTag &tag);
-    /// What became of an attempt; one that never arrived is barred from now on.
+    /// Returns the outcome of an attempt. One that has not arrived yet is tombstoned and never runs.
     Protocol::OutcomeAnswer outcome(const AttemptTag &tag);
 
     std::size_t rememberedAttempts() const;
@@ -83,7 +85,7 @@
         Waiting,
         Begun,
         Finished,
-        AnswerLost, ///< Also a finished one whose answer was dropped.
+        AnswerLost, ///< Also a finished attempt whose answer was evicted.
         Tombstoned,
     };
 
@@ -93,7 +95,7 @@
         std::string m_key;
         std::uint64_t m_reportSequence = 0;
         std::int32_t m_status = 0;
-        std::string m_body; ///< Only if Finished.
+        std::string m_body; ///< Empty unless Finished.
     };
 
     Record *find(const std::string &attempt);
@@ -105,12 +107,12 @@
 
     std::string m_incarnation;
     AttemptTrackerLimits m_limits;
-    std::unordered_map<std::string, Record> m_records; ///< By attempt; open ones and those in m_closed.
-    std::unordered_map<std::string, std::string> m_attemptByKey; ///< Attempts that were admitted and not barred or withdrawn.
-    std::deque<std::string> m_closedAttempts; ///< In the order of closing; each closed attempt once.
-    std::deque<std::string> m_attemptsWithAnswer; ///< Attempts with a stored answer, oldest first; may name forgotten ones.
-    std::size_t m_storedAnswerBytes = 0; ///< Sum of the stored bodies; at most m_maximumAnswerBytes after each change.
-    std::optional<std::uint64_t> m_horizon; ///< Highest report number among the forgotten attempts; never goes down.
+    std::unordered_map<std::string, Record> m_records; ///< By attempt; the open attempts and those in m_closedAttempts.
+    std::unordered_map<std::string, std::string> m_attemptByKey; ///< Attempt by key, for admitted attempts that are not tombstoned.
+    std::deque<std::string> m_closedAttempts; ///< In the order in which they were closed; each closed attempt once.
+    std::deque<std::string> m_attemptsWithAnswer; ///< Attempts with a stored answer, oldest first; may contain evicted attempts.
+    std::size_t m_storedAnswerBytes = 0; ///< Total size of the stored bodies; at most m_maximumStoredAnswerBytes after each change.
+    std::optional<std::uint64_t> m_horizon; ///< Highest report sequence number among the evicted attempts; never decreases.
 };
 
 }
--- a/Libraries/LibEndpoint/EngineClient.cpp
+++ b/Libraries/LibEndpoint/EngineClient.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of orders and inquiries.
+/// @file Implementation of EngineClient.
 
 #include "LibEndpoint/EngineClient.h"
 #include "LibEndpoint/EngineMessages.h"
@@ -9,11 +9,11 @@
 
 constexpr std::size_t MaximumStatusBytes = 64 << 10;
 constexpr std::size_t MaximumOrderAnswerBytes = 4096;
-constexpr std::size_t WriteBytes = 64 << 10;
+constexpr std::size_t WriteBlockBytes = 64 << 10;
 constexpr int HttpOk = 200;
 constexpr int HttpNotFound = 404;
 constexpr int HttpConflict = 409;
-constexpr int HttpNoRoom = 507;
+constexpr int HttpInsufficientStorage = 507;
 
 constexpr const char *FenceHeader = "Oriolerail-Fence";
 constexpr const char *AccountHeader = "Oriolerail-Account";
@@ -28,10 +28,10 @@
 }
 
 /**
- * Writes weights and stops when the process stood still in between.
+ * Writes the weights and aborts if the process was paused in between.
  *
- * A paused agent would otherwise complete its order long after a newer plan was carried out by its successor. An engine that
- * did not get the whole body loads nothing.
+ * Otherwise an agent that was paused could complete its order long after its successor has carried out a newer plan. An engine that
+ * does not receive the complete body loads nothing.
  */
 class WeightsWriter
 {
@@ -47,13 +47,13 @@
     {
         Core::Instant last = m_start;
         for (const Weights::ChunkBytes &chunk : m_weights.m_chunks) {
-            for (std::size_t offset = 0; offset < chunk->size(); offset += WriteBytes) {
+            for (std::size_t offset = 0; offset < chunk->size(); offset += WriteBlockBytes) {
                 const Core::Instant now = Core::Clock::now();
                 if (now - last > m_pauseLimit) {
                     return false;
                 }
                 last = now;
-                stream.write(chunk->data() + offset, static_cast<std::streamsize>(std::min(WriteBytes, chunk->size() - offset)));
+                stream.write(chunk->data() + offset, static_cast<std::streamsize>(std::min(WriteBlockBytes, chunk->size() - offset)));
             }
         }
         return stream.good() && Core::Clock::now() - last <= m_pauseLimit;
@@ -62,7 +62,7 @@
 private:
     const Weights::HeldVersion &m_weights;
     const Core::Duration m_pauseLimit;
-    const Core::Instant m_start; ///< Right after the order's fence was checked.
+    const Core::Instant m_start; ///< Time directly after the check of the order's fence.
 };
 
 void addFence(ExchangeRequest &request, const Order &order)
@@ -104,7 +104,7 @@
     return parseStatus(body, m_settings.m_address.toString());
 }
 
-Core::Result<void> EngineClient::load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<AbortHandle> &breaker) const
+Core::Result<void> EngineClient::load(const Order &order, const Weights::HeldVersion &weights, const std::shared_ptr<AbortHandle> &abortHandle) const
 {
     ExchangeRequest request;
     request.m_method = "PUT";
@@ -112,7 +112,8 @@
     request.m_bodyBytes = weights.m_manifest.m_totalBytes;
     request.m_writeBody = WeightsWriter(weights, m_settings.m_pauseLimit);
     addFence(request, order);
-    const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(Exchange::open(m_network, m_settings.m_address, request, m_settings.m_loadTimeout, breaker));
+    const std::unique_ptr<Exchange> exchange =
+        BOOST_OUTCOME_TRYX(Exchange::open(m_network, m_settings.m_address, request, m_settings.m_loadTimeout, abortHandle));
     BOOST_OUTCOME_TRYV(checkOrderAnswer(*exchange, "load weights"));
     const std::string body = BOOST_OUTCOME_TRYX(exchange->readAll(MaximumOrderAnswerBytes));
     const std::string named = BOOST_OUTCOME_TRYX(parseLoadAnswer(body, m_settings.m_address.toString()));
@@ -136,15 +137,15 @@
 }
 
 Core::Result<std::unique_ptr<Exchange>>
-EngineClient::generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<AbortHandle> &breaker) const
+EngineClient::generate(const Protocol::LiveRequest &request, const std::string &contentDigest, const std::shared_ptr<AbortHandle> &abortHandle) const
 {
     std::string body = BOOST_OUTCOME_TRYX(generateBody(request, contentDigest));
     ExchangeRequest exchange = textRequest("POST", "/generate", std::move(body));
     exchange.m_headers.push_back(Header{"Content-Type", "application/json"});
-    return Exchange::open(m_network, m_settings.m_address, exchange, m_settings.m_answerTimeout, breaker);
+    return Exchange::open(m_network, m_settings.m_address, exchange, m_settings.m_answerTimeout, abortHandle);
 }
 
-Core::Result<std::unique_ptr<Exchange>> EngineClient::call(const Protocol::LiveRequest &request, const std::shared_ptr<AbortHandle> &breaker) const
+Core::Result<std::unique_ptr<Exchange>> EngineClient::call(const Protocol::LiveRequest &request, const std::shared_ptr<AbortHandle> &abortHandle) const
 {
     BOOST_OUTCOME_TRYV(checkPath(request.m_path));
     BOOST_OUTCOME_TRYV(checkHeaderText("account", request.m_account));
@@ -156,7 +157,7 @@
     if (!request.m_key.empty()) {
         exchange.m_headers.push_back(Header{KeyHeader, request.m_key});
     }
-    return Exchange::open(m_network, m_settings.m_address, exchange, m_settings.m_answerTimeout, breaker);
+    return Exchange::open(m_network, m_settings.m_address, exchange, m_settings.m_answerTimeout, abortHandle);
 }
 
 Core::Result<void> EngineClient::cancel(const std::string &attempt) const
@@ -182,7 +183,7 @@
         return Core::success();
     case HttpConflict:
         return Core::makeError(Core::ErrorCode::Conflict, step, peer, "the engine has seen a newer order");
-    case HttpNoRoom:
+    case HttpInsufficientStorage:
         return Core::makeError(Core::ErrorCode::Overloaded, step, peer, "the engine has no free slot");
     default:
         return Core::makeError(Core::ErrorCode::Unavailable, step, peer, "status " + std::to_string(exchange.status()));
--- a/Libraries/LibEndpoint/EngineMessages.cpp
+++ b/Libraries/LibEndpoint/EngineMessages.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the engines' JSON.
+/// @file Implementation of the endpoints' JSON messages.
 
 #include "LibEndpoint/EngineMessages.h"
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A state that this release does not know is taken for one in which the weights can't be used.
+/// Treats unknown states as Draining, so that the weights are not used.
 ModelState readState(const std::string &name)
 {
     if (name == "serving") {
--- a/Libraries/LibEndpoint/Exchange.cpp
+++ b/Libraries/LibEndpoint/Exchange.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of exchanges on POCO's HTTP client.
+/// @file Implementation of exchanges with POCO's HTTP client.
 
 #include "LibEndpoint/Exchange.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t PieceBytes = 16 << 10;
+constexpr std::size_t ReadBufferBytes = 16 << 10;
 
 }
 
@@ -33,8 +33,8 @@
         try {
             m_socket->shutdown();
         } catch (const Poco::Exception &exception) {
-            // The endpoint has closed it already, which ends the read as well.
-            VLOG(1) << "break off exchange: " << exception.displayText();
+            // The endpoint has already closed the connection, which ends the read as well.
+            VLOG(1) << "abort exchange: " << exception.displayText();
         }
     }
 }
@@ -68,12 +68,12 @@
                                                        const Core::Address &peer,
                                                        const ExchangeRequest &request,
                                                        Core::Duration timeout,
-                                                       const std::shared_ptr<AbortHandle> &breaker)
+                                                       const std::shared_ptr<AbortHandle> &abortHandle)
 {
     std::unique_ptr<Poco::Net::HTTPClientSession> session = BOOST_OUTCOME_TRYX(Network::dialHttp(network, peer, timeout));
     std::unique_ptr<Exchange> exchange(new Exchange(std::move(session), peer));
     try {
-        breaker->attach(exchange->m_session->socket());
+        abortHandle->attach(exchange->m_session->socket());
         Poco::Net::HTTPRequest head(request.m_method, request.m_path, Poco::Net::HTTPRequest::HTTP_1_1);
         head.setHost(peer.toString());
         head.setKeepAlive(false);
@@ -83,14 +83,14 @@
         }
         std::ostream &out = exchange->m_session->sendRequest(head);
         if (request.m_writeBody && !request.m_writeBody(out)) {
-            breaker->abort();
+            abortHandle->abort();
             return exchange->interruptedError("the request was broken off");
         }
         out.flush();
         exchange->m_stream = &exchange->m_session->receiveResponse(exchange->m_response);
     } catch (const std::exception &exception) {
-        const Poco::Exception *known = dynamic_cast<const Poco::Exception *>(&exception);
-        return exchange->interruptedError(known ? known->displayText() : exception.what());
+        const Poco::Exception *pocoException = dynamic_cast<const Poco::Exception *>(&exception);
+        return exchange->interruptedError(pocoException ? pocoException->displayText() : exception.what());
     }
     return exchange;
 }
@@ -133,11 +133,11 @@
 Core::Result<std::string> Exchange::readAll(std::size_t maximumBytes)
 {
     std::string body;
-    std::string piece(PieceBytes, '\0');
+    std::string buffer(ReadBufferBytes, '\0');
     try {
         while (*m_stream) {
-            m_stream->read(piece.data(), static_cast<std::streamsize>(piece.size()));
-            body.append(piece, 0, static_cast<std::size_t>(m_stream->gcount()));
+            m_stream->read(buffer.data(), static_cast<std::streamsize>(buffer.size()));
+            body.append(buffer, 0, static_cast<std::size_t>(m_stream->gcount()));
             if (body.size() > maximumBytes) {
                 return Core::makeError(
                     Core::ErrorCode::Corrupt, "read endpoint's answer", m_peer.toString(), "it is longer than " + std::to_string(maximumBytes) + " bytes");
@@ -146,7 +146,7 @@
     } catch (const std::exception &exception) {
         return interruptedError(exception.what());
     }
-    // POCO reports a connection that closes early as the plain end of the stream, so the announced length decides.
+    // POCO reports a connection that is closed early as a normal end of the stream, so the length is compared with the announced one.
     const bool lengthKnown = m_response.hasContentLength();
     if (m_stream->bad() || (lengthKnown && static_cast<std::uint64_t>(m_response.getContentLength64()) != body.size())) {
         return interruptedError("the answer is shorter than announced");
--- a/Libraries/LibEndpoint/Exchange.h
+++ b/Libraries/LibEndpoint/Exchange.h
@@ -1,4 +1,4 @@
-/// @file One HTTP request to the local endpoint, whose answer is read as it comes and which another thread can break off.
+/// @file An HTTP request to the local endpoint with a streamed answer, which another thread can abort.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -15,13 +15,13 @@
 
 namespace Endpoint {
 
-/// Lets another thread end the blocking reads of an exchange.
+/// Allows another thread to abort the blocking reads of an exchange.
 class AbortHandle
 {
 public:
-    /// From now on breakOff() ends this connection; if it was called before, the connection ends at once.
+    /// Sets the connection that abort() shuts down. If abort() was called before, the connection is shut down at once.
     void attach(const Poco::Net::StreamSocket &socket);
-    /// Any thread.
+    /// Shuts down the connection. Thread-safe.
     void abort();
     bool isAborted() const;
 
@@ -37,7 +37,7 @@
     std::string m_value;
 };
 
-/// Writes a request's body; false breaks the request off.
+/// Writes the body of a request. Returns false to abort the request.
 using BodyWriter = std::function<bool(std::ostream &stream)>;
 
 struct ExchangeRequest
@@ -49,29 +49,30 @@
     BodyWriter m_writeBody; ///< Empty if there is no body. Must write m_bodyBytes bytes.
 };
 
-/// A request whose body is a text.
+/// Returns a request with a text body.
 ExchangeRequest textRequest(std::string method, std::string path, std::string body);
 
+/// One HTTP request and its answer, which is read as a stream.
 class Exchange
 {
 public:
     /**
-     * Sends a request and waits for the head of the answer.
+     * Sends a request and waits for the header of the answer.
      *
-     * Fails with Unavailable if the endpoint was not reached, so that nothing was done, and with Ambiguous once any byte may have been sent.
-     * Each single wait lasts at most @p timeout.
+     * Fails with Unavailable if the endpoint was not reached, so that it has done nothing, and with Ambiguous if any byte may have been sent.
+     * Each blocking operation waits for at most @p timeout.
      */
     static Core::Result<std::unique_ptr<Exchange>> open(const Network::NetworkSettings &network,
                                                         const Core::Address &peer,
                                                         const ExchangeRequest &request,
                                                         Core::Duration timeout,
-                                                        const std::shared_ptr<AbortHandle> &breaker);
+                                                        const std::shared_ptr<AbortHandle> &abortHandle);
 
     int status() const;
     std::string header(const std::string &name) const;
-    /// The next line, without its end; empty at the end of the answer. Fails with Ambiguous.
+    /// Reads the next line without its line break. Returns no value at the end of the answer. Fails with Ambiguous.
     Core::Result<std::optional<std::string>> readLine(std::size_t maximumBytes);
-    /// The whole rest of the answer. Fails with Ambiguous if it is cut, and with Corrupt if it is longer than @p maximumBytes.
+    /// Reads the rest of the answer. Fails with Ambiguous if it is truncated, and with Corrupt if it is longer than @p maximumBytes.
     Core::Result<std::string> readAll(std::size_t maximumBytes);
 
 private:
--- a/Libraries/LibEndpoint/LiveRelay.cpp
+++ b/Libraries/LibEndpoint/LiveRelay.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the relay.
+/// @file Implementation of LiveRelay.
 
 #include "LibEndpoint/LiveRelay.h"
 #include "LibEndpoint/EngineMessages.h"
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Core::Duration WatchInterval{50};
-constexpr std::size_t MaximumLine = 64 << 10;
+constexpr Core::Duration MonitorInterval{50};
+constexpr std::size_t MaximumLineBytes = 64 << 10;
 constexpr std::size_t PlainFrameBytes = 64 << 10;
-constexpr std::size_t FlushingBeforePrune = 64;
+constexpr std::size_t MaximumFlushingBeforePrune = 64;
 constexpr int HttpOk = 200;
 constexpr int HttpNotFound = 404;
-constexpr int HttpTooMany = 429;
+constexpr int HttpTooManyRequests = 429;
 constexpr int HttpUnavailable = 503;
 constexpr const char *VersionHeader = "Oriolerail-Version";
 
@@ -25,7 +25,7 @@
     return AttemptTag{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
 }
 
-Core::Error refusal(Admission admission, const std::string &peer)
+Core::Error admissionError(Admission admission, const std::string &peer)
 {
     const std::string step = "admit attempt";
     switch (admission) {
@@ -46,8 +46,8 @@
     return Core::makeError(Core::ErrorCode::Cancelled, step, peer, "the attempt was cancelled before it ran");
 }
 
-/// Whether the endpoint was certainly not asked to do anything.
-bool provesNothingDone(const Core::Error &error)
+/// Returns true if @p error guarantees that the endpoint has not run the attempt.
+bool provesNotExecuted(const Core::Error &error)
 {
     return error.m_code != Core::ErrorCode::Ambiguous && error.m_code != Core::ErrorCode::Corrupt && error.m_code != Core::ErrorCode::Internal
         && error.m_code != Core::ErrorCode::Timeout;
@@ -101,8 +101,8 @@
     {
         const std::lock_guard<std::mutex> lock(m_runningMutex);
         m_stopping = true;
-        for (const RunningAttempt &watched : m_runningAttempts) {
-            watched.m_abortHandle->abort();
+        for (const RunningAttempt &attempt : m_runningAttempts) {
+            attempt.m_abortHandle->abort();
         }
     }
     m_runningChanged.notify_all();
@@ -156,7 +156,7 @@
     const std::lock_guard<std::mutex> lock(m_attemptsMutex);
     const Admission admission = m_attempts.admit(tagOf(request));
     if (admission != Admission::Admitted) {
-        return refusal(admission, m_parts.m_self.m_id);
+        return admissionError(admission, m_parts.m_self.m_id);
     }
     return Core::success();
 }
@@ -169,11 +169,12 @@
         call.m_responder.fail(request.error());
         return;
     }
-    const Protocol::OutcomeRequest &question = request.value();
+    const Protocol::OutcomeRequest &outcomeRequest = request.value();
     Protocol::OutcomeAnswer answer;
     {
         const std::lock_guard<std::mutex> lock(m_attemptsMutex);
-        answer = m_attempts.outcome(AttemptTag{question.m_attempt, question.m_key, question.m_agentIncarnation, question.m_agentReport});
+        answer =
+            m_attempts.outcome(AttemptTag{outcomeRequest.m_attempt, outcomeRequest.m_key, outcomeRequest.m_agentIncarnation, outcomeRequest.m_agentReport});
     }
     call.m_responder.reply(Wire::pack(answer));
 }
@@ -186,11 +187,11 @@
         job.m_responder.fail(begun.error());
         return;
     }
-    const std::list<RunningAttempt>::iterator watched = addRunningAttempt(job);
+    const std::list<RunningAttempt>::iterator attempt = addRunningAttempt(job);
     const bool isModel = m_parts.m_client->settings().m_kind == EndpointKind::Model;
     const Core::Result<void> result = isModel ? runModel(job) : runPlain(job);
     finishJob(job, result);
-    removeRunningAttempt(watched);
+    removeRunningAttempt(attempt);
 }
 
 Core::Result<void> LiveRelay::beginAttempt(const Job &job)
@@ -219,10 +220,10 @@
     }
     const std::unique_ptr<Exchange> exchange = BOOST_OUTCOME_TRYX(m_parts.m_client->generate(job.m_request, *contentDigest, job.m_abortHandle));
     if (exchange->status() != HttpOk) {
-        const bool isFull = exchange->status() == HttpUnavailable || exchange->status() == HttpTooMany;
-        const Core::ErrorCode missingOr = exchange->status() == HttpNotFound ? Core::ErrorCode::NotFound : Core::ErrorCode::Ambiguous;
+        const bool isFull = exchange->status() == HttpUnavailable || exchange->status() == HttpTooManyRequests;
+        const Core::ErrorCode otherCode = exchange->status() == HttpNotFound ? Core::ErrorCode::NotFound : Core::ErrorCode::Ambiguous;
         const std::string detail = "status " + std::to_string(exchange->status());
-        return Core::makeError(isFull ? Core::ErrorCode::Overloaded : missingOr, "generate", m_parts.m_self.m_id, detail);
+        return Core::makeError(isFull ? Core::ErrorCode::Overloaded : otherCode, "generate", m_parts.m_self.m_id, detail);
     }
     if (exchange->header(VersionHeader) != *contentDigest) {
         m_parts.m_host->onVersionMismatch(*contentDigest);
@@ -237,21 +238,21 @@
 {
     const Core::Instant start = Core::Clock::now();
     AnswerFramer framer(job.m_request.m_attempt, job.m_request.m_digest, HttpOk);
-    std::string whole;
+    std::string completeAnswer;
     std::uint64_t tokens = 0;
     while (true) {
-        const std::optional<std::string> text = BOOST_OUTCOME_TRYX(exchange.readLine(MaximumLine));
+        const std::optional<std::string> text = BOOST_OUTCOME_TRYX(exchange.readLine(MaximumLineBytes));
         if (!text) {
             return Core::makeError(Core::ErrorCode::Ambiguous, "generate", m_parts.m_self.m_id, "the engine cut its answer");
         }
         const EngineLine line = BOOST_OUTCOME_TRYX(parseEngineLine(*text, m_parts.m_self.m_id));
         if (line.m_isEnd) {
-            const bool otherVersion = !line.m_contentDigest.empty() && line.m_contentDigest != contentDigest;
-            if (otherVersion) {
+            const bool isOtherVersion = !line.m_contentDigest.empty() && line.m_contentDigest != contentDigest;
+            if (isOtherVersion) {
                 m_parts.m_host->onVersionMismatch(contentDigest);
                 m_versionMismatches.add();
             }
-            if (otherVersion || line.m_tokens != tokens) {
+            if (isOtherVersion || line.m_tokens != tokens) {
                 return Core::makeError(Core::ErrorCode::Corrupt, "generate", m_parts.m_self.m_id, "the end of the answer does not match the rest");
             }
             break;
@@ -260,13 +261,13 @@
             m_firstFrameLatency.record(Core::secondsBetween(start, Core::Clock::now()));
         }
         if (!job.m_request.m_repeatable) {
-            whole += line.m_token;
+            completeAnswer += line.m_token;
         }
         BOOST_OUTCOME_TRYV(sendFrame(job, framer.dataFrame(line.m_token, load())));
     }
     if (!job.m_request.m_repeatable) {
         const std::lock_guard<std::mutex> lock(m_attemptsMutex);
-        m_attempts.recordAnswer(job.m_request.m_attempt, HttpOk, std::move(whole));
+        m_attempts.recordAnswer(job.m_request.m_attempt, HttpOk, std::move(completeAnswer));
     }
     return sendFrame(job, framer.endFrame(load()));
 }
@@ -305,7 +306,7 @@
     }
     if (!job.m_request.m_repeatable) {
         const std::lock_guard<std::mutex> lock(m_attemptsMutex);
-        if (provesNothingDone(result.error())) {
+        if (provesNotExecuted(result.error())) {
             m_attempts.recordNotRun(job.m_request.m_attempt);
         } else {
             m_attempts.recordLostAnswer(job.m_request.m_attempt);
@@ -320,14 +321,14 @@
 
 void LiveRelay::cancelAtEngine(const Job &job)
 {
-    const bool mayStillRun = m_parts.m_client->settings().m_kind == EndpointKind::Model && job.m_request.m_repeatable
+    const bool mayStillBeRunning = m_parts.m_client->settings().m_kind == EndpointKind::Model && job.m_request.m_repeatable
         && (job.m_abortHandle->isAborted() || job.m_responder.isCancelled());
-    if (!mayStillRun) {
+    if (!mayStillBeRunning) {
         return;
     }
     const Core::Result<void> cancelled = m_parts.m_client->cancel(job.m_request.m_attempt);
     if (!cancelled) {
-        // The engine only wastes work; the answer has no way to the caller any more.
+        // Not an error: the engine only wastes work, because the answer can no longer reach the caller.
         VLOG(1) << cancelled.error();
     }
 }
@@ -341,13 +342,13 @@
             continue;
         }
         const Core::Instant now = Core::Clock::now();
-        for (const RunningAttempt &watched : m_runningAttempts) {
-            const bool late = watched.m_deadline && now >= *watched.m_deadline;
-            if (watched.m_repeatable && (late || watched.m_responder.isCancelled())) {
-                watched.m_abortHandle->abort();
+        for (const RunningAttempt &attempt : m_runningAttempts) {
+            const bool isLate = attempt.m_deadline && now >= *attempt.m_deadline;
+            if (attempt.m_repeatable && (isLate || attempt.m_responder.isCancelled())) {
+                attempt.m_abortHandle->abort();
             }
         }
-        m_runningChanged.wait_for(lock, WatchInterval, [this] { return m_stopping; });
+        m_runningChanged.wait_for(lock, MonitorInterval, [this] { return m_stopping; });
     }
 }
 
@@ -362,12 +363,12 @@
     return std::prev(m_runningAttempts.end());
 }
 
-void LiveRelay::removeRunningAttempt(std::list<RunningAttempt>::iterator watched)
+void LiveRelay::removeRunningAttempt(std::list<RunningAttempt>::iterator attempt)
 {
     const std::lock_guard<std::mutex> lock(m_runningMutex);
-    m_flushingResponders.push_back(watched->m_responder);
-    m_runningAttempts.erase(watched);
-    if (m_flushingResponders.size() > FlushingBeforePrune) {
+    m_flushingResponders.push_back(attempt->m_responder);
+    m_runningAttempts.erase(attempt);
+    if (m_flushingResponders.size() > MaximumFlushingBeforePrune) {
         std::erase_if(m_flushingResponders, [](const Wire::Responder &responder) { return responder.isCancelled(); });
     }
 }
--- a/Libraries/LibEndpoint/LiveRelay.h
+++ b/Libraries/LibEndpoint/LiveRelay.h
@@ -1,4 +1,4 @@
-/// @file Relays callers' requests to the local endpoint and its answers back to the entries.
+/// @file Relays callers' requests to the local endpoint and the answers back to the entries.
 #pragma once
 
 #include "LibEndpoint/AnswerFramer.h"
@@ -21,19 +21,19 @@
 
 namespace Endpoint {
 
-/// What the relay asks and tells the rest of the agent. Thread-safe.
+/// Interface from the relay to the rest of the agent. Thread-safe.
 class RelayHost
 {
 public:
     virtual ~RelayHost() = default;
 
-    /// Content digest of the weights with this manifest digest, if the engine serves them now.
+    /// Returns the content digest of the weights with this manifest digest if the engine currently serves them.
     virtual std::optional<std::string> servedContentDigest(const std::string &manifestDigest) const = 0;
-    /// Requests that the endpoint runs at once.
+    /// Number of requests that the endpoint can run at a time.
     virtual std::uint32_t capacity() const = 0;
-    /// The engine answered for these weights under another version.
+    /// Called when the engine reported another version in an answer for these weights.
     virtual void onVersionMismatch(const std::string &contentDigest) = 0;
-    /// Bytes that live traffic took of the instance's link.
+    /// Called with the number of bytes that live traffic has used on the instance's link.
     virtual void onLiveBytes(std::uint64_t bytes) = 0;
 };
 
@@ -41,14 +41,14 @@
 {
     PoolLimits m_pool;
     AttemptTrackerLimits m_attemptLimits;
-    std::size_t m_maximumBytesPerAnswer = 8 << 20; ///< Of a plain service.
+    std::size_t m_maximumBytesPerAnswer = 8 << 20; ///< Maximum size of a plain service's answer.
 
     bool operator==(const RelaySettings &other) const;
 };
 
 RelaySettings readRelaySettings(Settings::Reader &reader);
 
-/// What a relay is made of. Client, host and metrics must outlive it.
+/// Dependencies of a relay. Client, host and metrics must outlive it.
 struct RelayParts
 {
     RelaySettings m_settings;
@@ -61,8 +61,8 @@
 /**
  * Runs attempts on a bounded pool of threads.
  *
- * An attempt that may be repeated is stopped at the engine when its entry no longer waits; one that may not runs to its end, and its
- * answer is kept for the entry's question.
+ * A repeatable attempt is stopped at the engine when its entry no longer waits for it. An attempt that must not be repeated runs to its end,
+ * and its answer is stored so that the entry can request its outcome.
  */
 class LiveRelay
 {
@@ -74,7 +74,7 @@
     LiveRelay &operator=(const LiveRelay &) = delete;
 
     void start();
-    /// Breaks off what still runs and joins the threads.
+    /// Aborts running attempts and joins the threads.
     void stop();
 
     /// Handler of live.call; does not block.
@@ -82,12 +82,12 @@
     /// Handler of live.outcome; does not block.
     void onOutcomeRequest(const Wire::IncomingCall &call);
 
-    /// From now on new calls are refused; running ones go on.
+    /// Refuses new calls from now on. Running calls continue.
     void startLeaving();
-    /// Nothing waits or runs, and every answer has left.
+    /// Returns true if no attempt is queued or running and every answer has been sent.
     bool isDrained() const;
 
-    /// Attempts that wait or run here now.
+    /// Number of attempts that are queued or running, and the endpoint's capacity.
     Protocol::EndpointLoad load() const;
     Poco::JSON::Object::Ptr dump() const;
 
@@ -100,7 +100,7 @@
         std::shared_ptr<AbortHandle> m_abortHandle;
     };
 
-    /// An attempt at the endpoint that the watch may have to break off.
+    /// An attempt at the endpoint that the monitor thread aborts if it is late or cancelled.
     struct RunningAttempt
     {
         Wire::Responder m_responder;
@@ -120,7 +120,7 @@
     void cancelAtEngine(const Job &job);
     void monitorAttempts();
     std::list<RunningAttempt>::iterator addRunningAttempt(const Job &job);
-    void removeRunningAttempt(std::list<RunningAttempt>::iterator watched);
+    void removeRunningAttempt(std::list<RunningAttempt>::iterator attempt);
 
     const RelayParts m_parts;
     Telemetry::Counter &m_callsFinished;
@@ -139,11 +139,11 @@
     mutable std::mutex m_runningMutex;
     std::condition_variable m_runningChanged;
     std::list<RunningAttempt> m_runningAttempts;
-    std::vector<Wire::Responder> m_flushingResponders; ///< Finished answers that may not have left yet.
+    std::vector<Wire::Responder> m_flushingResponders; ///< Responders of finished answers that may not be sent completely yet.
     bool m_stopping = false;
     std::thread m_monitorThread;
 
-    PriorityPool<Job> m_pool; ///< Last member: its threads use the others.
+    PriorityPool<Job> m_pool; ///< Last member, because its threads use the others.
 };
 
 }
--- a/Libraries/LibEndpoint/OrderDecision.cpp
+++ b/Libraries/LibEndpoint/OrderDecision.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the decision about orders.
+/// @file Implementation of the decisions about orders and attestations.
 
 #include "LibEndpoint/OrderDecision.h"
 
@@ -18,12 +18,12 @@
     return nullptr;
 }
 
-/// The planned weights whose manifests are verified here, in the plan's order.
-std::vector<KnownWeights> plannedAndKnown(const OrderDecisionInput &situation)
+/// Returns the planned weights whose manifests are verified here, in the plan's order.
+std::vector<KnownWeights> plannedKnownWeights(const OrderDecisionInput &input)
 {
     std::vector<KnownWeights> result;
-    for (const std::string &manifest : situation.m_plannedManifests) {
-        for (const KnownWeights &known : situation.m_knownWeights) {
+    for (const std::string &manifest : input.m_plannedManifests) {
+        for (const KnownWeights &known : input.m_knownWeights) {
             if (known.m_manifestDigest == manifest) {
                 result.push_back(known);
             }
@@ -32,9 +32,9 @@
     return result;
 }
 
-bool isPlanned(const OrderDecisionInput &situation, const std::string &contentDigest)
+bool isPlanned(const OrderDecisionInput &input, const std::string &contentDigest)
 {
-    for (const KnownWeights &known : plannedAndKnown(situation)) {
+    for (const KnownWeights &known : plannedKnownWeights(input)) {
         if (known.m_contentDigest == contentDigest) {
             return true;
         }
@@ -42,32 +42,32 @@
     return false;
 }
 
-/// Planned weights whose manifest is not known here may be those that the engine holds, for example after a restart of the agent.
-bool everyPlannedManifestIsKnown(const OrderDecisionInput &situation)
+/// If a planned manifest is not known here, for example after a restart of the agent, any weights in the engine may be the planned ones.
+bool areAllPlannedManifestsKnown(const OrderDecisionInput &input)
 {
-    return plannedAndKnown(situation).size() >= situation.m_plannedManifests.size();
+    return plannedKnownWeights(input).size() >= input.m_plannedManifests.size();
 }
 
-bool plannedVersionServes(const OrderDecisionInput &situation)
+bool isPlannedVersionServing(const OrderDecisionInput &input)
 {
-    for (const KnownWeights &known : plannedAndKnown(situation)) {
-        const EngineModel *model = findModel(situation.m_engine, known.m_contentDigest);
+    for (const KnownWeights &known : plannedKnownWeights(input)) {
+        const EngineModel *model = findModel(input.m_engine, known.m_contentDigest);
         if (model && model->m_state == ModelState::Serving) {
             return true;
         }
     }
-    return situation.m_plannedManifests.empty();
+    return input.m_plannedManifests.empty();
 }
 
-bool hasModelIn(const EngineStatus &engine, ModelState state)
+bool hasModelInState(const EngineStatus &engine, ModelState state)
 {
     return std::any_of(engine.m_models.begin(), engine.m_models.end(), [state](const EngineModel &model) { return model.m_state == state; });
 }
 
-Order unloadOrder(const OrderDecisionInput &situation, const std::string &contentDigest)
+Order unloadOrder(const OrderDecisionInput &input, const std::string &contentDigest)
 {
-    Order order{OrderKind::Unload, "", contentDigest, situation.m_planOffset};
-    for (const KnownWeights &known : situation.m_knownWeights) {
+    Order order{OrderKind::Unload, "", contentDigest, input.m_planOffset};
+    for (const KnownWeights &known : input.m_knownWeights) {
         if (known.m_contentDigest == contentDigest) {
             order.m_manifestDigest = known.m_manifestDigest;
         }
@@ -75,59 +75,59 @@
     return order;
 }
 
-bool waitsAfterFailure(const OrderDecisionInput &situation, const std::string &contentDigest, Core::Instant now)
+bool isBackingOff(const OrderDecisionInput &input, const std::string &contentDigest, Core::Instant now)
 {
-    const std::map<std::string, Core::Instant>::const_iterator it = situation.m_notBefore.find(contentDigest);
-    return it != situation.m_notBefore.end() && now < it->second;
+    const std::map<std::string, Core::Instant>::const_iterator it = input.m_notBefore.find(contentDigest);
+    return it != input.m_notBefore.end() && now < it->second;
 }
 
-std::optional<Order> unloadDistrusted(const OrderDecisionInput &situation, Core::Instant now)
+std::optional<Order> unloadMismatched(const OrderDecisionInput &input, Core::Instant now)
 {
-    for (const EngineModel &model : situation.m_engine.m_models) {
-        const bool isSuspect = situation.m_mismatched.contains(model.m_contentDigest) && model.m_state == ModelState::Serving;
-        if (isSuspect && !waitsAfterFailure(situation, model.m_contentDigest, now)) {
-            return unloadOrder(situation, model.m_contentDigest);
+    for (const EngineModel &model : input.m_engine.m_models) {
+        const bool isMismatched = input.m_mismatched.contains(model.m_contentDigest) && model.m_state == ModelState::Serving;
+        if (isMismatched && !isBackingOff(input, model.m_contentDigest, now)) {
+            return unloadOrder(input, model.m_contentDigest);
         }
     }
     return std::nullopt;
 }
 
-/// The first planned weights that are whole here, absent from the engine and not waiting after a failure.
-std::optional<KnownWeights> nextToLoad(const OrderDecisionInput &situation, Core::Instant now)
+/// Returns the first planned weights that are complete here, not in the engine and not backing off after a failure.
+std::optional<KnownWeights> nextWeightsToLoad(const OrderDecisionInput &input, Core::Instant now)
 {
-    for (const KnownWeights &known : plannedAndKnown(situation)) {
-        const bool mayBeOrdered = known.m_isComplete && !waitsAfterFailure(situation, known.m_contentDigest, now);
-        if (mayBeOrdered && !findModel(situation.m_engine, known.m_contentDigest)) {
+    for (const KnownWeights &known : plannedKnownWeights(input)) {
+        const bool canBeLoaded = known.m_isComplete && !isBackingOff(input, known.m_contentDigest, now);
+        if (canBeLoaded && !findModel(input.m_engine, known.m_contentDigest)) {
             return known;
         }
     }
     return std::nullopt;
 }
 
-/// The oldest weights that the plan leaves out, to make room.
-std::optional<Order> makeRoom(const OrderDecisionInput &situation, Core::Instant now)
+/// Returns an order to unload the oldest weights that are not in the plan, to free a slot.
+std::optional<Order> unloadToFreeSlot(const OrderDecisionInput &input, Core::Instant now)
 {
-    // A model that drains gives its slot back by itself.
-    if (!everyPlannedManifestIsKnown(situation) || hasModelIn(situation.m_engine, ModelState::Draining)) {
+    // A draining model frees its slot without an order.
+    if (!areAllPlannedManifestsKnown(input) || hasModelInState(input.m_engine, ModelState::Draining)) {
         return std::nullopt;
     }
     const EngineModel *victim = nullptr;
-    for (const EngineModel &model : situation.m_engine.m_models) {
-        const bool spare = !isPlanned(situation, model.m_contentDigest) && !waitsAfterFailure(situation, model.m_contentDigest, now);
-        if (spare && (!victim || model.m_fence < victim->m_fence)) {
+    for (const EngineModel &model : input.m_engine.m_models) {
+        const bool isEvictable = !isPlanned(input, model.m_contentDigest) && !isBackingOff(input, model.m_contentDigest, now);
+        if (isEvictable && (!victim || model.m_fence < victim->m_fence)) {
             victim = &model;
         }
     }
-    return victim ? std::optional<Order>(unloadOrder(situation, victim->m_contentDigest)) : std::nullopt;
+    return victim ? std::optional<Order>(unloadOrder(input, victim->m_contentDigest)) : std::nullopt;
 }
 
-std::optional<Order> unloadRetired(const OrderDecisionInput &situation, Core::Instant now)
+std::optional<Order> unloadRetired(const OrderDecisionInput &input, Core::Instant now)
 {
-    for (const EngineModel &model : situation.m_engine.m_models) {
-        const RetirementTimes::const_iterator it = situation.m_retirementTimes.find(model.m_contentDigest);
-        const bool retired = it != situation.m_retirementTimes.end() && now - it->second >= situation.m_retirementGrace;
-        if (retired && !waitsAfterFailure(situation, model.m_contentDigest, now)) {
-            return unloadOrder(situation, model.m_contentDigest);
+    for (const EngineModel &model : input.m_engine.m_models) {
+        const RetirementTimes::const_iterator it = input.m_retirementTimes.find(model.m_contentDigest);
+        const bool isRetired = it != input.m_retirementTimes.end() && now - it->second >= input.m_retirementGrace;
+        if (isRetired && !isBackingOff(input, model.m_contentDigest, now)) {
+            return unloadOrder(input, model.m_contentDigest);
         }
     }
     return std::nullopt;
@@ -149,46 +149,46 @@
     return result;
 }
 
-RetirementTimes retirementTimes(const OrderDecisionInput &situation, Core::Instant now)
+RetirementTimes retirementTimes(const OrderDecisionInput &input, Core::Instant now)
 {
     RetirementTimes result;
-    const bool planKnown = situation.m_planOffset != 0 && situation.m_engine.m_reachable;
-    if (!planKnown || !everyPlannedManifestIsKnown(situation) || !plannedVersionServes(situation)) {
+    const bool isStateKnown = input.m_planOffset != 0 && input.m_engine.m_reachable;
+    if (!isStateKnown || !areAllPlannedManifestsKnown(input) || !isPlannedVersionServing(input)) {
         return result;
     }
-    for (const EngineModel &model : situation.m_engine.m_models) {
-        if (isPlanned(situation, model.m_contentDigest) || model.m_state != ModelState::Serving) {
+    for (const EngineModel &model : input.m_engine.m_models) {
+        if (isPlanned(input, model.m_contentDigest) || model.m_state != ModelState::Serving) {
             continue;
         }
-        const RetirementTimes::const_iterator known = situation.m_retirementTimes.find(model.m_contentDigest);
-        result[model.m_contentDigest] = known == situation.m_retirementTimes.end() ? now : known->second;
+        const RetirementTimes::const_iterator previous = input.m_retirementTimes.find(model.m_contentDigest);
+        result[model.m_contentDigest] = previous == input.m_retirementTimes.end() ? now : previous->second;
     }
     return result;
 }
 
-std::optional<Order> decideOrder(const OrderDecisionInput &situation, Core::Instant now)
+std::optional<Order> decideOrder(const OrderDecisionInput &input, Core::Instant now)
 {
-    if (situation.m_planOffset == 0 || !situation.m_engine.m_reachable || hasModelIn(situation.m_engine, ModelState::Loading)) {
+    if (input.m_planOffset == 0 || !input.m_engine.m_reachable || hasModelInState(input.m_engine, ModelState::Loading)) {
         return std::nullopt;
     }
-    if (const std::optional<Order> unload = unloadDistrusted(situation, now)) {
+    if (const std::optional<Order> unload = unloadMismatched(input, now)) {
         return unload;
     }
-    if (const std::optional<KnownWeights> next = nextToLoad(situation, now)) {
-        if (situation.m_engine.m_models.size() < situation.m_slots) {
-            return Order{OrderKind::Load, next->m_manifestDigest, next->m_contentDigest, situation.m_planOffset};
+    if (const std::optional<KnownWeights> next = nextWeightsToLoad(input, now)) {
+        if (input.m_engine.m_models.size() < input.m_slots) {
+            return Order{OrderKind::Load, next->m_manifestDigest, next->m_contentDigest, input.m_planOffset};
         }
-        if (const std::optional<Order> room = makeRoom(situation, now)) {
-            return room;
+        if (const std::optional<Order> unload = unloadToFreeSlot(input, now)) {
+            return unload;
         }
     }
-    return unloadRetired(situation, now);
+    return unloadRetired(input, now);
 }
 
 std::vector<Protocol::Attestation> attestationsOf(const EngineStatus &engine,
                                                   const std::vector<KnownWeights> &known,
                                                   const std::set<std::string> &withdrawn,
-                                                  const std::map<std::string, Control::Offset> &loadedUnder)
+                                                  const std::map<std::string, Control::Offset> &loadPlanOffsets)
 {
     std::vector<Protocol::Attestation> result;
     if (!engine.m_reachable) {
@@ -199,8 +199,8 @@
         if (!model || model->m_state != ModelState::Serving || withdrawn.contains(weights.m_contentDigest)) {
             continue;
         }
-        const std::map<std::string, Control::Offset>::const_iterator ordered = loadedUnder.find(weights.m_contentDigest);
-        const Control::Offset fence = ordered == loadedUnder.end() ? model->m_fence : ordered->second;
+        const std::map<std::string, Control::Offset>::const_iterator loaded = loadPlanOffsets.find(weights.m_contentDigest);
+        const Control::Offset fence = loaded == loadPlanOffsets.end() ? model->m_fence : loaded->second;
         result.push_back(Protocol::Attestation{weights.m_manifestDigest, fence});
     }
     return result;
--- a/Libraries/LibEndpoint/OrderFence.cpp
+++ b/Libraries/LibEndpoint/OrderFence.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the fencing of orders.
+/// @file Implementation of order fencing.
 
 #include "LibEndpoint/OrderFence.h"
 
@@ -15,13 +15,13 @@
     return fence;
 }
 
-OrderFence withAnswer(OrderFence fence, Control::Offset newest, Core::Instant askedAt)
+OrderFence withAnswer(OrderFence fence, Control::Offset newest, Core::Instant requestedAt)
 {
     if (newest < fence.m_highestPlanOffset) {
         return fence;
     }
     fence.m_highestPlanOffset = newest;
-    fence.m_confirmationRequestedAt = askedAt;
+    fence.m_confirmationRequestedAt = requestedAt;
     return fence;
 }
 
--- a/Libraries/LibEndpoint/OrderFence.h
+++ b/Libraries/LibEndpoint/OrderFence.h
@@ -1,4 +1,4 @@
-/// @file Fencing of the orders to the local engine: old plans and paused agents must not steer it. Pure.
+/// @file Fencing of orders to the local engine, so that old plans and agents resumed after a pause do not control it. Pure.
 #pragma once
 
 #include "LibControl/Model.h"
@@ -10,34 +10,35 @@
 namespace Endpoint {
 
 /**
- * What the agent knows about the newest plan of its service.
+ * The agent's known state of the newest plan of its service.
  *
- * An agent that was paused or restarted may hold a plan that was replaced meanwhile. Its late order would bring back a version
- * that operators have withdrawn, and an engine that does not check fencing numbers would obey. Therefore every order
- * needs an entry's answer that no newer plan exists, and the answer must be young when the order goes out.
+ * An agent that was paused or restarted may hold a plan that has been replaced in the meantime. Its late order would restore a version
+ * that operators have withdrawn, and an engine that does not check fencing numbers would accept it. Therefore every order requires
+ * an entry's confirmation that no newer plan exists, and the confirmation must be recent when the order is sent.
  */
 struct OrderFence
 {
-    Control::Offset m_highestPlanOffset = 0; ///< Highest plan offset seen in this life; never goes down.
-    std::optional<Core::Instant> m_confirmationRequestedAt; ///< When the inquiry left whose answer confirmed m_highest; empty once it was used for an order.
+    Control::Offset m_highestPlanOffset = 0; ///< Highest plan offset seen by this process; never decreases.
+    std::optional<Core::Instant> m_confirmationRequestedAt; ///< Send time of the request that confirmed m_highestPlanOffset; empty after use for an order.
 
     bool operator==(const OrderFence &) const = default;
 };
 
-/// Notes a plan offset that was seen in the state feed; it confirms nothing.
+/// Records a plan offset from the state feed. This is not a confirmation.
 OrderFence withSeenOffset(OrderFence fence, Control::Offset offset);
 
 /**
- * Notes an entry's answer to an inquiry that left at @p askedAt.
+ * Records an entry's answer to a request that was sent at @p requestedAt.
  *
- * An entry that knows of less than this agent is behind and cannot tell whether something newer exists; its answer confirms nothing.
+ * An entry that only knows an older plan than this agent is behind and cannot rule out a newer one, so its answer is not a confirmation.
  */
-OrderFence withAnswer(OrderFence fence, Control::Offset newest, Core::Instant askedAt);
+OrderFence withAnswer(OrderFence fence, Control::Offset newest, Core::Instant requestedAt);
 
-/// Whether an order with @p orderFence may go out now. Fails with Conflict if it is old, and with Unavailable if that is not known.
+/// Checks that an order with @p orderFence may be sent now.
+/// Fails with Conflict if its plan was replaced, and with Unavailable if there is no recent confirmation.
 Core::Result<void> checkOrder(const OrderFence &fence, Control::Offset orderFence, Core::Instant now, Core::Duration maximumAge);
 
-/// After an order the next one needs an answer of its own.
+/// Discards the confirmation after an order. The next order needs a new one.
 OrderFence withConfirmationUsed(OrderFence fence);
 
 }
--- a/Libraries/LibEndpoint/OrderWorker.cpp
+++ b/Libraries/LibEndpoint/OrderWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the order duty.
+/// @file Implementation of OrderWorker.
 
 #include "LibEndpoint/OrderWorker.h"
 
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Core::Duration IdleWait{1000};
-constexpr Core::Duration DistrustPause{30000};
-constexpr int MaximumDoublings = 5;
+constexpr Core::Duration MismatchRetryDelay{30000};
+constexpr int MaximumBackoffDoublings = 5;
 
 std::string kindName(OrderKind kind)
 {
@@ -54,49 +54,49 @@
     std::uint64_t seen = 0;
     while (!m_parts.m_state->isClosed()) {
         const std::uint64_t version = m_parts.m_state->version();
-        const bool done = step(Core::Clock::now());
-        if (done) {
+        const bool isDone = step(Core::Clock::now());
+        if (isDone) {
             continue;
         }
-        // A failed order makes no change of its own that would wake this duty, so the wait also bounds the pause before the next try.
+        // A failed order changes no state that would wake this thread, so the wait limit also bounds the delay before the retry.
         seen = version;
         m_parts.m_state->waitForChange(seen, IdleWait);
     }
 }
 
-OrderDecisionInput OrderWorker::decisionInput(const KnownState &facts, Core::Instant now)
+OrderDecisionInput OrderWorker::decisionInput(const KnownState &state, Core::Instant now)
 {
-    OrderDecisionInput situation;
-    situation.m_planOffset = facts.m_planOffset;
-    situation.m_plannedManifests = facts.m_plannedManifests;
-    situation.m_knownWeights = facts.m_knownWeights;
-    situation.m_engine = facts.m_engine;
-    situation.m_slots = m_parts.m_client->settings().m_slots;
-    situation.m_mismatched = facts.m_mismatched;
-    situation.m_retirementGrace = m_parts.m_settings.m_retirementGrace;
+    OrderDecisionInput input;
+    input.m_planOffset = state.m_planOffset;
+    input.m_plannedManifests = state.m_plannedManifests;
+    input.m_knownWeights = state.m_knownWeights;
+    input.m_engine = state.m_engine;
+    input.m_slots = m_parts.m_client->settings().m_slots;
+    input.m_mismatched = state.m_mismatched;
+    input.m_retirementGrace = m_parts.m_settings.m_retirementGrace;
     const std::lock_guard<std::mutex> lock(m_mutex);
-    clearFailuresOfOldPlan(facts.m_planOffset);
-    m_fence = withSeenOffset(m_fence, facts.m_planOffset);
-    situation.m_notBefore = m_notBefore;
-    situation.m_retirementTimes = m_retirementTimes;
-    m_retirementTimes = retirementTimes(situation, now);
-    situation.m_retirementTimes = m_retirementTimes;
-    return situation;
+    clearFailuresOfOldPlan(state.m_planOffset);
+    m_fence = withSeenOffset(m_fence, state.m_planOffset);
+    input.m_notBefore = m_notBefore;
+    input.m_retirementTimes = m_retirementTimes;
+    m_retirementTimes = retirementTimes(input, now);
+    input.m_retirementTimes = m_retirementTimes;
+    return input;
 }
 
 bool OrderWorker::step(Core::Instant now)
 {
-    const KnownState facts = m_parts.m_state->knownState();
-    if (facts.m_leaving) {
+    const KnownState state = m_parts.m_state->knownState();
+    if (state.m_leaving) {
         return false;
     }
-    releaseUnneededWeights(facts);
-    const std::optional<Order> order = decideOrder(decisionInput(facts, now), now);
+    releaseUnneededWeights(state);
+    const std::optional<Order> order = decideOrder(decisionInput(state, now), now);
     if (!order) {
         return false;
     }
     const Core::Result<void> result = execute(*order);
-    recordResult(*order, result, facts.m_mismatched.contains(order->m_contentDigest));
+    recordResult(*order, result, state.m_mismatched.contains(order->m_contentDigest));
     m_parts.m_host->refreshStatus();
     return result.has_value();
 }
@@ -111,10 +111,10 @@
 
 Core::Result<void> OrderWorker::confirmFence(const Order &order)
 {
-    const Core::Instant askedAt = Core::Clock::now();
+    const Core::Instant requestedAt = Core::Clock::now();
     const Control::Offset newest = BOOST_OUTCOME_TRYX(m_parts.m_host->newestPlanOffset());
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_fence = withAnswer(m_fence, newest, askedAt);
+    m_fence = withAnswer(m_fence, newest, requestedAt);
     const Core::Result<void> checked = checkOrder(m_fence, order.m_fence, Core::Clock::now(), m_parts.m_settings.m_maximumFenceAge);
     m_fence = withConfirmationUsed(m_fence);
     if (!checked) {
@@ -142,31 +142,31 @@
     BOOST_OUTCOME_TRYV(confirmFence(order));
     LOG(INFO) << "load " << order.m_manifestDigest << " under plan " << order.m_fence;
     BOOST_OUTCOME_TRYV(m_parts.m_client->load(order, *weights, newAbortHandle()));
-    m_parts.m_state->update([&order](KnownState &facts) {
-        facts.m_loadPlanOffsets[order.m_contentDigest] = order.m_fence;
-        facts.m_mismatched.erase(order.m_contentDigest);
-        facts.m_withdrawn.erase(order.m_contentDigest);
+    m_parts.m_state->update([&order](KnownState &state) {
+        state.m_loadPlanOffsets[order.m_contentDigest] = order.m_fence;
+        state.m_mismatched.erase(order.m_contentDigest);
+        state.m_withdrawn.erase(order.m_contentDigest);
     });
     return Core::success();
 }
 
 Core::Result<void> OrderWorker::unload(const Order &order)
 {
-    // Entries would go on sending calls to weights that vanish; they learn first, and calls under way find them still there.
-    m_parts.m_state->update([&order](KnownState &facts) { facts.m_withdrawn.insert(order.m_contentDigest); });
+    // The report withdraws the weights before they are unloaded, so that entries stop sending calls and calls already on their way are still served.
+    m_parts.m_state->update([&order](KnownState &state) { state.m_withdrawn.insert(order.m_contentDigest); });
     std::this_thread::sleep_for(m_parts.m_settings.m_withdrawNotice);
     Core::Result<void> result = confirmFence(order);
     if (result) {
         LOG(INFO) << "unload " << order.m_contentDigest << " under plan " << order.m_fence;
         result = m_parts.m_client->unload(order);
     }
-    const bool done = result.has_value();
-    m_parts.m_state->update([&order, done](KnownState &facts) {
-        facts.m_withdrawn.erase(order.m_contentDigest);
-        if (done) {
-            facts.m_loadPlanOffsets.erase(order.m_contentDigest);
-            facts.m_mismatched.erase(order.m_contentDigest);
-            std::erase_if(facts.m_engine.m_models, [&order](const EngineModel &model) { return model.m_contentDigest == order.m_contentDigest; });
+    const bool isDone = result.has_value();
+    m_parts.m_state->update([&order, isDone](KnownState &state) {
+        state.m_withdrawn.erase(order.m_contentDigest);
+        if (isDone) {
+            state.m_loadPlanOffsets.erase(order.m_contentDigest);
+            state.m_mismatched.erase(order.m_contentDigest);
+            std::erase_if(state.m_engine.m_models, [&order](const EngineModel &model) { return model.m_contentDigest == order.m_contentDigest; });
         }
     });
     return result;
@@ -181,7 +181,7 @@
     }
 }
 
-void OrderWorker::recordResult(const Order &order, const Core::Result<void> &result, bool wasDistrusted)
+void OrderWorker::recordResult(const Order &order, const Core::Result<void> &result, bool wasMismatched)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     const Core::Instant now = Core::Clock::now();
@@ -189,13 +189,13 @@
         m_ordersDone.add();
         m_failures.erase(order.m_contentDigest);
         m_lastError.clear();
-        // An engine may list weights a while after it was told to unload them. One that answered under another version is not tried again at once.
+        // An engine may still list weights for a while after an unload. Weights for which it reported another version are not loaded again at once.
         const Core::Duration pause = order.m_kind == OrderKind::Load ? Core::Duration(0) : m_parts.m_settings.m_orderRetryDelay;
-        m_notBefore[order.m_contentDigest] = now + (wasDistrusted ? DistrustPause : pause);
+        m_notBefore[order.m_contentDigest] = now + (wasMismatched ? MismatchRetryDelay : pause);
         return;
     }
     m_ordersFailed.add();
-    const int doublings = std::min(m_failures[order.m_contentDigest]++, MaximumDoublings);
+    const int doublings = std::min(m_failures[order.m_contentDigest]++, MaximumBackoffDoublings);
     m_notBefore[order.m_contentDigest] = now + m_parts.m_settings.m_orderRetryDelay * (1 << doublings);
     const std::string error = kindName(order.m_kind) + ": " + result.error().message();
     if (error != m_lastError) {
@@ -204,20 +204,20 @@
     }
 }
 
-void OrderWorker::releaseUnneededWeights(const KnownState &facts)
+void OrderWorker::releaseUnneededWeights(const KnownState &state)
 {
-    if (facts.m_planOffset == 0 || !facts.m_engine.m_reachable) {
+    if (state.m_planOffset == 0 || !state.m_engine.m_reachable) {
         return;
     }
-    const std::set<std::string> planned(facts.m_plannedManifests.begin(), facts.m_plannedManifests.end());
-    for (const KnownWeights &held : facts.m_knownWeights) {
+    const std::set<std::string> planned(state.m_plannedManifests.begin(), state.m_plannedManifests.end());
+    for (const KnownWeights &held : state.m_knownWeights) {
         if (!held.m_isComplete) {
             continue;
         }
-        const bool loaded = std::any_of(facts.m_engine.m_models.begin(), facts.m_engine.m_models.end(), [&held](const EngineModel &model) {
+        const bool isLoaded = std::any_of(state.m_engine.m_models.begin(), state.m_engine.m_models.end(), [&held](const EngineModel &model) {
             return model.m_contentDigest == held.m_contentDigest;
         });
-        if (!loaded && !planned.contains(held.m_manifestDigest)) {
+        if (!isLoaded && !planned.contains(held.m_manifestDigest)) {
             m_parts.m_host->releaseWeights(held.m_manifestDigest);
         }
     }
--- a/Libraries/LibEndpoint/OrderWorker.h
+++ b/Libraries/LibEndpoint/OrderWorker.h
@@ -1,4 +1,4 @@
-/// @file The duty that orders the local engine. It is the only path to it.
+/// @file The worker that sends orders to the local engine. No other code sends orders.
 #pragma once
 
 #include "LibEndpoint/AgentSettings.h"
@@ -15,23 +15,23 @@
 
 namespace Endpoint {
 
-/// What the order duty asks of others. Thread-safe.
+/// Interface from the order worker to the rest of the agent. Thread-safe.
 class OrderHost
 {
 public:
     virtual ~OrderHost() = default;
 
-    /// The newest plan offset of this agent's service as an entry knows it now. Fails if no entry can tell.
+    /// Requests the newest plan offset of this agent's service from an entry. Fails if no entry can answer.
     virtual Core::Result<Control::Offset> newestPlanOffset() = 0;
-    /// Whole weights by manifest digest, or null.
+    /// Returns the complete weights with this manifest digest, or null.
     virtual std::shared_ptr<const Weights::HeldVersion> heldWeights(const std::string &manifestDigest) = 0;
-    /// The weights are no longer needed for an order.
+    /// Releases weights that no order needs any more.
     virtual void releaseWeights(const std::string &manifestDigest) = 0;
-    /// Asks for the engine's status now.
+    /// Requests the engine's status immediately.
     virtual void refreshStatus() = 0;
 };
 
-/// What an order duty is made of. Everything pointed to must outlive it.
+/// Dependencies of an order worker. All objects pointed to must outlive it.
 struct OrderParts
 {
     WorkerSettings m_settings;
@@ -41,7 +41,7 @@
     Telemetry::Metrics *m_metrics = nullptr;
 };
 
-/// Decides and carries out one order at a time.
+/// Decides and executes one order at a time.
 class OrderWorker
 {
 public:
@@ -52,38 +52,38 @@
     OrderWorker &operator=(const OrderWorker &) = delete;
 
     void start();
-    /// Breaks off a load that is under way and joins the thread. The state must have been closed before.
+    /// Aborts a load in progress and joins the thread. The state must be closed before.
     void stop();
 
-    /// Decides and carries out the next order; false if there was none or it failed. Used by the duty's own thread, and by tests.
+    /// Decides and executes the next order. Returns false if there was none or it failed. Called by the worker's thread and by tests.
     bool step(Core::Instant now);
 
     Poco::JSON::Object::Ptr dump() const;
 
 private:
     void run();
-    OrderDecisionInput decisionInput(const KnownState &facts, Core::Instant now);
+    OrderDecisionInput decisionInput(const KnownState &state, Core::Instant now);
     Core::Result<void> execute(const Order &order);
     Core::Result<void> confirmFence(const Order &order);
     std::shared_ptr<AbortHandle> newAbortHandle();
     Core::Result<void> load(const Order &order);
     Core::Result<void> unload(const Order &order);
-    void recordResult(const Order &order, const Core::Result<void> &result, bool wasDistrusted);
+    void recordResult(const Order &order, const Core::Result<void> &result, bool wasMismatched);
     void clearFailuresOfOldPlan(Control::Offset planOffset);
-    void releaseUnneededWeights(const KnownState &facts);
+    void releaseUnneededWeights(const KnownState &state);
 
     const OrderParts m_parts;
     Telemetry::Counter &m_ordersDone;
     Telemetry::Counter &m_ordersFailed;
     Telemetry::Counter &m_ordersFenced;
-    mutable std::mutex m_mutex; ///< Guards the members below against dump().
+    mutable std::mutex m_mutex; ///< Protects the members below from concurrent access by dump().
     OrderFence m_fence;
     RetirementTimes m_retirementTimes;
-    std::map<std::string, Core::Instant> m_notBefore; ///< By content digest; emptied by a new plan.
-    std::map<std::string, int> m_failures; ///< Failed orders in a row, by content digest; emptied by a new plan.
-    Control::Offset m_planOffset = 0; ///< Of the plan that the two above belong to.
+    std::map<std::string, Core::Instant> m_notBefore; ///< Earliest next order, by content digest; cleared by a new plan.
+    std::map<std::string, int> m_failures; ///< Consecutive failed orders, by content digest; cleared by a new plan.
+    Control::Offset m_planOffset = 0; ///< Offset of the plan that m_notBefore and m_failures belong to.
     std::string m_lastError;
-    std::shared_ptr<AbortHandle> m_abortHandle; ///< Of the load that is under way, or of the last one.
+    std::shared_ptr<AbortHandle> m_abortHandle; ///< Handle of the load in progress or, if there is none, of the last load.
     std::thread m_thread;
 };
 
--- a/Libraries/LibEndpoint/PriorityPool.h
+++ b/Libraries/LibEndpoint/PriorityPool.h
@@ -1,4 +1,4 @@
-/// @file A bounded queue with priorities and the threads that work it off.
+/// @file A bounded priority queue and the thread pool that processes it.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -18,10 +18,10 @@
 {
     std::size_t m_maximumThreads = 64;
     std::size_t m_maximumQueue = 256;
-    Core::Duration m_idleLimit{5000}; ///< A thread without work for this long ends.
+    Core::Duration m_idleLimit{5000}; ///< A thread ends after being idle for this long.
 };
 
-/// Runs jobs in the order of their priority, larger first, and of arrival within one. Threads start on demand and end when idle.
+/// Runs jobs by priority (larger first), and in order of arrival within a priority. Threads are started on demand and end when idle.
 template <typename Job>
 class PriorityPool
 {
@@ -40,7 +40,7 @@
     PriorityPool(const PriorityPool &) = delete;
     PriorityPool &operator=(const PriorityPool &) = delete;
 
-    /// False, leaving the pool unchanged, if the queue is full or the pool was stopped.
+    /// Queues a job. Returns false and leaves the pool unchanged if the queue is full or the pool is stopped.
     bool tryPush(Job job, std::int32_t priority)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -74,7 +74,7 @@
         return m_threads.size();
     }
 
-    /// Drops what is queued and waits for the running jobs.
+    /// Drops the queued jobs and waits for the running ones.
     void stop()
     {
         std::list<std::thread> threads;
@@ -98,7 +98,7 @@
         m_threads.emplace_back([this] { run(); });
     }
 
-    /// Joins threads that ended for lack of work.
+    /// Joins threads that have ended because they were idle.
     void joinEnded()
     {
         for (const std::thread::id id : m_ended) {
@@ -141,8 +141,8 @@
     const std::function<void(Job &)> m_work;
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::multimap<std::int64_t, Job> m_queue; ///< By negated priority; never more than m_maximumQueue.
-    std::list<std::thread> m_threads; ///< Never more than m_maximumThreads.
+    std::multimap<std::int64_t, Job> m_queue; ///< By negated priority; at most m_maximumQueue jobs.
+    std::list<std::thread> m_threads; ///< At most m_maximumThreads.
     std::list<std::thread::id> m_ended; ///< Threads in m_threads that have left run().
     std::size_t m_idle = 0;
     std::size_t m_running = 0;
--- a/Libraries/LibEndpoint/ReportWorker.cpp
+++ b/Libraries/LibEndpoint/ReportWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the reports.
+/// @file Implementation of ReportWorker.
 
 #include "LibEndpoint/ReportWorker.h"
 #include "LibWire/Pack.h"
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// A watcher that has this much unread is too far behind for one more report to help it.
-constexpr std::size_t MaximumBacklog = 64 << 10;
-/// Keeps a burst of changes from becoming a burst of reports.
+/// A watcher with at least this many unsent bytes is too far behind and is not sent further reports.
+constexpr std::size_t MaximumBacklogBytes = 64 << 10;
+/// Minimum time between two reports, so that a burst of changes does not cause a burst of reports.
 constexpr Core::Duration MinimumGap{20};
-/// A watcher that missed a whole report gets the next one after at most so many reports.
-constexpr std::uint64_t ReportsPerWhole = 16;
+/// At least one of this many reports is a full one, for watchers that missed the last full report.
+constexpr std::uint64_t ReportsPerFullReport = 16;
 
 }
 
 Core::Duration reportInterval(const ReportSettings &settings, std::size_t watchers, std::size_t reportBytes)
 {
     const std::uint64_t bytes = watchers * reportBytes;
-    const Core::Duration affordable(static_cast<std::int64_t>(bytes * 1000 / settings.m_bytesPerSecond));
-    return std::max(settings.m_interval, std::min(affordable, settings.m_maximumInterval));
+    const Core::Duration rateLimitedInterval(static_cast<std::int64_t>(bytes * 1000 / settings.m_bytesPerSecond));
+    return std::max(settings.m_interval, std::min(rateLimitedInterval, settings.m_maximumInterval));
 }
 
 bool isUrgent(const Protocol::AgentReport &last, const Protocol::AgentReport &next)
@@ -95,8 +95,8 @@
     std::uint64_t seen = 0;
     while (!m_state.isClosed()) {
         const Core::Instant due = m_lastSentAt + m_currentInterval;
-        const Core::Duration patience = std::chrono::ceil<Core::Duration>(due - Core::Clock::now());
-        seen = m_state.waitForChange(seen, std::max(patience, Core::Duration(0)));
+        const Core::Duration untilDue = std::chrono::ceil<Core::Duration>(due - Core::Clock::now());
+        seen = m_state.waitForChange(seen, std::max(untilDue, Core::Duration(0)));
         Protocol::AgentReport next = makeReport(m_state.knownState());
         if (Core::Clock::now() < due && !isUrgent(lastReport(), next)) {
             continue;
@@ -106,22 +106,22 @@
     }
 }
 
-Protocol::AgentReport ReportWorker::makeReport(const KnownState &facts) const
+Protocol::AgentReport ReportWorker::makeReport(const KnownState &state) const
 {
     Protocol::AgentReport report;
     report.m_member = m_self;
-    report.m_member.m_leaving = facts.m_leaving;
-    report.m_appliedOffset = facts.m_appliedOffset;
-    report.m_endpointHealthy = facts.m_engine.m_reachable;
-    report.m_attestations = attestationsOf(facts);
-    report.m_load = facts.m_engine.m_load;
+    report.m_member.m_leaving = state.m_leaving;
+    report.m_appliedOffset = state.m_appliedOffset;
+    report.m_endpointHealthy = state.m_engine.m_reachable;
+    report.m_attestations = attestationsOf(state);
+    report.m_load = state.m_engine.m_load;
     report.m_transfers = m_progressSource();
     return report;
 }
 
 std::string ReportWorker::encode(const Protocol::AgentReport &report)
 {
-    if (differsInLoadOnly(m_lastReport, report) && report.m_sequence - m_lastFullSequence < ReportsPerWhole) {
+    if (differsInLoadOnly(m_lastReport, report) && report.m_sequence - m_lastFullSequence < ReportsPerFullReport) {
         return Wire::pack(Protocol::LoadReport{true, report.m_sequence, m_lastFullSequence, report.m_load});
     }
     m_lastFullSequence = report.m_sequence;
@@ -134,7 +134,7 @@
     report.m_sequence = m_lastReport.m_sequence + 1;
     const std::string bytes = encode(report);
     for (const Wire::Responder &watcher : m_watchers) {
-        if (watcher.backlog() < MaximumBacklog && watcher.send(bytes)) {
+        if (watcher.backlog() < MaximumBacklogBytes && watcher.send(bytes)) {
             m_reportsSent.add();
         }
     }
--- a/Libraries/LibEndpoint/ReportWorker.h
+++ b/Libraries/LibEndpoint/ReportWorker.h
@@ -1,4 +1,4 @@
-/// @file The duty that reports to the entries that watch this agent.
+/// @file The worker that sends reports to the entries that watch this agent.
 #pragma once
 
 #include "LibEndpoint/AgentState.h"
@@ -15,22 +15,23 @@
 
 struct ReportSettings
 {
-    Core::Duration m_interval{1000}; ///< Between two reports without a change.
-    Core::Duration m_maximumInterval{2000}; ///< The same when many watch; well below the silence after which an entry avoids an endpoint.
-    std::uint64_t m_bytesPerSecond = 4096; ///< What reports without a change may take, as long as m_longestInterval allows it.
+    Core::Duration m_interval{1000}; ///< Interval between two reports while nothing changes.
+    Core::Duration m_maximumInterval{
+        2000}; ///< Maximum of that interval with many watchers; well below the time without reports after which an entry avoids an endpoint.
+    std::uint64_t m_bytesPerSecond = 4096; ///< Limit on the traffic of reports without a change, unless m_maximumInterval requires more.
     std::size_t m_maximumWatchers = 64;
 };
 
-/// Time until the next report without a change, when the last one had @p reportBytes and went to @p watchers.
+/// Returns the time until the next report without a change, if the last report had @p reportBytes and was sent to @p watchers watchers.
 Core::Duration reportInterval(const ReportSettings &settings, std::size_t watchers, std::size_t reportBytes);
 
-/// True if @p next has news that watchers should learn at once, and not just other load or progress.
+/// Returns true if @p next differs from @p last in more than load and progress, so that watchers must be informed at once.
 bool isUrgent(const Protocol::AgentReport &last, const Protocol::AgentReport &next);
 
-/// True if @p next differs from @p last in nothing but load and sequence.
+/// Returns true if @p next differs from @p last only in load and sequence number.
 bool differsInLoadOnly(const Protocol::AgentReport &last, const Protocol::AgentReport &next);
 
-/// Sends reports: whole and at once after a change that matters, else at the interval, and then only the load if nothing else has changed.
+/// Sends a full report at once after an urgent change, and otherwise a report at each interval, which contains only the load if nothing else has changed.
 class ReportWorker
 {
 public:
@@ -43,7 +44,7 @@
     ReportWorker &operator=(const ReportWorker &) = delete;
 
     void start();
-    /// The state must have been closed before.
+    /// Joins the thread. The state must be closed before.
     void stop();
 
     /// Handler of control.watch; does not block.
@@ -53,7 +54,7 @@
 
 private:
     void run();
-    Protocol::AgentReport makeReport(const KnownState &facts) const;
+    Protocol::AgentReport makeReport(const KnownState &state) const;
     void send(Protocol::AgentReport report);
     std::string encode(const Protocol::AgentReport &report);
 
@@ -66,8 +67,8 @@
     mutable std::mutex m_mutex;
     std::vector<Wire::Responder> m_watchers; ///< At most m_maximumWatchers.
     Protocol::AgentReport m_lastReport;
-    std::uint64_t m_lastFullSequence = 1; ///< Sequence of the last whole report that was sent.
-    Core::Duration m_currentInterval; ///< From m_lastSent to the next report without a change.
+    std::uint64_t m_lastFullSequence = 1; ///< Sequence number of the last full report that was sent.
+    Core::Duration m_currentInterval; ///< Time from m_lastSentAt to the next report without a change.
     Core::Instant m_lastSentAt;
     std::thread m_thread;
 };
--- a/Libraries/LibEndpoint/StatusWorker.cpp
+++ b/Libraries/LibEndpoint/StatusWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the status duty.
+/// @file Implementation of StatusWorker.
 
 #include "LibEndpoint/StatusWorker.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A single lost answer is not taken for a dead endpoint; a refused connection is.
+/// Number of consecutive lost answers after which the endpoint still counts as reachable. A refused connection makes it unreachable at once.
 constexpr int ToleratedFailures = 1;
 
 }
@@ -49,25 +49,25 @@
     const Core::Result<EngineStatus> status = m_client.status();
     if (status) {
         m_consecutiveFailures = 0;
-        m_state.update([&status](KnownState &facts) {
-            if (!facts.m_engine.m_reachable) {
+        m_state.update([&status](KnownState &state) {
+            if (!state.m_engine.m_reachable) {
                 LOG(INFO) << "the endpoint is reachable";
             }
-            facts.m_engine = status.value();
+            state.m_engine = status.value();
         });
         return;
     }
     m_failures.add();
     ++m_consecutiveFailures;
-    const bool refused = status.error().m_code == Core::ErrorCode::Unavailable;
-    if (!refused && m_consecutiveFailures <= ToleratedFailures) {
+    const bool isRefused = status.error().m_code == Core::ErrorCode::Unavailable;
+    if (!isRefused && m_consecutiveFailures <= ToleratedFailures) {
         return;
     }
-    m_state.update([&status](KnownState &facts) {
-        if (facts.m_engine.m_reachable) {
-            LOG(WARNING) << "the endpoint is lost: " << status.error();
+    m_state.update([&status](KnownState &state) {
+        if (state.m_engine.m_reachable) {
+            LOG(WARNING) << "the endpoint is unreachable: " << status.error();
         }
-        facts.m_engine = EngineStatus();
+        state.m_engine = EngineStatus();
     });
 }
 
--- a/Libraries/LibEndpoint/StatusWorker.h
+++ b/Libraries/LibEndpoint/StatusWorker.h
@@ -1,4 +1,4 @@
-/// @file The duty that asks the endpoint how it is.
+/// @file The worker that polls the endpoint's status.
 #pragma once
 
 #include "LibEndpoint/AgentState.h"
@@ -11,7 +11,7 @@
 
 namespace Endpoint {
 
-/// Keeps the endpoint's status in the shared facts.
+/// Keeps the endpoint's status in the shared state up to date.
 class StatusWorker
 {
 public:
@@ -23,7 +23,7 @@
 
     void start();
     void stop();
-    /// Asks once, now; usable from other duties.
+    /// Requests the status once, immediately. Thread-safe, so that other workers can call it.
     void refresh();
 
 private:
@@ -37,7 +37,7 @@
     std::condition_variable m_wake;
     bool m_stopping = false;
     int m_consecutiveFailures = 0;
-    std::mutex m_refreshMutex; ///< One inquiry at a time, so that an older answer never replaces a newer one.
+    std::mutex m_refreshMutex; ///< Allows one request at a time, so that an older answer never replaces a newer one.
     std::thread m_thread;
 };
 
--- a/Tests/Agent/AgentFixture.h
+++ b/Tests/Agent/AgentFixture.h
@@ -1,4 +1,4 @@
-/// @file One agent between a stand-in endpoint, a small origin and an entry, all in the test's process.
+/// @file Fixture for tests of an agent: stand-in endpoint, origin, entry and client, all in the test's process.
 #pragma once
 
 #include "LibControl/StateFeed.h"
@@ -16,14 +16,14 @@
 #include <condition_variable>
 #include <future>
 
-namespace Rig {
+namespace AgentFixture {
 
 constexpr Core::Duration WaitLimit{20000};
 constexpr std::uint32_t ChunkBytes = 4 << 10;
 constexpr const char *Service = "drafting-models";
 constexpr const char *Instance = "hcm-a-m01";
 
-/// Waits for a condition, never for a time; fails the test if it does not come about.
+/// Polls @p condition until it holds. Fails the test if it does not hold within WaitLimit.
 inline void waitUntil(const std::string &what, const std::function<bool()> &condition)
 {
     const Core::Instant deadline = Core::Clock::now() + WaitLimit;
@@ -45,7 +45,7 @@
     return Poco::JSON::Parser().parse(stream).extract<Poco::JSON::Object::Ptr>();
 }
 
-/// A version of a model with made-up contents.
+/// A version of a model with pseudo-random content.
 struct Version
 {
     std::string m_name;
@@ -69,7 +69,7 @@
     return version;
 }
 
-/// Serves versions; m_held holds back every byte from an offset on, so that a transfer stays partial.
+/// Serves versions. Refuses ranges that reach m_withheldFrom or beyond, so that transfers stay partial.
 class Origin
 {
 public:
@@ -97,7 +97,7 @@
                 const std::size_t first = std::stoull(range);
                 const std::size_t last = std::stoull(range.substr(range.find('-') + 1));
                 if (last >= m_withheldFrom) {
-                    return StandIn::sendAnswer(response, 503, "text/plain", "held back");
+                    return StandIn::sendAnswer(response, 503, "text/plain", "withheld");
                 }
                 return StandIn::sendAnswer(response, 206, "application/octet-stream", version.m_content.substr(first, last - first + 1));
             }
@@ -109,7 +109,7 @@
     StandIn::HttpServer m_server;
 };
 
-/// An entry that feeds control state and can pretend to know a newer plan.
+/// An entry that feeds control state to the agent.
 class Entry
 {
 public:
@@ -133,7 +133,7 @@
         m_feed.stop();
     }
 
-    /// Puts a plan in force that wants these versions on the instance.
+    /// Publishes a plan that places these versions on the instance. Returns its offset.
     Control::Offset publishPlan(const std::vector<Version> &versions)
     {
         Control::ControlState state = *m_store.current();
@@ -171,7 +171,7 @@
     Control::StateFeed m_feed;
 };
 
-/// An engine or service on its own server.
+/// A stand-in engine or service with its own HTTP server.
 template <typename Endpoint>
 class HostedEndpoint
 {
@@ -203,7 +203,7 @@
     StandIn::HttpServer m_server;
 };
 
-/// Settings of an agent beside an endpoint, with short times.
+/// Settings of an agent with short intervals.
 inline Endpoint::AgentSettings agentSettings(
     const Core::Address &entry, const Core::Address &origin, const Core::Address &endpoint, Endpoint::EndpointKind kind, const std::string &incarnation)
 {
@@ -221,7 +221,7 @@
     settings.m_origin = origin;
     settings.m_engine.m_address = endpoint;
     settings.m_engine.m_kind = kind;
-    settings.m_engine.m_answerTimeout = Core::Duration(600'000); // Ends no test: what frees a place must be something else.
+    settings.m_engine.m_answerTimeout = Core::Duration(600'000); // Longer than any test, so that a slot is never freed by this timeout.
     settings.m_workers.m_statusInterval = Core::Duration(20);
     settings.m_workers.m_orderRetryDelay = Core::Duration(50);
     settings.m_workers.m_retirementGrace = Core::Duration(50);
@@ -231,7 +231,7 @@
     return settings;
 }
 
-/// What an entry sees of one agent: its reports and the answers to calls.
+/// Client of one agent as an entry uses it: watches its reports and makes calls.
 class EntryClient
 {
 public:
@@ -248,7 +248,7 @@
         m_node.stop();
     }
 
-    /// Follows the agent's reports, unless that is under way.
+    /// Starts watching the agent's reports unless that is already in progress.
     void watch()
     {
         if (m_watching.exchange(true)) {
@@ -279,7 +279,7 @@
         return false;
     }
 
-    /// One call as its entry sees it.
+    /// A call with the frames and the end received so far.
     struct Call
     {
         std::mutex m_mutex;
@@ -320,8 +320,8 @@
 
     Protocol::OutcomeAnswer outcome(const Protocol::LiveRequest &request)
     {
-        const Protocol::OutcomeRequest question{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
-        const Core::Result<std::string> answer = m_node.request(m_agent, "live.outcome", Wire::pack(question), WaitLimit);
+        const Protocol::OutcomeRequest outcomeRequest{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
+        const Core::Result<std::string> answer = m_node.request(m_agent, "live.outcome", Wire::pack(outcomeRequest), WaitLimit);
         REQUIRE(answer);
         return Wire::unpack<Protocol::OutcomeAnswer>(answer.value(), "agent").value();
     }
@@ -344,7 +344,7 @@
     std::atomic<bool> m_watching = false;
     mutable std::mutex m_mutex;
     Protocol::AgentReport m_report;
-    Wire::Node m_node; ///< Last member: its thread uses the others.
+    Wire::Node m_node; ///< Last member, because its thread uses the others.
 };
 
 inline Protocol::LiveRequest draftRequest(const std::string &attempt, const Version &version, int tokens)
--- a/Tests/Agent/BlackholeProxy.h
+++ b/Tests/Agent/BlackholeProxy.h
@@ -1,4 +1,4 @@
-/// @file A TCP relay that can go silent: sockets stay open and bytes vanish.
+/// @file A TCP proxy that can drop all bytes while its sockets stay open.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -11,8 +11,9 @@
 #include <mutex>
 #include <thread>
 
-namespace Rig {
+namespace AgentFixture {
 
+/// Forwards connections to the target. With m_dropsBytes set it simulates a connection that is lost without being closed.
 class BlackholeProxy
 {
 public:
@@ -37,7 +38,7 @@
         return Core::Address{"127.0.0.1", m_listener.address().port()};
     }
 
-    std::atomic<bool> m_dropsBytes = false; ///< Bytes are read and dropped.
+    std::atomic<bool> m_dropsBytes = false; ///< If set, bytes are read and dropped.
 
 private:
     void accept()
@@ -70,7 +71,7 @@
                 }
             }
         } catch (const Poco::Exception &) {
-            // One side is gone; silent relays do not tell the other.
+            // One side has closed its connection. The other side is not notified, as with a lost connection.
             return;
         }
     }
@@ -79,7 +80,7 @@
     Poco::Net::ServerSocket m_listener;
     std::atomic<bool> m_stopping = false;
     std::list<std::thread> m_forwardThreads;
-    std::thread m_acceptThread; ///< Last member: it uses the others.
+    std::thread m_acceptThread; ///< Last member, because it uses the others.
 };
 
 }
--- a/Tests/Agent/TestOrderWorker.cpp
+++ b/Tests/Agent/TestOrderWorker.cpp
@@ -1,4 +1,4 @@
-/// @file Orders to an engine that does not check fencing numbers, so that the agent alone keeps old ones away.
+/// @file Tests of orders to an engine that does not check fencing numbers, so that only the agent prevents outdated orders.
 
 #include "AgentFixture.h"
 
@@ -6,9 +6,9 @@
 
 namespace {
 
-using Rig::Version;
+using AgentFixture::Version;
 
-class FakeHost : public trompeloeil::mock_interface<Endpoint::OrderHost>
+class MockOrderHost : public trompeloeil::mock_interface<Endpoint::OrderHost>
 {
 public:
     IMPLEMENT_MOCK0(newestPlanOffset);
@@ -17,28 +17,28 @@
     IMPLEMENT_MOCK0(refreshStatus);
 };
 
-StandIn::EngineSettings trustingEngine()
+StandIn::EngineSettings engineWithoutFencing()
 {
     StandIn::EngineSettings settings;
     settings.m_checksFencing = false;
     return settings;
 }
 
-/// An order duty in front of an engine, with whole weights at hand and a plan that wants them.
-struct OrderRig
+/// An order worker and an engine, with complete weights and a plan that assigns them to the instance.
+struct OrderFixture
 {
-    Version m_version = Rig::makeVersion("7", 20'000);
-    Rig::HostedEndpoint<StandIn::Engine> m_engine{trustingEngine()};
+    Version m_version = AgentFixture::makeVersion("7", 20'000);
+    AgentFixture::HostedEndpoint<StandIn::Engine> m_engine{engineWithoutFencing()};
     Telemetry::Metrics m_metrics;
     Endpoint::AgentState m_state;
-    FakeHost m_host;
+    MockOrderHost m_host;
     Endpoint::EngineClient m_client{engineSettings(m_engine.m_address), {}};
-    Endpoint::WorkerSettings m_settings = dutySettings();
-    Endpoint::OrderWorker m_duty{Endpoint::OrderParts{m_settings, &m_client, &m_state, &m_host, &m_metrics}};
-    std::unique_ptr<trompeloeil::expectation> m_held;
-    std::unique_ptr<trompeloeil::expectation> m_refreshed;
+    Endpoint::WorkerSettings m_settings = workerSettings();
+    Endpoint::OrderWorker m_worker{Endpoint::OrderParts{m_settings, &m_client, &m_state, &m_host, &m_metrics}};
+    std::unique_ptr<trompeloeil::expectation> m_heldWeightsExpectation;
+    std::unique_ptr<trompeloeil::expectation> m_refreshExpectation;
 
-    OrderRig()
+    OrderFixture()
     {
         std::vector<Weights::ChunkBytes> chunks;
         for (Weights::ChunkIndex chunk = 0; chunk < m_version.m_manifest.chunkCount(); ++chunk) {
@@ -47,8 +47,8 @@
         }
         const std::shared_ptr<const Weights::HeldVersion> weights =
             Weights::assembleVersion(m_version.m_digest, m_version.m_manifest, std::move(chunks)).value();
-        m_held = NAMED_ALLOW_CALL(m_host, heldWeights(m_version.m_digest)).RETURN(weights);
-        m_refreshed = NAMED_ALLOW_CALL(m_host, refreshStatus()).LR_SIDE_EFFECT(refresh());
+        m_heldWeightsExpectation = NAMED_ALLOW_CALL(m_host, heldWeights(m_version.m_digest)).RETURN(weights);
+        m_refreshExpectation = NAMED_ALLOW_CALL(m_host, refreshStatus()).LR_SIDE_EFFECT(refresh());
         refresh();
         setPlan(5);
     }
@@ -60,7 +60,7 @@
         return settings;
     }
 
-    static Endpoint::WorkerSettings dutySettings()
+    static Endpoint::WorkerSettings workerSettings()
     {
         Endpoint::WorkerSettings settings;
         settings.m_maximumFenceAge = Core::Duration(200);
@@ -71,84 +71,84 @@
     void refresh()
     {
         const Endpoint::EngineStatus status = m_client.status().value();
-        m_state.update([&status](Endpoint::KnownState &facts) { facts.m_engine = status; });
+        m_state.update([&status](Endpoint::KnownState &state) { state.m_engine = status; });
     }
 
     void setPlan(Control::Offset offset)
     {
-        m_state.update([this, offset](Endpoint::KnownState &facts) {
-            facts.m_planOffset = offset;
-            facts.m_plannedManifests = {m_version.m_digest};
-            facts.m_knownWeights = {Endpoint::KnownWeights{m_version.m_digest, m_version.m_manifest.m_contentDigest, true}};
+        m_state.update([this, offset](Endpoint::KnownState &state) {
+            state.m_planOffset = offset;
+            state.m_plannedManifests = {m_version.m_digest};
+            state.m_knownWeights = {Endpoint::KnownWeights{m_version.m_digest, m_version.m_manifest.m_contentDigest, true}};
         });
     }
 
     bool isLoaded() const
     {
-        return Rig::request(m_engine.m_address, "GET", "/status")->getArray("models")->size() == 1;
+        return AgentFixture::request(m_engine.m_address, "GET", "/status")->getArray("models")->size() == 1;
     }
 };
 
 }
 
-TEST_CASE("an order that an entry confirms is carried out")
+TEST_CASE("an order that an entry confirms is executed")
 {
-    OrderRig rig;
-    ALLOW_CALL(rig.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(5));
-    REQUIRE(rig.m_duty.step(Core::Clock::now()));
-    REQUIRE(rig.isLoaded());
-    REQUIRE(rig.m_state.knownState().m_loadPlanOffsets.at(rig.m_version.m_manifest.m_contentDigest) == 5);
+    OrderFixture fixture;
+    ALLOW_CALL(fixture.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(5));
+    REQUIRE(fixture.m_worker.step(Core::Clock::now()));
+    REQUIRE(fixture.isLoaded());
+    REQUIRE(fixture.m_state.knownState().m_loadPlanOffsets.at(fixture.m_version.m_manifest.m_contentDigest) == 5);
 }
 
 TEST_CASE("the order of a paused agent whose plan was replaced does not reach the engine")
 {
-    // The agent stood still while operators withdrew the version. Its engine obeys any order, so the old one would bring the version back.
-    OrderRig rig;
-    ALLOW_CALL(rig.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(6));
-    REQUIRE_FALSE(rig.m_duty.step(Core::Clock::now()));
-    REQUIRE_FALSE(rig.isLoaded());
-    REQUIRE_FALSE(rig.m_duty.step(Core::Clock::now() + Core::Duration(10'000)));
-    REQUIRE_FALSE(rig.isLoaded());
-    rig.setPlan(6);
-    REQUIRE(rig.m_duty.step(Core::Clock::now()));
-    REQUIRE(rig.isLoaded());
+    // The agent was paused while operators withdrew the version. Its engine accepts any order, so the outdated one would restore the version.
+    OrderFixture fixture;
+    ALLOW_CALL(fixture.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(6));
+    REQUIRE_FALSE(fixture.m_worker.step(Core::Clock::now()));
+    REQUIRE_FALSE(fixture.isLoaded());
+    REQUIRE_FALSE(fixture.m_worker.step(Core::Clock::now() + Core::Duration(10'000)));
+    REQUIRE_FALSE(fixture.isLoaded());
+    fixture.setPlan(6);
+    REQUIRE(fixture.m_worker.step(Core::Clock::now()));
+    REQUIRE(fixture.isLoaded());
 }
 
-TEST_CASE("a restarted agent that can ask no entry gives no order")
+TEST_CASE("a restarted agent that cannot reach any entry gives no order")
 {
-    // All entries are away, and what the fresh agent knows may be old. Waiting is safe: the engine goes on with what it has.
-    OrderRig rig;
-    ALLOW_CALL(rig.m_host, newestPlanOffset()).RETURN(Core::makeError(Core::ErrorCode::Unavailable, "ask fence", "", "no entry answers"));
-    REQUIRE_FALSE(rig.m_duty.step(Core::Clock::now()));
-    REQUIRE_FALSE(rig.isLoaded());
+    // No entry is reachable, and the restarted agent's plan may be outdated. Waiting is safe, because the engine keeps serving its weights.
+    OrderFixture fixture;
+    ALLOW_CALL(fixture.m_host, newestPlanOffset()).RETURN(Core::makeError(Core::ErrorCode::Unavailable, "ask fence", "", "no entry answers"));
+    REQUIRE_FALSE(fixture.m_worker.step(Core::Clock::now()));
+    REQUIRE_FALSE(fixture.isLoaded());
 }
 
-TEST_CASE("an agent that is paused between the confirmation and the order gives no order")
+TEST_CASE("an agent that was paused between the confirmation and the order does not send the order")
 {
-    // The answer says that no newer plan exists. By the time the process runs again, one may.
-    OrderRig rig;
+    // The entry confirms that no newer plan exists, but there may be one by the time the process resumes.
+    OrderFixture fixture;
     {
-        ALLOW_CALL(rig.m_host, newestPlanOffset())
-            .LR_SIDE_EFFECT(std::this_thread::sleep_for(rig.m_settings.m_maximumFenceAge + Core::Duration(50)))
+        ALLOW_CALL(fixture.m_host, newestPlanOffset())
+            .LR_SIDE_EFFECT(std::this_thread::sleep_for(fixture.m_settings.m_maximumFenceAge + Core::Duration(50)))
             .RETURN(Core::Result<Control::Offset>(5));
-        REQUIRE_FALSE(rig.m_duty.step(Core::Clock::now()));
-        REQUIRE_FALSE(rig.isLoaded());
+        REQUIRE_FALSE(fixture.m_worker.step(Core::Clock::now()));
+        REQUIRE_FALSE(fixture.isLoaded());
     }
-    ALLOW_CALL(rig.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(5));
-    REQUIRE(rig.m_duty.step(Core::Clock::now() + Core::Duration(10'000)));
-    REQUIRE(rig.isLoaded());
+    ALLOW_CALL(fixture.m_host, newestPlanOffset()).RETURN(Core::Result<Control::Offset>(5));
+    REQUIRE(fixture.m_worker.step(Core::Clock::now() + Core::Duration(10'000)));
+    REQUIRE(fixture.isLoaded());
 }
 
-TEST_CASE("a load order that stands still on its way is broken off, and the engine loads nothing")
+TEST_CASE("a load order is aborted if the process is paused while sending it, and the engine loads nothing")
 {
-    // The agent is paused in the middle of an order. What it completes afterwards would be an old order.
-    OrderRig rig;
-    Endpoint::EngineSettings settings = OrderRig::engineSettings(rig.m_engine.m_address);
+    // The agent is paused in the middle of an order. If it completed the order afterwards, the order could be outdated.
+    OrderFixture fixture;
+    Endpoint::EngineSettings settings = OrderFixture::engineSettings(fixture.m_engine.m_address);
     settings.m_pauseLimit = Core::Duration(-1);
     const Endpoint::EngineClient client(settings, {});
-    const std::shared_ptr<const Weights::HeldVersion> weights = rig.m_host.heldWeights(rig.m_version.m_digest);
-    const Endpoint::Order order{Endpoint::OrderKind::Load, rig.m_version.m_digest, rig.m_version.m_manifest.m_contentDigest, 5};
+    const std::shared_ptr<const Weights::HeldVersion> weights = fixture.m_host.heldWeights(fixture.m_version.m_digest);
+    const Endpoint::Order order{Endpoint::OrderKind::Load, fixture.m_version.m_digest, fixture.m_version.m_manifest.m_contentDigest, 5};
     REQUIRE(client.load(order, *weights, std::make_shared<Endpoint::AbortHandle>()).error().m_code == Core::ErrorCode::Ambiguous);
-    Rig::waitUntil("the engine to give up the load",
-                   [&rig] { return Rig::request(rig.m_engine.m_address, "GET", "/status")->getArray("models")->size() == 0; });
+    AgentFixture::waitUntil("the engine to discard the load",
+                            [&fixture] { return AgentFixture::request(fixture.m_engine.m_address, "GET", "/status")->getArray("models")->size() == 0; });
 }
--- a/Tests/LibEndpoint/TestAttemptTracker.cpp
+++ b/Tests/LibEndpoint/TestAttemptTracker.cpp
@@ -1,4 +1,4 @@
-/// @file The gate for calls that may not be repeated: single rules, and a model check over all short interleavings.
+/// @file Tests of AttemptTracker: its rules one by one, and a model check over all short interleavings of events.
 
 #include "LibEndpoint/AttemptTracker.h"
 
@@ -13,142 +13,142 @@
 using Endpoint::AttemptTrackerLimits;
 using Protocol::Outcome;
 
-const std::string Life = "life-1";
+const std::string Incarnation = "life-1";
 
 AttemptTag tag(const std::string &attempt, const std::string &key = "", std::uint64_t report = 10)
 {
-    return AttemptTag{attempt, key, Life, report};
+    return AttemptTag{attempt, key, Incarnation, report};
 }
 
 /// Admits, begins and finishes an attempt.
-void runWhole(AttemptTracker &gate, const AttemptTag &attempt, const std::string &body)
+void runToCompletion(AttemptTracker &tracker, const AttemptTag &attempt, const std::string &body)
 {
-    REQUIRE(gate.admit(attempt) == Admission::Admitted);
-    REQUIRE(gate.tryBegin(attempt.m_attempt));
-    gate.recordAnswer(attempt.m_attempt, 200, body);
+    REQUIRE(tracker.admit(attempt) == Admission::Admitted);
+    REQUIRE(tracker.tryBegin(attempt.m_attempt));
+    tracker.recordAnswer(attempt.m_attempt, 200, body);
 }
 
 }
 
-TEST_CASE("a finished attempt does not run again and its answer is kept")
+TEST_CASE("a finished attempt does not run again and its answer is stored")
 {
-    // The answer to a booking is lost on its way back, and the entry or the network sends the call once more. A second run would book twice.
-    AttemptTracker gate(Life, {});
-    runWhole(gate, tag("a", "key"), "booked");
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::Duplicate);
-    REQUIRE_FALSE(gate.tryBegin("a"));
-    REQUIRE(gate.outcome(tag("a")) == Protocol::OutcomeAnswer{Outcome::Finished, 200, "booked"});
-    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyInUse);
+    // The answer to a booking is lost in the network, and the call is sent again. A second run would book twice.
+    AttemptTracker tracker(Incarnation, {});
+    runToCompletion(tracker, tag("a", "key"), "booked");
+    REQUIRE(tracker.admit(tag("a", "key")) == Admission::Duplicate);
+    REQUIRE_FALSE(tracker.tryBegin("a"));
+    REQUIRE(tracker.outcome(tag("a")) == Protocol::OutcomeAnswer{Outcome::Finished, 200, "booked"});
+    REQUIRE(tracker.admit(tag("b", "key")) == Admission::KeyInUse);
 }
 
-TEST_CASE("an attempt that was asked after before it arrived never runs")
+TEST_CASE("an attempt whose outcome was requested before it arrived never runs")
 {
-    // The call is held up in the network; the entry asks, learns that nothing ran, and tells its caller so. Then the call arrives.
-    AttemptTracker gate(Life, {});
-    REQUIRE(gate.outcome(tag("late")).m_outcome == Outcome::NeverRan);
-    REQUIRE(gate.admit(tag("late", "key")) == Admission::Tombstoned);
-    REQUIRE_FALSE(gate.tryBegin("late"));
+    // The call is delayed in the network. The entry requests the outcome, gets NeverRan and reports that to its caller; then the call arrives.
+    AttemptTracker tracker(Incarnation, {});
+    REQUIRE(tracker.outcome(tag("late")).m_outcome == Outcome::NeverRan);
+    REQUIRE(tracker.admit(tag("late", "key")) == Admission::Tombstoned);
+    REQUIRE_FALSE(tracker.tryBegin("late"));
 }
 
-TEST_CASE("an attempt that was cancelled in the queue never runs and says so")
+TEST_CASE("an attempt that was cancelled in the queue never runs and is reported as never run")
 {
-    AttemptTracker gate(Life, {});
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
-    gate.cancel(tag("a", "key"));
-    REQUIRE_FALSE(gate.tryBegin("a"));
-    REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::NeverRan);
-    REQUIRE(gate.admit(tag("b", "key")) == Admission::Admitted);
+    AttemptTracker tracker(Incarnation, {});
+    REQUIRE(tracker.admit(tag("a", "key")) == Admission::Admitted);
+    tracker.cancel(tag("a", "key"));
+    REQUIRE_FALSE(tracker.tryBegin("a"));
+    REQUIRE(tracker.outcome(tag("a")).m_outcome == Outcome::NeverRan);
+    REQUIRE(tracker.admit(tag("b", "key")) == Admission::Admitted);
 }
 
-TEST_CASE("a lost answer is unknown and never repeated")
+TEST_CASE("an attempt whose answer was lost is unknown and never runs again")
 {
-    // The service has posted the invoice, and its answer is lost. Neither "not run" nor a second try would be true or safe.
-    AttemptTracker gate(Life, {});
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::Admitted);
-    REQUIRE(gate.tryBegin("a"));
-    gate.recordLostAnswer("a");
-    REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::Duplicate);
-    REQUIRE(gate.admit(tag("b", "key")) == Admission::KeyInUse);
+    // The service has posted the invoice, but its answer is lost. "Not run" would be false, and a retry could post it twice.
+    AttemptTracker tracker(Incarnation, {});
+    REQUIRE(tracker.admit(tag("a", "key")) == Admission::Admitted);
+    REQUIRE(tracker.tryBegin("a"));
+    tracker.recordLostAnswer("a");
+    REQUIRE(tracker.outcome(tag("a")).m_outcome == Outcome::Unknown);
+    REQUIRE(tracker.admit(tag("a", "key")) == Admission::Duplicate);
+    REQUIRE(tracker.admit(tag("b", "key")) == Admission::KeyInUse);
 }
 
-TEST_CASE("a fresh agent does not claim that an attempt of an earlier life did not run")
+TEST_CASE("a restarted agent does not report an attempt of an earlier incarnation as never run")
 {
-    // The agent is replaced while a booking runs. Its successor has never heard of the booking and must not deny it.
-    AttemptTracker gate("life-2", {});
-    REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.outcome(AttemptTag{"b", "", "", 0}).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.admit(tag("a", "key")) == Admission::OtherIncarnation);
+    // The agent is replaced while a booking runs. Its successor has no record of the booking, which may have run.
+    AttemptTracker tracker("life-2", {});
+    REQUIRE(tracker.outcome(tag("a")).m_outcome == Outcome::Unknown);
+    REQUIRE(tracker.outcome(AttemptTag{"b", "", "", 0}).m_outcome == Outcome::Unknown);
+    REQUIRE(tracker.admit(tag("a", "key")) == Admission::OtherIncarnation);
 }
 
-TEST_CASE("what is forgotten is unknown and is not run late")
+TEST_CASE("an evicted attempt is unknown and does not run when it arrives late")
 {
-    // An agent remembers a bounded number of attempts. One that it has forgotten looks like one that never arrived.
+    // An agent keeps a bounded number of records. Without the horizon, an evicted attempt would look like one that never arrived.
     AttemptTrackerLimits limits;
     limits.m_maximumAttempts = 2;
-    AttemptTracker gate(Life, limits);
-    runWhole(gate, tag("a", "", 10), "1");
-    runWhole(gate, tag("b", "", 11), "2");
-    runWhole(gate, tag("c", "", 12), "3");
-    REQUIRE(gate.rememberedAttempts() == 2);
-    REQUIRE(gate.outcome(tag("a", "", 10)).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.admit(tag("a", "", 10)) != Admission::Admitted);
-    REQUIRE(gate.outcome(tag("new", "", 20)).m_outcome == Outcome::NeverRan);
+    AttemptTracker tracker(Incarnation, limits);
+    runToCompletion(tracker, tag("a", "", 10), "1");
+    runToCompletion(tracker, tag("b", "", 11), "2");
+    runToCompletion(tracker, tag("c", "", 12), "3");
+    REQUIRE(tracker.rememberedAttempts() == 2);
+    REQUIRE(tracker.outcome(tag("a", "", 10)).m_outcome == Outcome::Unknown);
+    REQUIRE(tracker.admit(tag("a", "", 10)) != Admission::Admitted);
+    REQUIRE(tracker.outcome(tag("new", "", 20)).m_outcome == Outcome::NeverRan);
 }
 
-TEST_CASE("stored answers are bounded, oldest dropped first")
+TEST_CASE("the size of stored answers is bounded and the oldest are evicted first")
 {
     AttemptTrackerLimits limits;
     limits.m_maximumStoredAnswerBytes = 10;
     limits.m_maximumBytesPerAnswer = 8;
-    AttemptTracker gate(Life, limits);
-    runWhole(gate, tag("a"), "123456");
-    runWhole(gate, tag("b"), "123456");
-    REQUIRE(gate.storedAnswerBytes() == 6);
-    REQUIRE(gate.outcome(tag("a")).m_outcome == Outcome::Unknown);
-    REQUIRE(gate.outcome(tag("b")).m_outcome == Outcome::Finished);
-    runWhole(gate, tag("long"), "123456789");
-    REQUIRE(gate.outcome(tag("long")).m_outcome == Outcome::Unknown);
+    AttemptTracker tracker(Incarnation, limits);
+    runToCompletion(tracker, tag("a"), "123456");
+    runToCompletion(tracker, tag("b"), "123456");
+    REQUIRE(tracker.storedAnswerBytes() == 6);
+    REQUIRE(tracker.outcome(tag("a")).m_outcome == Outcome::Unknown);
+    REQUIRE(tracker.outcome(tag("b")).m_outcome == Outcome::Finished);
+    runToCompletion(tracker, tag("long"), "123456789");
+    REQUIRE(tracker.outcome(tag("long")).m_outcome == Outcome::Unknown);
 }
 
-TEST_CASE("open attempts are never forgotten; a full gate refuses")
+TEST_CASE("open attempts are never evicted; a full tracker refuses new ones")
 {
     AttemptTrackerLimits limits;
     limits.m_maximumAttempts = 1;
-    AttemptTracker gate(Life, limits);
-    REQUIRE(gate.admit(tag("a")) == Admission::Admitted);
-    REQUIRE(gate.admit(tag("b")) == Admission::Full);
-    REQUIRE(gate.outcome(tag("b")).m_outcome == Outcome::NeverRan);
-    REQUIRE(gate.admit(tag("b")) != Admission::Admitted);
-    REQUIRE(gate.tryBegin("a"));
+    AttemptTracker tracker(Incarnation, limits);
+    REQUIRE(tracker.admit(tag("a")) == Admission::Admitted);
+    REQUIRE(tracker.admit(tag("b")) == Admission::Full);
+    REQUIRE(tracker.outcome(tag("b")).m_outcome == Outcome::NeverRan);
+    REQUIRE(tracker.admit(tag("b")) != Admission::Admitted);
+    REQUIRE(tracker.tryBegin("a"));
 }
 
 namespace {
 
-/// What can happen in the model, each to one of the attempts.
+/// Events of the model. All but Restart concern one of the attempts.
 enum class Event {
-    Arrive, ///< The call arrives, for the first time or again.
-    Begin, ///< A worker takes it from the queue and hands it to the endpoint.
+    Arrive, ///< The call arrives, for the first time or repeatedly.
+    Begin, ///< A thread takes it from the queue and sends it to the endpoint.
     Finish,
     Lose, ///< The endpoint's answer is lost.
     Cancel,
-    Ask, ///< The entry asks what became of it.
+    Ask, ///< The entry requests its outcome.
     Restart, ///< The agent is replaced.
 };
 
 constexpr std::array AttemptEvents = {Event::Arrive, Event::Begin, Event::Finish, Event::Lose, Event::Cancel, Event::Ask};
 const std::array<std::string, 3> Attempts = {"a", "b", "other"};
 
-/// The world around a gate, and what it has been told.
-struct World
+/// A tracker with its environment, and the outcomes that it has reported.
+struct SystemModel
 {
-    AttemptTracker m_gate{"life-0", AttemptTrackerLimits{2, 4, 4}};
-    int m_life = 0;
-    std::map<std::string, int> m_runs; ///< By attempt: how often the endpoint got it.
-    std::set<std::string> m_deniedRuns; ///< Attempts that were reported as never run.
+    AttemptTracker m_tracker{"life-0", AttemptTrackerLimits{2, 4, 4}};
+    int m_incarnationNumber = 0;
+    std::map<std::string, int> m_runs; ///< By attempt: how often the endpoint received it.
+    std::set<std::string> m_reportedNeverRun; ///< Attempts reported as never run.
     std::string m_trace;
 
-    /// All attempts were sent in the first life; the first two share a key. Each was sent on a report of its own.
+    /// All attempts are sent to the first incarnation, each with another report number; the first two share a key.
     static AttemptTag tagOf(std::size_t attempt)
     {
         const std::string key = attempt < 2 ? "key" : "other-key";
@@ -161,39 +161,39 @@
         m_trace += " " + std::to_string(static_cast<int>(event)) + name;
         switch (event) {
         case Event::Arrive:
-            m_gate.admit(tagOf(attempt));
+            m_tracker.admit(tagOf(attempt));
             break;
         case Event::Begin:
-            m_runs[name] += m_gate.tryBegin(name) ? 1 : 0;
+            m_runs[name] += m_tracker.tryBegin(name) ? 1 : 0;
             break;
         case Event::Finish:
-            m_gate.recordAnswer(name, 200, "abc");
+            m_tracker.recordAnswer(name, 200, "abc");
             break;
         case Event::Lose:
-            m_gate.recordLostAnswer(name);
+            m_tracker.recordLostAnswer(name);
             break;
         case Event::Cancel:
-            m_gate.cancel(tagOf(attempt));
+            m_tracker.cancel(tagOf(attempt));
             break;
         case Event::Ask:
-            if (m_gate.outcome(tagOf(attempt)).m_outcome == Outcome::NeverRan) {
-                m_deniedRuns.insert(name);
+            if (m_tracker.outcome(tagOf(attempt)).m_outcome == Outcome::NeverRan) {
+                m_reportedNeverRun.insert(name);
             }
             break;
         case Event::Restart:
-            ++m_life;
-            m_gate = AttemptTracker("life-" + std::to_string(m_life), AttemptTrackerLimits{2, 4, 4});
+            ++m_incarnationNumber;
+            m_tracker = AttemptTracker("life-" + std::to_string(m_incarnationNumber), AttemptTrackerLimits{2, 4, 4});
             break;
         }
     }
 
-    bool holds() const
+    bool invariantsHold() const
     {
         int runsOfKey = 0;
         for (const std::pair<const std::string, int> &run : m_runs) {
             runsOfKey += run.first == "other" ? 0 : run.second;
-            const bool deniedButRan = run.second > 0 && m_deniedRuns.contains(run.first);
-            if (run.second > 1 || deniedButRan) {
+            const bool ranDespiteReport = run.second > 0 && m_reportedNeverRun.contains(run.first);
+            if (run.second > 1 || ranDespiteReport) {
                 return false;
             }
         }
@@ -201,34 +201,34 @@
     }
 };
 
-/// Explores every sequence of events; returns the trace of the first that breaks a promise.
-std::string findBreach(const World &world, int depth)
+/// Explores all sequences of up to @p depth events. Returns the trace of the first one that violates an invariant, or an empty text.
+std::string findViolation(const SystemModel &model, int depth)
 {
-    if (!world.holds()) {
-        return world.m_trace;
+    if (!model.invariantsHold()) {
+        return model.m_trace;
     }
     if (depth == 0) {
         return "";
     }
     for (std::size_t attempt = 0; attempt < Attempts.size(); ++attempt) {
         for (const Event event : AttemptEvents) {
-            World next = world;
+            SystemModel next = model;
             next.apply(event, attempt);
-            const std::string breach = findBreach(next, depth - 1);
-            if (!breach.empty()) {
-                return breach;
+            const std::string violation = findViolation(next, depth - 1);
+            if (!violation.empty()) {
+                return violation;
             }
         }
     }
-    World next = world;
+    SystemModel next = model;
     next.apply(Event::Restart, 0);
-    return findBreach(next, depth - 1);
+    return findViolation(next, depth - 1);
 }
 
 }
 
-TEST_CASE("model check: at most one run for each key, and never run means never run")
+TEST_CASE("model check: each key runs at most once, and an attempt reported as never run never runs")
 {
-    // Calls arrive, arrive again, are cancelled, asked after and lost in any order, the memory holds two attempts, and the agent restarts.
-    REQUIRE(findBreach(World(), 5) == "");
+    // Calls arrive repeatedly, are cancelled, queried and lost in any order; the tracker holds two records, and the agent restarts.
+    REQUIRE(findViolation(SystemModel(), 5) == "");
 }
--- a/Tests/LibEndpoint/TestEngineMessages.cpp
+++ b/Tests/LibEndpoint/TestEngineMessages.cpp
@@ -1,13 +1,13 @@
-/// @file What endpoints send is bounded and checked before it is believed.
+/// @file Tests that messages from endpoints are bounded and validated before they are used.
 
 #include "LibEndpoint/AnswerFramer.h"
 #include "LibEndpoint/EngineMessages.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("a status that is malformed, nested too deep or too long is an error and not an empty engine")
+TEST_CASE("a status that is malformed, nested too deeply or too long is an error and not an empty engine")
 {
-    // Taken for an engine without models, it would make the agent load everything again.
+    // If such a status counted as an engine without models, the agent would load all weights again.
     const std::string deep(100, '[');
     const std::string model = R"({"digest":"d","state":"serving"})";
     std::string models = model;
@@ -25,7 +25,7 @@
     }
 }
 
-TEST_CASE("an unknown state of a model is not taken for serving")
+TEST_CASE("a model in an unknown state does not count as serving")
 {
     const Core::Result<Endpoint::EngineStatus> status = Endpoint::parseStatus(R"({"models":[{"digest":"d","state":"warming"}],"capacity":4})", "engine");
     REQUIRE(status);
@@ -33,7 +33,7 @@
     REQUIRE(status.value().m_load.m_capacity == 4);
 }
 
-TEST_CASE("lines of an answer")
+TEST_CASE("lines of an answer are parsed, and malformed lines are errors")
 {
     REQUIRE(Endpoint::parseEngineLine(R"({"token":"a \"b\""})", "engine").value() == Endpoint::EngineLine{false, "a \"b\"", 0, ""});
     REQUIRE(Endpoint::parseEngineLine(R"({"end":true,"tokens":3,"digest":"d"})", "engine").value() == Endpoint::EngineLine{true, "", 3, "d"});
@@ -42,7 +42,7 @@
     REQUIRE_FALSE(Endpoint::parseEngineLine("", "engine"));
 }
 
-TEST_CASE("a caller's prompt cannot set what the system sets")
+TEST_CASE("a caller's prompt cannot override fields that the agent sets")
 {
     Protocol::LiveRequest request;
     request.m_attempt = "a1";
@@ -56,7 +56,7 @@
     REQUIRE(Endpoint::generateBody(request, "content").error().m_code == Core::ErrorCode::InvalidInput);
 }
 
-TEST_CASE("frames are numbered without gaps and the last one tells length and digest of the rest")
+TEST_CASE("frames are numbered without gaps and the end frame has the length and digest of the data")
 {
     Endpoint::AnswerFramer framer("a1", "version", 200);
     const Protocol::EndpointLoad load{2, 1, 8};
--- a/Tests/LibEndpoint/TestOrderDecision.cpp
+++ b/Tests/LibEndpoint/TestOrderDecision.cpp
@@ -1,4 +1,4 @@
-/// @file What the agent orders and attests.
+/// @file Tests of the decisions about orders and attestations.
 
 #include "LibEndpoint/OrderDecision.h"
 
@@ -17,7 +17,7 @@
 const KnownWeights Old{"manifest-old", "content-old", true};
 const KnownWeights New{"manifest-new", "content-new", true};
 
-OrderDecisionInput situation(std::uint32_t slots)
+OrderDecisionInput decisionInput(std::uint32_t slots)
 {
     OrderDecisionInput result;
     result.m_planOffset = 7;
@@ -35,10 +35,10 @@
 
 }
 
-TEST_CASE("partial weights are never ordered")
+TEST_CASE("partial weights are never loaded")
 {
-    // The plan names a version that is still on its way here. An engine that got what there is would draft with partial weights.
-    OrderDecisionInput partial = situation(2);
+    // A planned version is still being transferred. An engine that loaded the chunks held so far would generate with partial weights.
+    OrderDecisionInput partial = decisionInput(2);
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
     partial.m_knownWeights = {KnownWeights{New.m_manifestDigest, New.m_contentDigest, false}};
     REQUIRE_FALSE(Endpoint::decideOrder(partial, Start));
@@ -46,9 +46,9 @@
     REQUIRE(Endpoint::decideOrder(partial, Start) == Order{OrderKind::Load, New.m_manifestDigest, New.m_contentDigest, 7});
 }
 
-TEST_CASE("nothing is ordered without a plan, without the engine, or while it loads")
+TEST_CASE("no order is given without a plan, without a reachable engine or while the engine loads")
 {
-    OrderDecisionInput ready = situation(2);
+    OrderDecisionInput ready = decisionInput(2);
     ready.m_knownWeights = {New};
     OrderDecisionInput changed = ready;
     changed.m_planOffset = 0;
@@ -61,9 +61,9 @@
     REQUIRE_FALSE(Endpoint::decideOrder(changed, Start));
 }
 
-TEST_CASE("with a free slot the new version is loaded beside the old one, which goes after the grace period")
+TEST_CASE("with a free slot the new version is loaded beside the old one, which is unloaded after the grace period")
 {
-    OrderDecisionInput now = situation(2);
+    OrderDecisionInput now = decisionInput(2);
     now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Load);
@@ -77,9 +77,9 @@
     REQUIRE(Endpoint::decideOrder(now, Start + Core::Duration(1000)) == Order{OrderKind::Unload, Old.m_manifestDigest, Old.m_contentDigest, 7});
 }
 
-TEST_CASE("a version that the plan names again is not unloaded")
+TEST_CASE("a version that returns to the plan is not unloaded")
 {
-    OrderDecisionInput now = situation(2);
+    OrderDecisionInput now = decisionInput(2);
     now.m_knownWeights = {Old, New};
     now.m_engine.m_models = {serving(Old), serving(New)};
     now.m_retirementTimes = {{Old.m_contentDigest, Start}};
@@ -88,9 +88,9 @@
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start + Core::Duration(5000)));
 }
 
-TEST_CASE("an engine with one slot swaps only once the new version is whole here")
+TEST_CASE("an engine with one slot unloads the old version only once the new one is complete here")
 {
-    OrderDecisionInput now = situation(1);
+    OrderDecisionInput now = decisionInput(1);
     now.m_knownWeights = {Old};
     now.m_engine.m_models = {serving(Old)};
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start));
@@ -100,19 +100,19 @@
     REQUIRE(Endpoint::decideOrder(now, Start)->m_kind == OrderKind::Load);
 }
 
-TEST_CASE("after a restart of the agent the engine keeps what may be planned")
+TEST_CASE("after a restart of the agent, weights that may be planned stay in the engine")
 {
-    // The agent has lost its memory and does not know yet which manifest the engine's weights belong to. Unloading them would stop the service.
-    OrderDecisionInput now = situation(1);
+    // The restarted agent does not know yet which manifest the engine's weights belong to. Unloading them would stop the service.
+    OrderDecisionInput now = decisionInput(1);
     now.m_engine.m_models = {serving(New)};
     REQUIRE(Endpoint::retirementTimes(now, Start).empty());
     now.m_retirementTimes = Endpoint::retirementTimes(now, Start);
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start + Core::Duration(60000)));
 }
 
-TEST_CASE("weights under which the engine answered with another version are unloaded and not attested")
+TEST_CASE("weights for which the engine reported another version are unloaded and not attested")
 {
-    OrderDecisionInput now = situation(2);
+    OrderDecisionInput now = decisionInput(2);
     now.m_knownWeights = {New};
     now.m_engine.m_models = {serving(New)};
     now.m_mismatched = {New.m_contentDigest};
@@ -122,9 +122,9 @@
     REQUIRE_FALSE(Endpoint::decideOrder(now, Start));
 }
 
-TEST_CASE("only what the engine itself reports as serving, out of weights verified here, is attested")
+TEST_CASE("only weights that were verified here and that the engine reports as serving are attested")
 {
-    // The engine dies while it loads, or holds weights that somebody else gave it. Calls sent there would fail or get another version.
+    // The engine crashes while it loads, or holds weights from another source. Calls sent there would fail or get another version.
     Endpoint::EngineStatus engine;
     engine.m_reachable = true;
     engine.m_models = {EngineModel{New.m_contentDigest, ModelState::Loading, 0}, EngineModel{"content-foreign", ModelState::Serving, 0}};
@@ -136,7 +136,7 @@
     REQUIRE(Endpoint::attestationsOf(engine, {New, Old}, {}, {}).empty());
 }
 
-TEST_CASE("the deployments of a plan that concern an instance")
+TEST_CASE("deploymentsOf returns only the deployments with a replica on the instance")
 {
     Control::Plan plan;
     Control::Deployment mine;
--- a/Tests/LibEndpoint/TestOrderFence.cpp
+++ b/Tests/LibEndpoint/TestOrderFence.cpp
@@ -1,4 +1,4 @@
-/// @file Fencing of orders after pauses and restarts.
+/// @file Tests of order fencing after pauses and restarts of the agent.
 
 #include "LibEndpoint/OrderFence.h"
 
@@ -19,16 +19,16 @@
 
 }
 
-TEST_CASE("an order of a plan that was replaced is refused")
+TEST_CASE("an order from a replaced plan is refused")
 {
-    // The agent was paused with an order in hand, and the plan moved on. The order would bring back a withdrawn version.
+    // The agent was paused before it sent an order, and the plan was replaced. The order would restore a withdrawn version.
     OrderFence fence = Endpoint::withSeenOffset({}, 5);
     fence = Endpoint::withAnswer(fence, 8, Start);
     REQUIRE(codeOf(Endpoint::checkOrder(fence, 5, Start, Age)) == Core::ErrorCode::Conflict);
     REQUIRE(Endpoint::checkOrder(fence, 8, Start, Age));
 }
 
-TEST_CASE("a restarted agent gives no order before it has learned the highest number")
+TEST_CASE("a restarted agent gives no order before an entry has confirmed the newest plan")
 {
     REQUIRE(codeOf(Endpoint::checkOrder(OrderFence(), 5, Start, Age)) == Core::ErrorCode::Unavailable);
     const OrderFence seen = Endpoint::withSeenOffset({}, 5);
@@ -36,22 +36,22 @@
     REQUIRE(Endpoint::checkOrder(Endpoint::withAnswer(seen, 5, Start), 5, Start, Age));
 }
 
-TEST_CASE("a pause between the confirmation and the order is noticed")
+TEST_CASE("a pause between the confirmation and the order is detected")
 {
-    // The process stands still right after an entry has confirmed the plan, and goes on minutes later with a plan that is old by then.
+    // The process is paused right after an entry has confirmed the plan, and resumes minutes later when the plan may be outdated.
     const OrderFence fence = Endpoint::withAnswer(Endpoint::withSeenOffset({}, 5), 5, Start);
     REQUIRE(Endpoint::checkOrder(fence, 5, Start + Age, Age));
     REQUIRE(codeOf(Endpoint::checkOrder(fence, 5, Start + Age + Core::Duration(1), Age)) == Core::ErrorCode::Unavailable);
 }
 
-TEST_CASE("an entry that is behind confirms nothing")
+TEST_CASE("the answer of an entry that is behind is not a confirmation")
 {
     const OrderFence fence = Endpoint::withAnswer(Endpoint::withSeenOffset({}, 5), 4, Start);
     REQUIRE(fence.m_highestPlanOffset == 5);
     REQUIRE(codeOf(Endpoint::checkOrder(fence, 5, Start, Age)) == Core::ErrorCode::Unavailable);
 }
 
-TEST_CASE("each order needs a confirmation of its own, and a newer plan voids an older confirmation")
+TEST_CASE("each order requires its own confirmation, and a newer plan invalidates an older confirmation")
 {
     const OrderFence fence = Endpoint::withAnswer(Endpoint::withSeenOffset({}, 5), 5, Start);
     REQUIRE(codeOf(Endpoint::checkOrder(Endpoint::withConfirmationUsed(fence), 5, Start, Age)) == Core::ErrorCode::Unavailable);
@@ -61,16 +61,16 @@
 
 namespace {
 
-/// An agent with a plan in hand, the plans that operators put in force meanwhile, and the time.
-struct World
+/// An agent with its plan, the newest plan published by operators, and the time.
+struct SystemModel
 {
     OrderFence m_fence;
-    Control::Offset m_planInHand = 1;
-    Control::Offset m_newest = 1; ///< As every entry knows.
+    Control::Offset m_agentPlan = 1;
+    Control::Offset m_newest = 1; ///< Newest published plan, known to all entries.
     Core::Instant m_now = Start;
-    Core::Instant m_replacedAt = Start; ///< When the newest plan came into force.
+    Core::Instant m_replacedAt = Start; ///< Time at which the newest plan replaced the previous one.
     Control::Offset m_highestOrdered = 0;
-    bool m_broken = false;
+    bool m_isViolated = false;
     std::string m_trace;
 };
 
@@ -85,55 +85,56 @@
 
 constexpr std::array Events = {Event::Publish, Event::Ask, Event::LearnPlan, Event::Order, Event::Pause, Event::Restart};
 
-void apply(World &world, Event event)
+void apply(SystemModel &model, Event event)
 {
-    world.m_trace += std::to_string(static_cast<int>(event));
+    model.m_trace += std::to_string(static_cast<int>(event));
     switch (event) {
     case Event::Publish:
-        ++world.m_newest;
-        world.m_replacedAt = world.m_now;
+        ++model.m_newest;
+        model.m_replacedAt = model.m_now;
         break;
     case Event::Ask:
-        world.m_fence = Endpoint::withAnswer(world.m_fence, world.m_newest, world.m_now);
+        model.m_fence = Endpoint::withAnswer(model.m_fence, model.m_newest, model.m_now);
         break;
     case Event::LearnPlan:
-        world.m_planInHand = world.m_newest;
-        world.m_fence = Endpoint::withSeenOffset(world.m_fence, world.m_newest);
+        model.m_agentPlan = model.m_newest;
+        model.m_fence = Endpoint::withSeenOffset(model.m_fence, model.m_newest);
         break;
     case Event::Order:
-        if (Endpoint::checkOrder(world.m_fence, world.m_planInHand, world.m_now, Age)) {
-            // An order may be as old as the confirmation, but neither older than that nor below an earlier order.
-            const bool staleTooLong = world.m_planInHand < world.m_newest && world.m_now - world.m_replacedAt > Age;
-            world.m_broken = world.m_broken || staleTooLong || world.m_planInHand < world.m_highestOrdered;
-            world.m_highestOrdered = std::max(world.m_highestOrdered, world.m_planInHand);
-            world.m_fence = Endpoint::withConfirmationUsed(world.m_fence);
+        if (Endpoint::checkOrder(model.m_fence, model.m_agentPlan, model.m_now, Age)) {
+            // An order may be as outdated as the confirmation allows, but not more, and must not be from an older plan than an earlier order.
+            const bool isStaleTooLong = model.m_agentPlan < model.m_newest && model.m_now - model.m_replacedAt > Age;
+            model.m_isViolated = model.m_isViolated || isStaleTooLong || model.m_agentPlan < model.m_highestOrdered;
+            model.m_highestOrdered = std::max(model.m_highestOrdered, model.m_agentPlan);
+            model.m_fence = Endpoint::withConfirmationUsed(model.m_fence);
         }
         break;
     case Event::Pause:
-        world.m_now += Age + Core::Duration(1);
+        model.m_now += Age + Core::Duration(1);
         break;
     case Event::Restart:
-        // A fresh process may start from the oldest plan that some lagging feed still has.
-        world.m_fence = OrderFence();
-        world.m_planInHand = 1;
+        // A new process may start from the oldest plan that a lagging feed still provides.
+        model.m_fence = OrderFence();
+        model.m_agentPlan = 1;
         break;
     }
 }
 
-std::string findBreach(const World &world, int depth)
+/// Explores all sequences of up to @p depth events. Returns the trace of the first one that violates the invariant, or an empty text.
+std::string findViolation(const SystemModel &model, int depth)
 {
-    if (world.m_broken) {
-        return world.m_trace;
+    if (model.m_isViolated) {
+        return model.m_trace;
     }
     for (const Event event : Events) {
         if (depth == 0) {
             return "";
         }
-        World next = world;
+        SystemModel next = model;
         apply(next, event);
-        const std::string breach = findBreach(next, depth - 1);
-        if (!breach.empty()) {
-            return breach;
+        const std::string violation = findViolation(next, depth - 1);
+        if (!violation.empty()) {
+            return violation;
         }
     }
     return "";
@@ -141,7 +142,7 @@
 
 }
 
-TEST_CASE("model check: no order follows a plan that was replaced longer ago than the confirmation may be old")
+TEST_CASE("model check: no order is given from a plan that was replaced longer ago than the maximum age of a confirmation")
 {
-    REQUIRE(findBreach(World(), 7) == "");
+    REQUIRE(findViolation(SystemModel(), 7) == "");
 }
--- a/Tests/LibEndpoint/TestPriorityPool.cpp
+++ b/Tests/LibEndpoint/TestPriorityPool.cpp
@@ -1,4 +1,4 @@
-/// @file Order, bounds and end of the pool that runs live calls.
+/// @file Tests of the order, bounds and shutdown of PriorityPool.
 
 #include "LibEndpoint/PriorityPool.h"
 
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// A pool of one thread whose first job holds it until the gate opens.
-struct HeldPool
+/// A pool with one thread, which is blocked by the first job until finish() is called.
+struct BlockedPool
 {
     std::promise<void> m_started;
-    std::promise<void> m_gate;
-    std::shared_future<void> m_opened = m_gate.get_future().share();
+    std::promise<void> m_unblock;
+    std::shared_future<void> m_unblocked = m_unblock.get_future().share();
     std::vector<int> m_ran; ///< Written by the pool's only thread.
     Endpoint::PriorityPool<int> m_pool;
 
-    explicit HeldPool(std::size_t queue)
+    explicit BlockedPool(std::size_t queue)
         : m_pool(Endpoint::PoolLimits{1, queue, Core::Duration(1000)}, [this](int job) { run(job); })
     {
         REQUIRE(m_pool.tryPush(0, 0));
@@ -28,14 +28,14 @@
     {
         if (job == 0) {
             m_started.set_value();
-            m_opened.wait();
+            m_unblocked.wait();
         }
         m_ran.push_back(job);
     }
 
     void finish()
     {
-        m_gate.set_value();
+        m_unblock.set_value();
         while (m_pool.queued() > 0 || m_pool.running() > 0) {
             std::this_thread::yield();
         }
@@ -44,23 +44,23 @@
 
 }
 
-TEST_CASE("larger priorities go first, equal ones in the order of arrival")
+TEST_CASE("jobs with larger priorities run first, and equal ones in the order of arrival")
 {
-    HeldPool held(8);
-    REQUIRE(held.m_pool.tryPush(1, 0));
-    REQUIRE(held.m_pool.tryPush(2, 5));
-    REQUIRE(held.m_pool.tryPush(3, 0));
-    REQUIRE(held.m_pool.tryPush(4, 5));
-    held.finish();
-    REQUIRE(held.m_ran == std::vector<int>{0, 2, 4, 1, 3});
+    BlockedPool blocked(8);
+    REQUIRE(blocked.m_pool.tryPush(1, 0));
+    REQUIRE(blocked.m_pool.tryPush(2, 5));
+    REQUIRE(blocked.m_pool.tryPush(3, 0));
+    REQUIRE(blocked.m_pool.tryPush(4, 5));
+    blocked.finish();
+    REQUIRE(blocked.m_ran == std::vector<int>{0, 2, 4, 1, 3});
 }
 
-TEST_CASE("a full queue refuses at once, and so does a stopped pool")
+TEST_CASE("a full queue and a stopped pool refuse jobs at once")
 {
-    HeldPool held(1);
-    REQUIRE(held.m_pool.tryPush(1, 0));
-    REQUIRE_FALSE(held.m_pool.tryPush(2, 9));
-    held.finish();
-    held.m_pool.stop();
-    REQUIRE_FALSE(held.m_pool.tryPush(3, 0));
+    BlockedPool blocked(1);
+    REQUIRE(blocked.m_pool.tryPush(1, 0));
+    REQUIRE_FALSE(blocked.m_pool.tryPush(2, 9));
+    blocked.finish();
+    blocked.m_pool.stop();
+    REQUIRE_FALSE(blocked.m_pool.tryPush(3, 0));
 }
--- a/Tests/LibEndpoint/TestReportWorker.cpp
+++ b/Tests/LibEndpoint/TestReportWorker.cpp
@@ -1,10 +1,10 @@
-/// @file When an agent reports.
+/// @file Tests of the intervals and urgency of an agent's reports.
 
 #include "LibEndpoint/ReportWorker.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("few watchers get a report a second, many share a bounded rate, and none waits longer than the limit")
+TEST_CASE("few watchers get a report each second, many share a limited rate, and the interval has a maximum")
 {
     const Endpoint::ReportSettings settings;
     REQUIRE(Endpoint::reportInterval(settings, 0, 500) == Core::Duration(1000));
@@ -13,7 +13,7 @@
     REQUIRE(Endpoint::reportInterval(settings, 64, 1000) == Core::Duration(2000));
 }
 
-TEST_CASE("news that routing depends on is urgent, load and progress are not")
+TEST_CASE("changes that routing depends on are urgent; load and progress are not")
 {
     Protocol::AgentReport last;
     last.m_endpointHealthy = true;
