--- a/Libraries/LibRouting/AnswerChecker.cpp
+++ b/Libraries/LibRouting/AnswerChecker.cpp
@@ -1,4 +1,4 @@
-/// @file Checks on the frames of an answer.
+/// @file Validation of the frames of an answer.
 
 #include "LibRouting/AnswerChecker.h"
 
--- a/Libraries/LibRouting/AnswerChecker.h
+++ b/Libraries/LibRouting/AnswerChecker.h
@@ -1,4 +1,4 @@
-/// @file The check that an answer is whole, in order, and this attempt's own.
+/// @file Checks that an answer is complete, in order, and belongs to the attempt.
 #pragma once
 
 #include "LibCore/Digest.h"
@@ -11,21 +11,21 @@
 namespace Routing {
 
 /**
- * Checks each frame of one attempt's answer before any of it goes to the caller.
+ * Validates each frame of one attempt's answer before any of it is sent to the caller.
  *
- * Frames can come late from an earlier attempt, crossed with those of another, twice, or not at all after a cut. A caller would then see
- * somebody else's text, a word twice, or a draft that stops in the middle and looks complete. So a frame must name this attempt, continue the
- * numbering and come from the wanted version, and the answer is whole only after an end frame whose length and digest match.
+ * Frames can arrive late from an earlier attempt, belong to another attempt, be duplicated, or be missing after a broken connection. A caller
+ * could then receive another caller's text, repeated words, or a truncated answer that looks complete. A frame must therefore name this
+ * attempt, have the next number and come from the expected version. The answer is complete only after an end frame whose length and digest match.
  */
 class AnswerChecker
 {
 public:
-    /// @p version is the digest that must answer; empty for plain services.
+    /// @p version is the digest of the expected version; empty for plain services. @p peer names the agent in errors.
     AnswerChecker(std::string attempt, std::string version, std::string peer);
 
-    /// Fails with Corrupt, after which nothing more of the answer may be used.
+    /// Fails with Corrupt on an invalid frame; the rest of the answer must then be discarded.
     Core::Result<void> check(const Protocol::AnswerFrame &frame);
-    /// True once a correct end frame came.
+    /// True once a valid end frame has been checked.
     bool isComplete() const
     {
         return m_complete;
--- a/Libraries/LibRouting/Endpoint.cpp
+++ b/Libraries/LibRouting/Endpoint.cpp
@@ -1,4 +1,4 @@
-/// @file Rules over one endpoint.
+/// @file Availability and load estimates of one endpoint.
 
 #include "LibRouting/Endpoint.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Cost of an idle endpoint, as a share of that of a full one.
+/// Added to the load, so that the call time of an idle endpoint still counts in its cost. A full endpoint has a load of 1.
 constexpr double IdleCost = 0.5;
 
 }
--- a/Libraries/LibRouting/Endpoint.h
+++ b/Libraries/LibRouting/Endpoint.h
@@ -1,4 +1,4 @@
-/// @file What an entry knows of one endpoint, and the rules that follow from that alone.
+/// @file An entry's view of one endpoint, and the availability and load rules that depend only on it.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -10,46 +10,46 @@
 
 namespace Routing {
 
-/// Time without a report after which an endpoint's agent counts as gone. Reports come at least once a second.
+/// Time without a report after which an endpoint is unavailable. Agents report at least once a second.
 inline constexpr Core::Duration ReportTimeout{3500};
 
-/// One endpoint as the entry sees it. The load is as old as the report; the outstanding work is the entry's own and exact.
+/// An entry's view of one endpoint. The load dates from the newest report; the number of outstanding calls covers this entry only and is exact.
 struct EndpointView
 {
     Protocol::Member m_member; ///< The agent beside the endpoint.
-    std::uint64_t m_sequence = 0; ///< Of the newest report of this incarnation.
+    std::uint64_t m_sequence = 0; ///< Sequence number of the newest report of this incarnation.
     bool m_healthy = false;
     std::vector<Protocol::Attestation> m_attestations;
     Protocol::EndpointLoad m_load;
     Core::Instant m_lastReportTime;
-    Core::Instant m_avoidUntil; ///< No new work before this, after a failed call.
+    Core::Instant m_avoidUntil; ///< No new calls before this time; set after a failed call.
     std::uint32_t m_outstanding = 0; ///< Calls of this entry that have not ended.
-    std::uint32_t m_outstandingAtReport = 0; ///< m_outstanding when the newest report came: what the reported load already contains.
-    double m_meanCallSeconds = 0; ///< Moving average of the time of this entry's calls; 0 before the first.
-    std::uint64_t m_hash = 0; ///< Stable hash of the instance's name, for rendezvous.
+    std::uint32_t m_outstandingAtReport = 0; ///< m_outstanding when the newest report arrived; the reported load already contains these calls.
+    double m_meanCallSeconds = 0; ///< Moving average of the duration of this entry's calls; 0 before the first has ended.
+    std::uint64_t m_hash = 0; ///< Stable hash of the instance's name, for rendezvous hashing.
 
     bool operator==(const EndpointView &) const = default;
 };
 
-/// True if the endpoint itself may take new work: heard of lately, healthy, not leaving and not put aside after a failure.
+/// True if the endpoint can take new calls: it reported recently, is healthy, is not leaving and is not avoided after a failure.
 bool isAvailable(const EndpointView &endpoint, Core::Instant now);
 
-/// True if the endpoint serves exactly this version; the empty digest stands for a plain service, which has no versions.
+/// True if the endpoint attests that it serves this version. Always true for an empty digest, which stands for a plain service without versions.
 bool attests(const EndpointView &endpoint, const std::string &digest);
 
-/// Available and serving the wanted version, the only endpoints that a request may be sent to.
+/// True if the endpoint is available and attests the version. Requests are sent to eligible endpoints only.
 bool isEligible(const EndpointView &endpoint, const std::string &digest, Core::Instant now);
 
-/// Requests believed to be at the endpoint now: the reported ones, corrected by the entry's own work since the report.
+/// Estimates the requests at the endpoint now: the reported ones, corrected by the calls that this entry has started or ended since the report.
 std::uint32_t estimatedRequests(const EndpointView &endpoint);
 
-/// estimatedRequests() relative to the requests that the endpoint runs at once.
+/// estimatedRequests() divided by the number of requests that the endpoint runs concurrently.
 double estimatedLoad(const EndpointView &endpoint);
 
-/// How long another request would take, relative to other endpoints: its own calls' time so far, and more the fuller it is. 0 until a call has ended.
+/// Relative cost of one more request, to compare endpoints by: the mean call time, scaled by the load. 0 until a call has ended.
 double estimatedCost(const EndpointView &endpoint);
 
-/// True if another request would start at once, as far as the entry can tell.
+/// True if one more request would start at once according to estimatedRequests().
 bool hasFreeSlot(const EndpointView &endpoint);
 
 }
--- a/Libraries/LibRouting/EndpointSelection.cpp
+++ b/Libraries/LibRouting/EndpointSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Strategies for the choice of an endpoint.
+/// @file Strategies for the selection of an endpoint.
 
 #include "LibRouting/EndpointSelection.h"
 
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// Random samples before every member of the group is looked at.
+/// Random samples before all members of the group are scanned.
 constexpr int MaximumSamples = 6;
-/// Load above the mean, relative to it, up to which affinity outweighs balance.
+/// Excess over the mean load, relative to it, up to which a request still goes to its prefix's endpoint.
 constexpr double AffinitySlack = 0.25;
-/// An endpoint whose calls take this many times the mean does not keep its prefixes.
+/// An endpoint whose mean call time exceeds the group's mean by this factor gets no requests by prefix affinity.
 constexpr double SlowFactor = 2;
-/// Bytes of the prompt that count as its prefix.
+/// Leading bytes of the prompt that count as its prefix.
 constexpr std::size_t PrefixBytes = 256;
 
-/// Everything that the strategies look at for one request.
-struct Choice
+/// Inputs of the strategies for one request.
+struct SelectionContext
 {
     const EndpointTable &m_table;
     std::span<const EndpointIndex> m_members;
@@ -28,28 +28,28 @@
     Core::Instant m_now;
 };
 
-bool mayTake(const Choice &choice, const EndpointView &endpoint)
+bool isCandidate(const SelectionContext &context, const EndpointView &endpoint)
 {
-    if (!isEligible(endpoint, choice.m_group.m_digest, choice.m_now)) {
+    if (!isEligible(endpoint, context.m_group.m_digest, context.m_now)) {
         return false;
     }
-    if (choice.m_request.m_needsFreeSlot && !hasFreeSlot(endpoint)) {
+    if (context.m_request.m_needsFreeSlot && !hasFreeSlot(endpoint)) {
         return false;
     }
-    const std::span<const std::string> excluded = choice.m_request.m_excluded;
+    const std::span<const std::string> excluded = context.m_request.m_excluded;
     return std::find(excluded.begin(), excluded.end(), endpoint.m_member.m_id) == excluded.end();
 }
 
-/// The member with the least cost among those that may take the request; ties go to a random one.
+/// Returns the candidate with the lowest cost; ties are broken at random.
 template <typename Cost>
-std::optional<EndpointIndex> cheapest(const Choice &choice, Core::Random &random, Cost cost)
+std::optional<EndpointIndex> selectCheapest(const SelectionContext &context, Core::Random &random, Cost cost)
 {
     std::optional<EndpointIndex> best;
     double bestCost = std::numeric_limits<double>::infinity();
     std::uint64_t ties = 0;
-    for (const EndpointIndex index : choice.m_members) {
-        const EndpointView &endpoint = choice.m_table.at(index);
-        if (!mayTake(choice, endpoint)) {
+    for (const EndpointIndex index : context.m_members) {
+        const EndpointView &endpoint = context.m_table.at(index);
+        if (!isCandidate(context, endpoint)) {
             continue;
         }
         const double value = cost(endpoint);
@@ -62,44 +62,44 @@
     return best;
 }
 
-EndpointIndex sample(const Choice &choice, Core::Random &random)
+EndpointIndex sample(const SelectionContext &context, Core::Random &random)
 {
-    return choice.m_members[random.below(choice.m_members.size())];
+    return context.m_members[random.below(context.m_members.size())];
 }
 
-std::optional<EndpointIndex> pickRandom(const Choice &choice, Core::Random &random)
+std::optional<EndpointIndex> selectRandom(const SelectionContext &context, Core::Random &random)
 {
-    return cheapest(choice, random, [](const EndpointView &) { return 0.0; });
+    return selectCheapest(context, random, [](const EndpointView &) { return 0.0; });
 }
 
-std::optional<EndpointIndex> pickLeastReported(const Choice &choice, Core::Random &random)
+std::optional<EndpointIndex> selectLeastReported(const SelectionContext &context, Core::Random &random)
 {
-    return cheapest(choice, random, [](const EndpointView &endpoint) {
+    return selectCheapest(context, random, [](const EndpointView &endpoint) {
         return static_cast<double>(endpoint.m_load.m_running + endpoint.m_load.m_queued) / std::max(1U, endpoint.m_load.m_capacity);
     });
 }
 
-std::optional<EndpointIndex> pickFastestFree(const Choice &choice, Core::Random &random)
+std::optional<EndpointIndex> selectFastestFree(const SelectionContext &context, Core::Random &random)
 {
-    return cheapest(choice, random, [](const EndpointView &endpoint) { return endpoint.m_meanCallSeconds; });
+    return selectCheapest(context, random, [](const EndpointView &endpoint) { return endpoint.m_meanCallSeconds; });
 }
 
-/// Samples until two members may take the request. Falls back to a look at all, so that the last endpoint with room is found too.
-std::optional<EndpointIndex> pickOfTwo(const Choice &choice, Core::Random &random)
+/// Samples until two candidates are found and returns the cheaper one. Scans all members if none is found, so that the last free slot is used too.
+std::optional<EndpointIndex> selectOfTwo(const SelectionContext &context, Core::Random &random)
 {
     std::optional<EndpointIndex> first;
     for (int attempt = 0; attempt < MaximumSamples; ++attempt) {
-        const EndpointIndex index = sample(choice, random);
-        if (!mayTake(choice, choice.m_table.at(index)) || (first && *first == index)) {
+        const EndpointIndex index = sample(context, random);
+        if (!isCandidate(context, context.m_table.at(index)) || (first && *first == index)) {
             continue;
         }
         if (!first) {
             first = index;
             continue;
         }
-        return estimatedCost(choice.m_table.at(index)) < estimatedCost(choice.m_table.at(*first)) ? index : *first;
+        return estimatedCost(context.m_table.at(index)) < estimatedCost(context.m_table.at(*first)) ? index : *first;
     }
-    return first ? first : cheapest(choice, random, estimatedCost);
+    return first ? first : selectCheapest(context, random, estimatedCost);
 }
 
 std::uint64_t affinityWeight(std::uint64_t affinity, std::uint64_t endpointHash)
@@ -108,8 +108,9 @@
     return mixer.next();
 }
 
-/// The prefix's endpoint by rendezvous hashing, if its load is within the slack above the mean of those that may take the request.
-std::optional<EndpointIndex> pickByAffinity(const Choice &choice, Core::Random &random)
+/// Returns the prefix's endpoint by rendezvous hashing. Falls back to selectOfTwo() if that endpoint cannot take the request, is slow, or has a load
+/// that exceeds the mean of the available members by more than AffinitySlack.
+std::optional<EndpointIndex> selectByAffinity(const SelectionContext &context, Core::Random &random)
 {
     std::optional<EndpointIndex> owner;
     std::uint64_t ownerWeight = 0;
@@ -117,29 +118,29 @@
     std::uint64_t capacity = 0;
     std::uint64_t available = 0;
     double seconds = 0;
-    for (const EndpointIndex index : choice.m_members) {
-        const EndpointView &endpoint = choice.m_table.at(index);
-        if (!isAvailable(endpoint, choice.m_now)) {
+    for (const EndpointIndex index : context.m_members) {
+        const EndpointView &endpoint = context.m_table.at(index);
+        if (!isAvailable(endpoint, context.m_now)) {
             continue;
         }
         requests += estimatedRequests(endpoint);
         seconds += endpoint.m_meanCallSeconds;
         available += 1;
         capacity += std::max(1U, endpoint.m_load.m_capacity);
-        const std::uint64_t weight = affinityWeight(choice.m_request.m_affinity, endpoint.m_hash);
+        const std::uint64_t weight = affinityWeight(context.m_request.m_affinity, endpoint.m_hash);
         if (!owner || weight > ownerWeight) {
             owner = index;
             ownerWeight = weight;
         }
     }
-    if (!owner || !mayTake(choice, choice.m_table.at(*owner))) {
-        return pickOfTwo(choice, random);
+    if (!owner || !isCandidate(context, context.m_table.at(*owner))) {
+        return selectOfTwo(context, random);
     }
-    const EndpointView &endpoint = choice.m_table.at(*owner);
+    const EndpointView &endpoint = context.m_table.at(*owner);
     const double bound = (1 + AffinitySlack) * static_cast<double>(requests + 1) / static_cast<double>(capacity);
     const bool withinBound = estimatedRequests(endpoint) == 0 || estimatedLoad(endpoint) <= bound;
     const bool isSlow = endpoint.m_meanCallSeconds > SlowFactor * seconds / static_cast<double>(available);
-    return withinBound && !isSlow ? owner : pickOfTwo(choice, random);
+    return withinBound && !isSlow ? owner : selectOfTwo(context, random);
 }
 
 }
@@ -152,21 +153,21 @@
 std::optional<EndpointIndex>
 selectEndpoint(Strategy strategy, const EndpointTable &table, const GroupKey &group, const SelectionRequest &request, Core::Instant now, Core::Random &random)
 {
-    const Choice choice{table, table.group(group), group, request, now};
-    if (choice.m_members.empty()) {
+    const SelectionContext context{table, table.group(group), group, request, now};
+    if (context.m_members.empty()) {
         return std::nullopt;
     }
     switch (strategy) {
     case Strategy::Random:
-        return pickRandom(choice, random);
+        return selectRandom(context, random);
     case Strategy::LeastReportedLoad:
-        return pickLeastReported(choice, random);
+        return selectLeastReported(context, random);
     case Strategy::JoinFastestFreeServer:
-        return pickFastestFree(choice, random);
+        return selectFastestFree(context, random);
     case Strategy::PowerOfTwoChoices:
-        return pickOfTwo(choice, random);
+        return selectOfTwo(context, random);
     case Strategy::PrefixAffinity:
-        return request.m_affinity == 0 ? pickOfTwo(choice, random) : pickByAffinity(choice, random);
+        return request.m_affinity == 0 ? selectOfTwo(context, random) : selectByAffinity(context, random);
     }
     return std::nullopt;
 }
--- a/Libraries/LibRouting/EndpointTable.cpp
+++ b/Libraries/LibRouting/EndpointTable.cpp
@@ -1,4 +1,4 @@
-/// @file Slots and groups of endpoints.
+/// @file Indices and groups of endpoints.
 
 #include "LibRouting/EndpointTable.h"
 #include "LibCore/Random.h"
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Weight of the newest call in the moving average of service times.
+/// Weight of the newest call in the moving average of call times.
 constexpr double AverageShare = 0.1;
 
-bool servesTheSame(const EndpointView &endpoint, const Protocol::AgentReport &report)
+bool servesSameVersions(const EndpointView &endpoint, const Protocol::AgentReport &report)
 {
     return endpoint.m_member.m_service == report.m_member.m_service && endpoint.m_attestations == report.m_attestations;
 }
@@ -37,7 +37,7 @@
     } else if (report.m_sequence <= endpoint.m_sequence && known) {
         return;
     }
-    const bool regroup = !known || !servesTheSame(endpoint, report);
+    const bool regroup = !known || !servesSameVersions(endpoint, report);
     endpoint.m_member = report.m_member;
     endpoint.m_sequence = report.m_sequence;
     endpoint.m_healthy = report.m_endpointHealthy;
--- a/Libraries/LibRouting/EndpointTable.h
+++ b/Libraries/LibRouting/EndpointTable.h
@@ -1,4 +1,4 @@
-/// @file Every endpoint that an entry watches, with the groups that can serve the same requests.
+/// @file The endpoints that an entry watches, grouped by the requests that they can serve.
 #pragma once
 
 #include "LibRouting/Endpoint.h"
@@ -10,7 +10,7 @@
 
 namespace Routing {
 
-/// Requests that any of the same endpoints can answer: one version of a model, or a plain service with an empty digest.
+/// Identifies a group of interchangeable endpoints: those that serve one version of a model, or a plain service (with an empty digest).
 struct GroupKey
 {
     std::string m_service;
@@ -22,20 +22,20 @@
 using EndpointIndex = std::uint32_t;
 
 /**
- * Keeps endpoints in slots with stable indices, and for each group the indices of its members.
+ * Stores endpoints under stable indices, and for each group the indices of its members.
  *
- * Groups are rebuilt when a report changes what an endpoint serves, and only looked up for a request, so that a routing decision costs no
- * allocation and does not grow with the number of endpoints.
+ * Groups are rebuilt when a report changes what an endpoint serves, and only looked up for a request, so that a routing decision allocates
+ * nothing and its cost does not grow with the total number of endpoints.
  */
 class EndpointTable
 {
 public:
-    /// Takes in a report. Older reports of the same incarnation are ignored; a new incarnation starts afresh.
+    /// Applies a report. Ignores older reports of the same incarnation; a new incarnation resets the endpoint's state.
     void update(const Protocol::AgentReport &report, Core::Instant now);
-    /// Forgets an instance that is no longer watched. Its slot stays until its outstanding calls have ended.
+    /// Makes an instance that is no longer watched unavailable. Its index stays valid, since calls to it may be outstanding.
     void remove(const std::string &instance);
 
-    /// The stream of reports has ended: the endpoint is not available until the next report.
+    /// Makes the endpoint unavailable until its next report, after its stream of reports has ended.
     void markUnavailable(const std::string &instance);
 
     const EndpointView *find(const std::string &instance) const;
@@ -47,24 +47,24 @@
     {
         return m_endpoints;
     }
-    /// Members of the group in order of their slots; available or not.
+    /// Members of the group in ascending order of index, available or not.
     std::span<const EndpointIndex> group(const GroupKey &key) const;
-    /// Members of the group that are available.
+    /// Number of available members of the group.
     std::size_t countAvailable(const GroupKey &key, Core::Instant now) const;
-    /// Endpoints of a service that are available, whatever they serve.
+    /// Number of available endpoints of a service, whichever versions they serve.
     std::size_t countServiceAvailable(const std::string &service, Core::Instant now) const;
 
-    /// A call of this entry starts at the endpoint.
+    /// Counts a call that this entry starts at the endpoint.
     void onCallStarted(EndpointIndex index);
-    /// The call has ended. @p seconds is negative if it does not count for the average.
+    /// Counts a call as ended; ignores calls to another incarnation. @p seconds is the call's duration, negative if it must not count in the average.
     void onCallEnded(EndpointIndex index, const std::string &incarnation, double seconds);
-    /// Puts the endpoint aside after a failure that says something about it.
+    /// Makes the endpoint unavailable until the given time, after a failure of the endpoint or of the connection to it.
     void avoid(EndpointIndex index, Core::Instant until);
 
 private:
     void rebuildGroups();
 
-    std::vector<EndpointView> m_endpoints; ///< A slot whose instance is not in m_slots is free and never available.
+    std::vector<EndpointView> m_endpoints; ///< Never shrinks, so that indices stay valid.
     std::map<std::string, EndpointIndex> m_indexes; ///< By name of the instance.
     std::map<GroupKey, std::vector<EndpointIndex>> m_groups;
 };
--- a/Libraries/LibRouting/FairQueue.cpp
+++ b/Libraries/LibRouting/FairQueue.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Idle accounts that are remembered for their charges.
+/// Maximum accounts kept while the queue is empty. Above this, all are removed and their virtual start times are lost.
 constexpr std::size_t MaximumAccounts = 4096;
 
-double chargeOf(const QueuedRequest &waiting)
+double chargeOf(const QueuedRequest &request)
 {
-    return waiting.m_cost / std::max(1U, waiting.m_weight);
+    return request.m_cost / std::max(1U, request.m_weight);
 }
 
 }
@@ -23,20 +23,20 @@
 {
 }
 
-bool FairQueue::push(QueuedRequest waiting)
+bool FairQueue::push(QueuedRequest request)
 {
-    Account &account = m_accounts[waiting.m_account];
+    Account &account = m_accounts[request.m_account];
     if (account.m_requests.size() >= m_maximumPerAccount) {
         return false;
     }
     if (account.m_requests.empty()) {
         account.m_nextStart = std::max(account.m_nextStart, m_virtualTime);
     }
-    account.m_weight = std::max(1U, waiting.m_weight);
-    const std::int32_t priority = waiting.m_priority;
+    account.m_weight = std::max(1U, request.m_weight);
+    const std::int32_t priority = request.m_priority;
     const std::deque<QueuedRequest>::const_iterator position =
         std::find_if(account.m_requests.begin(), account.m_requests.end(), [priority](const QueuedRequest &other) { return other.m_priority < priority; });
-    account.m_requests.insert(position, std::move(waiting));
+    account.m_requests.insert(position, std::move(request));
     m_size += 1;
     return true;
 }
@@ -65,12 +65,12 @@
         return std::nullopt;
     }
     Account &account = m_accounts[next->first];
-    QueuedRequest waiting = std::move(account.m_requests.front());
+    QueuedRequest request = std::move(account.m_requests.front());
     account.m_requests.pop_front();
     m_size -= 1;
     m_virtualTime = std::max(m_virtualTime, account.m_nextStart);
-    account.m_nextStart += chargeOf(waiting);
-    return waiting;
+    account.m_nextStart += chargeOf(request);
+    return request;
 }
 
 void FairQueue::charge(const QueuedRequest &started)
@@ -85,11 +85,11 @@
 bool FairQueue::remove(Ticket ticket)
 {
     for (std::pair<const std::string, Account> &entry : m_accounts) {
-        std::deque<QueuedRequest> &waiting = entry.second.m_requests;
+        std::deque<QueuedRequest> &requests = entry.second.m_requests;
         const std::deque<QueuedRequest>::const_iterator it =
-            std::find_if(waiting.begin(), waiting.end(), [ticket](const QueuedRequest &candidate) { return candidate.m_ticket == ticket; });
-        if (it != waiting.end()) {
-            waiting.erase(it);
+            std::find_if(requests.begin(), requests.end(), [ticket](const QueuedRequest &candidate) { return candidate.m_ticket == ticket; });
+        if (it != requests.end()) {
+            requests.erase(it);
             m_size -= 1;
             return true;
         }
@@ -101,11 +101,11 @@
 {
     std::vector<QueuedRequest> expired;
     for (std::pair<const std::string, Account> &entry : m_accounts) {
-        std::deque<QueuedRequest> &waiting = entry.second.m_requests;
+        std::deque<QueuedRequest> &requests = entry.second.m_requests;
         const std::deque<QueuedRequest>::iterator first =
-            std::stable_partition(waiting.begin(), waiting.end(), [now](const QueuedRequest &candidate) { return now < candidate.m_deadline; });
-        std::move(first, waiting.end(), std::back_inserter(expired));
-        waiting.erase(first, waiting.end());
+            std::stable_partition(requests.begin(), requests.end(), [now](const QueuedRequest &candidate) { return now < candidate.m_deadline; });
+        std::move(first, requests.end(), std::back_inserter(expired));
+        requests.erase(first, requests.end());
     }
     m_size -= expired.size();
     return expired;
--- a/Libraries/LibRouting/FairQueue.h
+++ b/Libraries/LibRouting/FairQueue.h
@@ -1,4 +1,4 @@
-/// @file Requests that wait for an endpoint, shared fairly between client accounts.
+/// @file Queue of requests that wait for an endpoint, fair between client accounts.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -12,6 +12,7 @@
 
 namespace Routing {
 
+/// Identifies a request at the scheduler.
 using Ticket = std::uint64_t;
 
 /// A request in the queue.
@@ -19,63 +20,63 @@
 {
     Ticket m_ticket = 0;
     std::string m_account;
-    std::uint32_t m_weight = 1; ///< The account's share, relative to the others.
-    std::int32_t m_priority = 0; ///< Within the account; larger goes first.
-    double m_cost = 1; ///< Work that the request asks for, in any unit that is the same for all.
+    std::uint32_t m_weight = 1; ///< The account's share, relative to other accounts.
+    std::int32_t m_priority = 0; ///< Within the account; higher values are served first.
+    double m_cost = 1; ///< Work that the request asks for, in a unit that is the same for all requests of the queue.
     Core::Instant m_deadline;
 
     bool operator==(const QueuedRequest &) const = default;
 };
 
 /**
- * Start-time fair queueing over accounts, with a bounded queue for each.
+ * Start-time fair queueing over accounts, with a bounded queue for each account.
  *
- * The account with the smallest virtual start time goes next and is charged cost over weight, so that a few large accounts with long queues
- * cannot delay the small ones by more than a request each. Priorities order requests inside an account only; else one account could raise
- * itself above the others.
+ * The account with the smallest virtual start time is served next and charged the request's cost divided by its weight, so that large accounts
+ * with long queues delay a small one by at most one request each. Priorities order requests within an account only; otherwise an account could
+ * raise its requests above those of other accounts.
  */
 class FairQueue
 {
 public:
     explicit FairQueue(std::size_t maximumPerAccount);
 
-    /// False if the account's queue is full.
-    bool push(QueuedRequest waiting);
-    /// The next request whose turn it is; it stays in the queue.
+    /// Queues a request. Returns false if the account's queue is full.
+    bool push(QueuedRequest request);
+    /// Returns the request that is served next, without removing it; null if the queue is empty.
     const QueuedRequest *front() const;
-    /// Takes front() out and charges its account.
+    /// Removes front() and charges its account.
     std::optional<QueuedRequest> pop();
-    /// Charges an account for work that did not have to wait.
+    /// Charges an account for a request that started without waiting in the queue.
     void charge(const QueuedRequest &started);
-    /// Takes one request out without charge; false if it is not here.
+    /// Removes a request without charging its account. Returns false if it is not queued.
     bool remove(Ticket ticket);
-    /// Takes out every request whose deadline has passed.
+    /// Removes and returns every request whose deadline has passed.
     std::vector<QueuedRequest> removeExpired(Core::Instant now);
 
     std::size_t size() const
     {
         return m_size;
     }
-    /// Requests that would be served before the next one of an account, if all ask for the same work and no others come.
+    /// Estimates how many queued requests would be served before a new one of the account, assuming equal costs and no further arrivals.
     double requestsAhead(const std::string &account, std::uint32_t weight) const;
     std::size_t sizeOf(const std::string &account) const;
 
 private:
     struct Account
     {
-        std::uint32_t m_weight = 1; ///< Of its newest request.
-        double m_nextStart = 0; ///< Virtual time at which its next request may start.
-        std::deque<QueuedRequest> m_requests; ///< By falling priority, then by arrival; at most m_maximumPerAccount.
+        std::uint32_t m_weight = 1; ///< Weight of its newest request.
+        double m_nextStart = 0; ///< Virtual start time of its next request.
+        std::deque<QueuedRequest> m_requests; ///< In descending order of priority, then by arrival; at most m_maximumPerAccount.
     };
 
-    /// The account whose turn it is.
+    /// The account that is served next; the end iterator if no account has requests.
     std::map<std::string, Account>::const_iterator nextAccount() const;
     void removeIdleAccounts();
 
     std::size_t m_maximumPerAccount;
-    double m_virtualTime = 0; ///< Start time of the request that went last; never falls.
+    double m_virtualTime = 0; ///< Virtual start time of the request served last. Decreases only when removeIdleAccounts() resets all accounts.
     std::map<std::string, Account> m_accounts;
-    std::size_t m_size = 0; ///< Sum over all accounts.
+    std::size_t m_size = 0; ///< Requests over all accounts.
 };
 
 }
--- a/Libraries/LibRouting/RetryBudget.cpp
+++ b/Libraries/LibRouting/RetryBudget.cpp
@@ -1,4 +1,4 @@
-/// @file The token bucket of retries.
+/// @file Token bucket for retries.
 
 #include "LibRouting/RetryBudget.h"
 
--- a/Libraries/LibRouting/RetryBudget.h
+++ b/Libraries/LibRouting/RetryBudget.h
@@ -4,27 +4,28 @@
 namespace Routing {
 
 /**
- * Token bucket that requests fill and retries drain.
+ * Token bucket that is filled by requests and drained by retries.
  *
- * Without it a fleet that fails for a moment is hit by every request several times over, and stays down under the load of the retries;
- * one would see attempts grow while answers fall. With it retries add at most the given share to the load.
+ * Without a budget every request is retried several times during a brief outage, and the load of the retries keeps the fleet down: the number
+ * of attempts rises while the number of answers falls. With the budget, retries add at most the given share to the load.
  */
 class RetryBudget
 {
 public:
-    /// @p share of the requests may be retried; up to @p burst unused retries are kept.
+    /// Allows retries for a @p share of the requests, and accumulates up to @p burst unused retries.
     RetryBudget(double share, double burst);
 
+    /// Adds the share of one request to the budget.
     void onRequest();
-    /// Changes how many unused retries are kept; what is over is lost.
+    /// Changes how many unused retries accumulate, and discards those above the new limit.
     void limitBurst(double burst);
-    /// Takes one retry out of the budget; false if there is none.
+    /// Takes one retry from the budget. Returns false if it is exhausted.
     bool tryRetry();
 
 private:
     double m_share;
     double m_burst;
-    double m_tokens; ///< Between 0 and m_burst.
+    double m_tokens; ///< Retries available now, from 0 to m_burst.
 };
 
 }
--- a/Libraries/LibRouting/Scheduler.cpp
+++ b/Libraries/LibRouting/Scheduler.cpp
@@ -8,10 +8,11 @@
 
 namespace {
 
+/// Groups at which idle groups are removed.
 constexpr std::size_t MaximumGroups = 1024;
 /// Weight of the newest call in the moving average of call times.
 constexpr double AverageShare = 0.05;
-/// Time that a call may take once it starts, in mean call times; a request that would not end in time is refused rather than queued.
+/// Time allowed for a call after its start, as a multiple of the mean call time. A request that would end after its deadline is refused, not queued.
 constexpr double CallMargin = 2;
 
 }
@@ -79,7 +80,7 @@
     if (!group.m_queue.push(submission.m_request)) {
         return Refused{ticket, RefusalReason::QueueFull, retryAfter(submission.m_group)};
     }
-    // In the queue nothing is excluded: a request that may not use the endpoint that is free would hold up all behind it.
+    // Excluded instances are not applied in the queue: a request that must not use the only free endpoint would block all requests behind it.
     group.m_submissions.emplace(ticket, submission).first->second.m_excluded.clear();
     return Queued{};
 }
@@ -135,28 +136,28 @@
             refuseAll(entry.first, entry.second, resolutions);
             continue;
         }
-        grantWaiting(entry.second, now, resolutions);
+        grantQueued(entry.second, now, resolutions);
     }
     return resolutions;
 }
 
 void Scheduler::refuseExpired(const GroupKey &key, Group &group, Core::Instant now, std::vector<Resolution> &resolutions)
 {
-    for (const QueuedRequest &waiting : group.m_queue.removeExpired(now)) {
-        group.m_submissions.erase(waiting.m_ticket);
-        resolutions.push_back(Refused{waiting.m_ticket, RefusalReason::TooLate, retryAfter(key)});
+    for (const QueuedRequest &request : group.m_queue.removeExpired(now)) {
+        group.m_submissions.erase(request.m_ticket);
+        resolutions.push_back(Refused{request.m_ticket, RefusalReason::TooLate, retryAfter(key)});
     }
 }
 
 void Scheduler::refuseAll(const GroupKey &key, Group &group, std::vector<Resolution> &resolutions)
 {
-    while (const std::optional<QueuedRequest> waiting = group.m_queue.pop()) {
-        group.m_submissions.erase(waiting->m_ticket);
-        resolutions.push_back(Refused{waiting->m_ticket, RefusalReason::NoEndpoint, retryAfter(key)});
+    while (const std::optional<QueuedRequest> request = group.m_queue.pop()) {
+        group.m_submissions.erase(request->m_ticket);
+        resolutions.push_back(Refused{request->m_ticket, RefusalReason::NoEndpoint, retryAfter(key)});
     }
 }
 
-void Scheduler::grantWaiting(Group &group, Core::Instant now, std::vector<Resolution> &resolutions)
+void Scheduler::grantQueued(Group &group, Core::Instant now, std::vector<Resolution> &resolutions)
 {
     while (const QueuedRequest *front = group.m_queue.front()) {
         const Ticket ticket = front->m_ticket;
--- a/Libraries/LibRouting/Scheduler.h
+++ b/Libraries/LibRouting/Scheduler.h
@@ -1,4 +1,4 @@
-/// @file Admission of requests: at once to an endpoint with room, else into a fair and bounded queue, else refused.
+/// @file Admission of requests: each is granted an endpoint with a free slot, queued in a fair and bounded queue, or refused.
 #pragma once
 
 #include "LibRouting/EndpointSelection.h"
@@ -16,17 +16,17 @@
 struct SchedulerSettings
 {
     Strategy m_strategy = Strategy::PrefixAffinity;
-    std::size_t m_queuePerAccount = 64; ///< Waiting requests of one account at one group.
+    std::size_t m_queuePerAccount = 64; ///< Maximum queued requests of one account in one group.
     double m_retryShare = 0.1; ///< Retries as a share of requests.
-    double m_retryBurst = 20;
-    Core::Duration m_avoidAfterFailure{2000}; ///< How long an endpoint gets no new work after a call to it failed.
+    double m_retryBurst = 20; ///< Maximum unused retries that accumulate.
+    Core::Duration m_avoidAfterFailure{2000}; ///< Time for which an endpoint gets no new calls after a call to it failed.
     Core::Duration m_minimumRetryAfter{1000};
     Core::Duration m_maximumRetryAfter{30000};
 
     bool operator==(const SchedulerSettings &) const = default;
 };
 
-/// A request that wants an endpoint.
+/// A request for an endpoint.
 struct Submission
 {
     QueuedRequest m_request;
@@ -42,13 +42,13 @@
 {
     Ticket m_ticket = 0;
     EndpointIndex m_endpoint = 0;
-    Protocol::Member m_member; ///< As known when it was granted.
-    std::uint64_t m_reportSequence = 0; ///< Newest report of the agent that the choice rests on.
+    Protocol::Member m_member; ///< The endpoint's agent, as known when the request was granted.
+    std::uint64_t m_reportSequence = 0; ///< Sequence number of the agent's newest report when the request was granted.
 
     bool operator==(const Granted &) const = default;
 };
 
-/// The request is in the queue; a later step grants or refuses it.
+/// The request is in the queue; a later poll() grants or refuses it.
 struct Queued
 {
     bool operator==(const Queued &) const = default;
@@ -57,15 +57,15 @@
 enum class RefusalReason {
     NoEndpoint, ///< No endpoint serves the version now.
     QueueFull, ///< The account's queue is full.
-    TooLate, ///< It would not start before its deadline.
+    TooLate, ///< It would not start and end before its deadline, or the deadline passed in the queue.
 };
 
-/// The request was not sent anywhere and will not be.
+/// The request was not sent to any endpoint and will not be.
 struct Refused
 {
     Ticket m_ticket = 0;
     RefusalReason m_reason = RefusalReason::NoEndpoint;
-    Core::Duration m_retryAfter{0}; ///< When it is worth trying again.
+    Core::Duration m_retryAfter{0}; ///< Time after which a retry is worthwhile.
 
     bool operator==(const Refused &) const = default;
 };
@@ -73,19 +73,18 @@
 using Admission = std::variant<Granted, Queued, Refused>;
 using Resolution = std::variant<Granted, Refused>;
 
-/// How a granted call ended, as far as the endpoint's standing is concerned.
+/// How a granted call ended, as far as it affects the endpoint.
 enum class CallResult {
     Answered,
-    Failed, ///< The endpoint or the way to it is in trouble.
-    Abandoned, ///< The caller went away or the request was at fault; says nothing about the endpoint.
+    Failed, ///< The endpoint or the connection to it failed.
+    Abandoned, ///< The caller disconnected or the request was at fault; does not count against the endpoint.
 };
 
 /**
- * Decides where and when requests go. Not thread-safe; time and randomness are passed in, so that a simulation drives the same code.
+ * Decides when and to which endpoint requests are sent. Not thread-safe; time and randomness are passed in, so that a simulation can use the same code.
  *
- * A request is only granted an endpoint at which it would start at once, as far as this entry can tell. The others wait here and not at the
- * endpoints, because here an account's share, a priority and a deadline can still be honoured, and because work that waits at a slow endpoint
- * cannot be moved to a fast one.
+ * A request is granted only an endpoint at which it is estimated to start at once. Other requests wait here rather than at the endpoints, because
+ * shares, priorities and deadlines can still be applied here, and because a request that waits at a slow endpoint cannot be moved to a faster one.
  */
 class Scheduler
 {
@@ -105,41 +104,41 @@
         return m_settings;
     }
 
-    /// A new request, or one that is tried again.
+    /// Submits a new request, or a retry (m_excluded is not empty).
     Admission submit(const Submission &submission, Core::Instant now);
-    /// A granted call has ended.
+    /// Records the end of a granted call.
     void finish(const Granted &granted, CallResult result, Core::Instant started, Core::Instant now);
-    /// The request is no longer wanted. Does nothing unless it waits in the queue.
+    /// Removes a request that is no longer wanted from the queue. Does nothing if it is not queued.
     void cancel(Ticket ticket);
-    /// Grants and refusals of queued requests; to be called after finish(), after reports, and now and then for deadlines.
+    /// Grants or refuses queued requests. Must be called after finish(), after each report, and periodically to enforce deadlines.
     std::vector<Resolution> poll(Core::Instant now);
 
-    /// Takes a retry out of the budget.
+    /// Takes a retry from the budget. Returns false if it is exhausted.
     bool tryRetry()
     {
         return m_retryBudget.tryRetry();
     }
     std::size_t queued() const;
-    /// Estimate of when a request that is refused now is worth trying again.
+    /// Estimates the time after which a retry of a request that is refused now is worthwhile.
     Core::Duration retryAfter(const GroupKey &key) const;
 
 private:
     struct Group
     {
         FairQueue m_queue;
-        std::map<Ticket, Submission> m_submissions; ///< Of the requests in m_queue.
-        double m_meanCallSeconds = 0; ///< Moving average of the time of the group's calls; 0 before the first.
-        std::size_t m_running = 0; ///< Granted and not finished.
+        std::map<Ticket, Submission> m_submissions; ///< Submissions of the requests in m_queue.
+        double m_meanCallSeconds = 0; ///< Moving average of the duration of the group's calls; 0 before the first has ended.
+        std::size_t m_running = 0; ///< Calls that were granted and have not finished.
     };
 
     Group &findOrCreateGroup(const GroupKey &key);
-    /// Whether any endpoint could take the request, now or once it has room.
+    /// True if any endpoint could take the request, now or once it has a free slot.
     bool hasCandidate(const Submission &submission, Core::Instant now) const;
     std::optional<Granted> tryGrant(const Submission &submission, Core::Instant now);
     void refuseExpired(const GroupKey &key, Group &group, Core::Instant now, std::vector<Resolution> &resolutions);
     void refuseAll(const GroupKey &key, Group &group, std::vector<Resolution> &resolutions);
-    void grantWaiting(Group &group, Core::Instant now, std::vector<Resolution> &resolutions);
-    /// Time until @p ahead requests have started, at the rate of the moment.
+    void grantQueued(Group &group, Core::Instant now, std::vector<Resolution> &resolutions);
+    /// Estimates the time until @p ahead requests have started, at the current rate.
     Core::Duration expectedWait(const Group &group, double ahead) const;
     static Core::Duration expectedCallTime(const Group &group);
     void removeIdleGroups();
@@ -148,8 +147,8 @@
     Core::Random m_random;
     EndpointTable m_table;
     RetryBudget m_retryBudget;
-    std::map<GroupKey, Group> m_groups; ///< At most MaximumGroups idle ones.
-    std::map<Ticket, GroupKey> m_runningGroups; ///< Of the granted requests.
+    std::map<GroupKey, Group> m_groups; ///< Idle groups are removed when there are MaximumGroups.
+    std::map<Ticket, GroupKey> m_runningGroups; ///< Groups of the calls that were granted and have not finished.
 };
 
 }
--- a/Libraries/LibRouting/VersionChoice.cpp
+++ b/Libraries/LibRouting/VersionChoice.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the choice of a version.
+/// @file Choice of the version that answers an account.
 
 #include "LibRouting/VersionChoice.h"
 
@@ -9,28 +9,28 @@
 
 namespace {
 
-std::size_t replicasToSwitch(const RolloutState &situation)
+std::size_t replicasToSwitch(const RolloutState &rollout)
 {
-    const std::size_t reachable = std::min<std::size_t>(situation.m_wantedReplicas, std::max<std::size_t>(1, situation.m_watched));
+    const std::size_t reachable = std::min<std::size_t>(rollout.m_wantedReplicas, std::max<std::size_t>(1, rollout.m_watched));
     const std::size_t share = static_cast<std::size_t>(std::ceil(SwitchShare * static_cast<double>(reachable)));
     return std::max<std::size_t>(1, share);
 }
 
 }
 
-std::string chooseVersion(const RolloutState &situation)
+std::string chooseVersion(const RolloutState &rollout)
 {
-    const bool previousServes = !situation.m_previousDigest.empty() && situation.m_previousServing > 0;
-    if (situation.m_wantedServing >= replicasToSwitch(situation)) {
-        return situation.m_wantedDigest;
+    const bool previousServes = !rollout.m_previousDigest.empty() && rollout.m_previousServing > 0;
+    if (rollout.m_wantedServing >= replicasToSwitch(rollout)) {
+        return rollout.m_wantedDigest;
     }
-    if (situation.m_switched && situation.m_wantedServing > 0) {
-        return situation.m_wantedDigest;
+    if (rollout.m_switched && rollout.m_wantedServing > 0) {
+        return rollout.m_wantedDigest;
     }
     if (previousServes) {
-        return situation.m_previousDigest;
+        return rollout.m_previousDigest;
     }
-    return situation.m_wantedServing > 0 ? situation.m_wantedDigest : std::string();
+    return rollout.m_wantedServing > 0 ? rollout.m_wantedDigest : std::string();
 }
 
 }
--- a/Libraries/LibRouting/VersionChoice.h
+++ b/Libraries/LibRouting/VersionChoice.h
@@ -1,4 +1,4 @@
-/// @file Which version of a model answers a client account while a rollout is under way.
+/// @file Choice of the model version that answers a client account during a rollout.
 #pragma once
 
 #include <cstddef>
@@ -7,29 +7,29 @@
 
 namespace Routing {
 
-/// What one account wants, and what this entry sees serving.
+/// State of a rollout for one account, as this entry sees it.
 struct RolloutState
 {
     std::string m_wantedDigest; ///< Digest in force for the account.
-    std::uint32_t m_wantedReplicas = 1; ///< As published.
+    std::uint32_t m_wantedReplicas = 1; ///< Replicas of m_wantedDigest, as published.
     std::string m_previousDigest; ///< Digest that answered the account before; empty if none is known.
-    std::size_t m_wantedServing = 0; ///< Available replicas that attest m_wanted, among those watched.
-    std::size_t m_previousServing = 0; ///< The same for m_previous.
-    std::size_t m_watched = 0; ///< Available endpoints of the service that are watched; no more than these can be seen to serve.
-    bool m_switched = false; ///< The account has been answered by m_wanted before.
+    std::size_t m_wantedServing = 0; ///< Available watched replicas that attest m_wantedDigest.
+    std::size_t m_previousServing = 0; ///< Available watched replicas that attest m_previousDigest.
+    std::size_t m_watched = 0; ///< Available watched endpoints of the service; this entry cannot see more replicas than these.
+    bool m_switched = false; ///< The account has been answered by m_wantedDigest before.
 
     bool operator==(const RolloutState &) const = default;
 };
 
-/// Share of the wanted replicas that must serve before the account moves over from the version before.
+/// Share of the wanted replicas that must serve before the account is switched from its previous version.
 inline constexpr double SwitchShare = 0.5;
 
 /**
- * The digest of the one version that answers the account now; empty if none can.
+ * Returns the digest of the one version that answers the account now; empty if none can.
  *
- * The account stays with its old version until enough replicas of the new one serve, since the first few would drown in the whole account's
- * load. Once it has moved, it stays with the new version while any replica of it serves.
+ * The account stays on its previous version until enough replicas of the wanted one serve, since the first few would be overloaded by the whole
+ * account's requests. Once switched, it stays on the wanted version while any replica of it serves.
  */
-std::string chooseVersion(const RolloutState &situation);
+std::string chooseVersion(const RolloutState &rollout);
 
 }
--- a/Tests/LibRouting/AgentReports.h
+++ b/Tests/LibRouting/AgentReports.h
@@ -1,4 +1,4 @@
-/// @file Reports of made-up agents for the tests of routing.
+/// @file Agent reports for the routing tests.
 #pragma once
 
 #include "LibRouting/EndpointTable.h"
--- a/Tests/LibRouting/TestAnswerChecker.cpp
+++ b/Tests/LibRouting/TestAnswerChecker.cpp
@@ -1,4 +1,4 @@
-/// @file Answers that come late, crossed, doubled, cut or from another version.
+/// @file Rejection of frames that are late, duplicate, missing, reordered, modified, or of another attempt or version.
 
 #include "LibRouting/AnswerChecker.h"
 
@@ -9,8 +9,8 @@
 constexpr const char *Attempt = "attempt-1";
 constexpr const char *Version = "digest-7";
 
-/// The frames of a whole answer of three tokens.
-std::vector<Protocol::AnswerFrame> wholeAnswer(const std::string &attempt = Attempt)
+/// Frames of a complete answer of three tokens.
+std::vector<Protocol::AnswerFrame> completeAnswer(const std::string &attempt = Attempt)
 {
     std::vector<Protocol::AnswerFrame> frames;
     Core::Sha256 digest;
@@ -36,8 +36,8 @@
     return frames;
 }
 
-/// Whether the checker takes all frames, and holds the answer for whole.
-bool isTaken(const std::vector<Protocol::AnswerFrame> &frames)
+/// True if the checker accepts all frames and considers the answer complete.
+bool isAccepted(const std::vector<Protocol::AnswerFrame> &frames)
 {
     Routing::AnswerChecker checker(Attempt, Version, "peer");
     for (const Protocol::AnswerFrame &frame : frames) {
@@ -52,24 +52,24 @@
 
 }
 
-TEST_CASE("a whole answer is taken")
+TEST_CASE("a complete answer is accepted")
 {
-    REQUIRE(isTaken(wholeAnswer()));
+    REQUIRE(isAccepted(completeAnswer()));
 }
 
-TEST_CASE("a frame of another attempt is not taken")
+TEST_CASE("a frame of another attempt is rejected")
 {
-    // An earlier attempt's answer comes late, or another caller's frame is crossed into this stream. The buyer would read somebody else's draft.
-    std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
-    frames[1] = wholeAnswer("attempt-0")[1];
-    REQUIRE_FALSE(isTaken(frames));
+    // An earlier attempt's answer arrives late, or a frame of another caller's answer enters this stream. The caller would get another caller's text.
+    std::vector<Protocol::AnswerFrame> frames = completeAnswer();
+    frames[1] = completeAnswer("attempt-0")[1];
+    REQUIRE_FALSE(isAccepted(frames));
 }
 
-TEST_CASE("a doubled, missing or swapped frame is not taken")
+TEST_CASE("a duplicate, missing or reordered frame is rejected")
 {
-    // A frame is sent again after a hiccup, or lost with a connection. The plan would repeat a wall, or leave one out, and look complete.
-    std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
-    SECTION("doubled")
+    // A frame is sent twice after an error, or lost with a connection. The answer would look complete, but repeat or omit text.
+    std::vector<Protocol::AnswerFrame> frames = completeAnswer();
+    SECTION("duplicate")
     {
         frames.insert(frames.begin() + 1, frames[1]);
     }
@@ -77,46 +77,46 @@
     {
         frames.erase(frames.begin() + 1);
     }
-    SECTION("swapped")
+    SECTION("reordered")
     {
         std::swap(frames[0], frames[1]);
     }
-    SECTION("missing, with the numbers closed up")
+    SECTION("missing, with the following frames renumbered")
     {
         frames.erase(frames.begin() + 1);
         frames[1].m_number = 1;
         frames[2].m_number = 2;
     }
-    REQUIRE_FALSE(isTaken(frames));
+    REQUIRE_FALSE(isAccepted(frames));
 }
 
-TEST_CASE("a cut answer is never whole")
+TEST_CASE("a truncated answer is never complete")
 {
-    for (std::size_t length = 0; length < wholeAnswer().size(); ++length) {
-        std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
+    for (std::size_t length = 0; length < completeAnswer().size(); ++length) {
+        std::vector<Protocol::AnswerFrame> frames = completeAnswer();
         frames.resize(length);
-        REQUIRE_FALSE(isTaken(frames));
+        REQUIRE_FALSE(isAccepted(frames));
     }
 }
 
-TEST_CASE("changed text does not match the digest at the end")
+TEST_CASE("modified text does not match the digest in the end frame")
 {
-    std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
+    std::vector<Protocol::AnswerFrame> frames = completeAnswer();
     frames[1].m_data = "cotton";
-    REQUIRE_FALSE(isTaken(frames));
+    REQUIRE_FALSE(isAccepted(frames));
 }
 
-TEST_CASE("an answer of another version is not taken")
+TEST_CASE("a frame of another version is rejected")
 {
-    // The engine was switched over between the choice and the call. The draft would come from weights that the account has not accepted.
-    std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
+    // The engine switched versions between the routing decision and the call. The answer would come from weights that the account has not accepted.
+    std::vector<Protocol::AnswerFrame> frames = completeAnswer();
     frames[2].m_version = "digest-8";
-    REQUIRE_FALSE(isTaken(frames));
+    REQUIRE_FALSE(isAccepted(frames));
 }
 
-TEST_CASE("nothing is taken after the end")
+TEST_CASE("a frame after the end frame is rejected")
 {
-    std::vector<Protocol::AnswerFrame> frames = wholeAnswer();
+    std::vector<Protocol::AnswerFrame> frames = completeAnswer();
     frames.push_back(frames.back());
-    REQUIRE_FALSE(isTaken(frames));
+    REQUIRE_FALSE(isAccepted(frames));
 }
--- a/Tests/LibRouting/TestEndpointSelection.cpp
+++ b/Tests/LibRouting/TestEndpointSelection.cpp
@@ -1,4 +1,4 @@
-/// @file Eligibility and the choice of endpoints, over random fleets.
+/// @file Eligibility and selection of endpoints on random fleets, and the choice of a version during a rollout.
 
 #include "AgentReports.h"
 #include "LibRouting/EndpointSelection.h"
@@ -14,7 +14,7 @@
 const Core::Instant Start = Core::Instant() + Core::Duration(1000000);
 const Routing::GroupKey Group{Service, Digest};
 
-/// A fleet in which anything can be wrong with any endpoint.
+/// Returns a fleet whose endpoints are at random leaving, unhealthy, silent, loaded, or of another version.
 Routing::EndpointTable randomFleet(Core::Random &random, Core::Instant now)
 {
     Routing::EndpointTable table;
@@ -34,10 +34,10 @@
 
 }
 
-TEST_CASE("no strategy ever picks an endpoint that may not take the request")
+TEST_CASE("no strategy selects an endpoint that must not take the request")
 {
-    // A leaving instance, a dead one, or one with another version is picked because its reported load looks low. The caller would get an error or,
-    // worse, an answer of the wrong version.
+    // A leaving, unavailable or wrong-version endpoint is selected because its reported load is low. The caller would get an error or an answer of the
+    // wrong version.
     const std::uint64_t seed = std::random_device()();
     INFO("seed " << seed);
     Core::Random random(seed);
@@ -50,15 +50,15 @@
         const Routing::EndpointTable table = randomFleet(random, Start);
         const std::vector<std::string> excluded{instanceName(random.below(40))};
         const Routing::SelectionRequest request{random.next() | 1, excluded, random.below(2) == 0};
-        bool any = false;
+        bool anyCandidate = false;
         for (const Routing::EndpointView &endpoint : table.endpoints()) {
-            any = any
+            anyCandidate = anyCandidate
                 || (Routing::isEligible(endpoint, Digest, Start) && endpoint.m_member.m_id != excluded[0]
                     && (!request.m_needsFreeSlot || Routing::hasFreeSlot(endpoint)));
         }
         for (const Routing::Strategy strategy : strategies) {
             const std::optional<Routing::EndpointIndex> index = Routing::selectEndpoint(strategy, table, Group, request, Start, random);
-            REQUIRE(index.has_value() == any);
+            REQUIRE(index.has_value() == anyCandidate);
             if (!index) {
                 continue;
             }
@@ -70,7 +70,7 @@
     }
 }
 
-TEST_CASE("a leaving endpoint gets nothing from its first report of leaving on")
+TEST_CASE("an endpoint is unavailable from its first report that it is leaving")
 {
     Routing::EndpointTable table;
     table.update(makeReport("engine-0", 1), Start);
@@ -83,15 +83,15 @@
     REQUIRE(table.countAvailable(Group, Start) == 0);
 }
 
-TEST_CASE("a new incarnation starts afresh, and an old one's late calls don't count against it")
+TEST_CASE("a new incarnation resets the endpoint's state, and calls to an earlier incarnation don't change it")
 {
-    // An instance is replaced under its name. The ends of calls to the old process would otherwise make the new one look idle or overfull.
+    // An instance is replaced under the same name. Calls to the old process would otherwise make the new one look idle or overloaded.
     Routing::EndpointTable table;
     table.update(makeReport("engine-0", 9), Start);
     table.onCallStarted(0);
-    Protocol::AgentReport fresh = makeReport("engine-0", 1);
-    fresh.m_member.m_incarnation = "another-life";
-    table.update(fresh, Start);
+    Protocol::AgentReport restarted = makeReport("engine-0", 1);
+    restarted.m_member.m_incarnation = "another-life";
+    table.update(restarted, Start);
     REQUIRE(table.at(0).m_outstanding == 0);
     table.onCallStarted(0);
     table.onCallEnded(0, "engine-0-life", 1.0);
@@ -100,7 +100,7 @@
     REQUIRE(table.at(0).m_outstanding == 0);
 }
 
-TEST_CASE("own work since the report counts, and the report's own part of it does not count twice")
+TEST_CASE("calls since the newest report are added to its load, and calls that the report contains are not counted twice")
 {
     Routing::EndpointTable table;
     table.update(makeReport("engine-0", 1, 2), Start);
@@ -112,7 +112,7 @@
     REQUIRE(Routing::estimatedRequests(table.at(0)) == 2);
 }
 
-TEST_CASE("one prompt prefix keeps its endpoint until that has too much, then spills")
+TEST_CASE("a prompt prefix keeps its endpoint until that is overloaded, then another endpoint is selected")
 {
     Core::Random random(1);
     Routing::EndpointTable table;
@@ -120,35 +120,35 @@
         table.update(makeReport(instanceName(index), 1, 0, 16), Start);
     }
     const Routing::SelectionRequest request{Routing::affinityHash("sao-mai", "season report: "), {}, true};
-    std::map<Routing::EndpointIndex, int> picks;
+    std::map<Routing::EndpointIndex, int> selections;
     for (int round = 0; round < 8; ++round) {
         const std::optional<Routing::EndpointIndex> index = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
         REQUIRE(index);
-        picks[*index] += 1;
+        selections[*index] += 1;
     }
-    REQUIRE(picks.size() == 1);
-    const Routing::EndpointIndex owner = picks.begin()->first;
+    REQUIRE(selections.size() == 1);
+    const Routing::EndpointIndex owner = selections.begin()->first;
     for (int call = 0; call < 12; ++call) {
         table.onCallStarted(owner);
     }
-    const std::optional<Routing::EndpointIndex> spilled = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
-    REQUIRE(spilled);
-    REQUIRE(*spilled != owner);
+    const std::optional<Routing::EndpointIndex> other = Routing::selectEndpoint(Routing::Strategy::PrefixAffinity, table, Group, request, Start, random);
+    REQUIRE(other);
+    REQUIRE(*other != owner);
 }
 
-TEST_CASE("an account moves to a new version once enough replicas serve it, and stays with the old one until then")
+TEST_CASE("an account is switched to a new version once enough replicas serve it, and stays on the old one until then")
 {
-    // A rollout begins and one replica of sixteen serves the new version. Sent there at once, the whole account would wait for one engine.
-    Routing::RolloutState situation{"new", 16, "old", 1, 15, 16, false};
-    REQUIRE(Routing::chooseVersion(situation) == "old");
-    situation.m_wantedServing = 8;
-    REQUIRE(Routing::chooseVersion(situation) == "new");
-    situation.m_wantedServing = 1;
-    situation.m_switched = true;
-    REQUIRE(Routing::chooseVersion(situation) == "new");
-    situation.m_wantedServing = 0;
-    REQUIRE(Routing::chooseVersion(situation) == "old");
-    situation.m_previousServing = 0;
-    REQUIRE(Routing::chooseVersion(situation).empty());
+    // When a rollout begins, one replica of sixteen serves the new version. If the account were switched at once, all its requests would wait for one engine.
+    Routing::RolloutState rollout{"new", 16, "old", 1, 15, 16, false};
+    REQUIRE(Routing::chooseVersion(rollout) == "old");
+    rollout.m_wantedServing = 8;
+    REQUIRE(Routing::chooseVersion(rollout) == "new");
+    rollout.m_wantedServing = 1;
+    rollout.m_switched = true;
+    REQUIRE(Routing::chooseVersion(rollout) == "new");
+    rollout.m_wantedServing = 0;
+    REQUIRE(Routing::chooseVersion(rollout) == "old");
+    rollout.m_previousServing = 0;
+    REQUIRE(Routing::chooseVersion(rollout).empty());
     REQUIRE(Routing::chooseVersion(Routing::RolloutState{"new", 16, "", 1, 0, 16, false}) == "new");
 }
--- a/Tests/LibRouting/TestScheduler.cpp
+++ b/Tests/LibRouting/TestScheduler.cpp
@@ -1,4 +1,4 @@
-/// @file Fairness, bounds, deadlines and the retry budget.
+/// @file Fairness, queue bounds, deadlines and the retry budget.
 
 #include "AgentReports.h"
 #include "LibRouting/Scheduler.h"
@@ -13,7 +13,7 @@
 const Core::Instant Start = Core::Instant() + Core::Duration(1000000);
 const Routing::GroupKey Group{Service, Digest};
 
-Routing::QueuedRequest makeWaiting(Routing::Ticket ticket, const std::string &account, std::int32_t priority = 0)
+Routing::QueuedRequest makeRequest(Routing::Ticket ticket, const std::string &account, std::int32_t priority = 0)
 {
     return Routing::QueuedRequest{ticket, account, 1, priority, 1, Start + Core::Duration(60000)};
 }
@@ -21,7 +21,7 @@
 Routing::Submission makeSubmission(Routing::Ticket ticket, const std::string &account, Core::Duration timeout = Core::Duration(60000))
 {
     Routing::Submission submission;
-    submission.m_request = makeWaiting(ticket, account);
+    submission.m_request = makeRequest(ticket, account);
     submission.m_request.m_deadline = Start + timeout;
     submission.m_group = Group;
     return submission;
@@ -40,18 +40,18 @@
 
 }
 
-TEST_CASE("a small account's turn comes at once, however long a large one's queue is")
+TEST_CASE("a small account is served within a few requests, however long a large account's queue is")
 {
-    // One account sends hundreds of requests in a burst. Served in order of arrival, a buyer of another account would wait for all of them.
+    // One account sends hundreds of requests in a burst. In order of arrival, a request of another account would wait for all of them.
     Routing::FairQueue queue(1000);
     for (Routing::Ticket ticket = 1; ticket <= 500; ++ticket) {
-        queue.push(makeWaiting(ticket, "large"));
+        queue.push(makeRequest(ticket, "large"));
     }
     for (int served = 0; served < 10; ++served) {
         queue.pop();
     }
-    queue.push(makeWaiting(501, "small"));
-    queue.push(makeWaiting(502, "small"));
+    queue.push(makeRequest(501, "small"));
+    queue.push(makeRequest(502, "small"));
     int position = 1;
     while (queue.pop()->m_ticket != 502) {
         ++position;
@@ -59,7 +59,7 @@
     REQUIRE(position <= 4);
 }
 
-TEST_CASE("accounts are served by weight and cost while all of them wait")
+TEST_CASE("accounts are served work in proportion to their weights while all of them have requests queued")
 {
     const std::uint64_t seed = std::random_device()();
     INFO("seed " << seed);
@@ -67,37 +67,37 @@
     Routing::FairQueue queue(100000);
     std::map<std::string, double> work;
     for (std::uint32_t account = 1; account <= 10; ++account) {
-        for (int request = 0; request < 3000; ++request) {
-            Routing::QueuedRequest waiting = makeWaiting(account * 10000 + static_cast<Routing::Ticket>(request), "account-" + std::to_string(account));
-            waiting.m_weight = account <= 2 ? 4 : 1;
-            waiting.m_cost = static_cast<double>(1 + random.below(100));
-            queue.push(waiting);
+        for (int number = 0; number < 3000; ++number) {
+            Routing::QueuedRequest request = makeRequest(account * 10000 + static_cast<Routing::Ticket>(number), "account-" + std::to_string(account));
+            request.m_weight = account <= 2 ? 4 : 1;
+            request.m_cost = static_cast<double>(1 + random.below(100));
+            queue.push(request);
         }
     }
     for (int served = 0; served < 5000; ++served) {
-        const std::optional<Routing::QueuedRequest> waiting = queue.pop();
-        work[waiting->m_account] += waiting->m_cost / waiting->m_weight;
+        const std::optional<Routing::QueuedRequest> request = queue.pop();
+        work[request->m_account] += request->m_cost / request->m_weight;
     }
     for (const std::pair<const std::string, double> &entry : work) {
         REQUIRE(std::abs(entry.second - work["account-1"]) <= 200);
     }
 }
 
-TEST_CASE("priority orders the requests of an account and does not raise it above others")
+TEST_CASE("priority orders the requests within an account and gives it no precedence over other accounts")
 {
     Routing::FairQueue queue(100);
-    queue.push(makeWaiting(1, "a"));
-    queue.push(makeWaiting(2, "a", 5));
-    queue.push(makeWaiting(3, "a", 5));
-    queue.push(makeWaiting(4, "b"));
+    queue.push(makeRequest(1, "a"));
+    queue.push(makeRequest(2, "a", 5));
+    queue.push(makeRequest(3, "a", 5));
+    queue.push(makeRequest(4, "b"));
     std::vector<Routing::Ticket> order;
-    while (const std::optional<Routing::QueuedRequest> waiting = queue.pop()) {
-        order.push_back(waiting->m_ticket);
+    while (const std::optional<Routing::QueuedRequest> request = queue.pop()) {
+        order.push_back(request->m_ticket);
     }
     REQUIRE(order == std::vector<Routing::Ticket>{2, 4, 3, 1});
 }
 
-TEST_CASE("no endpoint is granted more than it runs at once, and everything granted, queued or refused adds up")
+TEST_CASE("no endpoint is granted more calls than its capacity, and the number of queued requests matches the admissions and resolutions")
 {
     const std::uint64_t seed = std::random_device()();
     INFO("seed " << seed);
@@ -141,9 +141,9 @@
     }
 }
 
-TEST_CASE("overload is answered at once with a time to come back")
+TEST_CASE("a request above the account's queue limit is refused at once with a retry time")
 {
-    // Everything is busy and the account's queue is full. A caller that is left to wait for nothing notices at its deadline, too late to go elsewhere.
+    // All slots are in use and the account's queue is full. A caller that is kept waiting would only notice at its deadline, too late to try another entry.
     Routing::Scheduler scheduler = makeScheduler(1, 2);
     for (Routing::Ticket ticket = 1; ticket <= 4; ++ticket) {
         REQUIRE(std::holds_alternative<Routing::Granted>(scheduler.submit(makeSubmission(ticket, "a"), Start)));
@@ -156,7 +156,7 @@
     REQUIRE(std::holds_alternative<Routing::Queued>(scheduler.submit(makeSubmission(8, "b"), Start)));
 }
 
-TEST_CASE("a request that cannot start before its deadline is refused at once, and one whose deadline passes in the queue then")
+TEST_CASE("a request that cannot start before its deadline is refused at once, and a queued request is refused when its deadline passes")
 {
     Routing::Scheduler scheduler = makeScheduler(1, 100);
     std::vector<Routing::Granted> granted;
@@ -167,7 +167,7 @@
     const std::vector<Routing::Resolution> resolutions = scheduler.poll(Start + Core::Duration(100));
     REQUIRE(resolutions.size() == 1);
     REQUIRE(std::get<Routing::Refused>(resolutions[0]).m_reason == Routing::RefusalReason::TooLate);
-    // Calls take ten seconds here; behind forty others a request with one second has no chance.
+    // Calls take ten seconds here, so a request with one second left cannot start in time behind forty others.
     scheduler.finish(granted[0], Routing::CallResult::Answered, Start - Core::Duration(10000), Start);
     for (Routing::Ticket ticket = 10; ticket < 50; ++ticket) {
         scheduler.submit(makeSubmission(ticket, "a"), Start);
@@ -176,7 +176,7 @@
     REQUIRE(std::get<Routing::Refused>(late).m_reason == Routing::RefusalReason::TooLate);
 }
 
-TEST_CASE("queued requests are refused when the last endpoint goes")
+TEST_CASE("queued requests are refused when the last endpoint becomes unavailable")
 {
     Routing::Scheduler scheduler = makeScheduler(1);
     for (Routing::Ticket ticket = 1; ticket <= 5; ++ticket) {
@@ -190,7 +190,7 @@
 
 TEST_CASE("retries stay within their share of the requests")
 {
-    // Every engine fails for a moment. Without the budget each request would be sent three times, and the load of the retries would keep them down.
+    // All engines fail briefly. Without the budget each request would be sent three times, and the load of the retries would keep the engines down.
     Routing::RetryBudget budget(0.1, 5);
     int retries = 0;
     for (int request = 0; request < 1000; ++request) {
@@ -203,7 +203,7 @@
     REQUIRE(retries >= 95);
 }
 
-TEST_CASE("an endpoint that failed gets nothing for a while")
+TEST_CASE("an endpoint gets no new calls for a while after a failed call")
 {
     Routing::Scheduler scheduler = makeScheduler(2);
     const Routing::Granted first = std::get<Routing::Granted>(scheduler.submit(makeSubmission(1, "a"), Start));
@@ -213,9 +213,9 @@
     }
 }
 
-TEST_CASE("a request that has failed at every endpoint is refused at once, and does not wait for its deadline")
+TEST_CASE("a request that has failed at every endpoint is refused at once instead of waiting until its deadline")
 {
-    // The only endpoints that are left have just refused the request. Queued, it would sit there until its deadline although nothing can come of it.
+    // The only available endpoints have just refused the request. In the queue it would wait until its deadline without a chance of success.
     Routing::Scheduler scheduler = makeScheduler(2);
     Routing::Submission submission = makeSubmission(1, "a");
     submission.m_excluded = {instanceName(0), instanceName(1)};
