--- a/Libraries/LibClaims/CallStateMachine.cpp
+++ b/Libraries/LibClaims/CallStateMachine.cpp
@@ -1,4 +1,4 @@
-/// @file Transitions of a call that may not be repeated.
+/// @file Transitions of the state machine of a keyed call.
 
 #include "LibClaims/CallStateMachine.h"
 
@@ -6,27 +6,27 @@
 
 namespace {
 
-Step conclude(CallState state, CallVerdict verdict)
+Step finish(CallState state, CallVerdict verdict)
 {
     state.m_phase = CallPhase::Finished;
     return Step{std::move(state), ReportVerdict{verdict}};
 }
 
-Step askOther(CallState state, bool later)
+Step queryHolder(CallState state, bool isDelayed)
 {
     state.m_phase = CallPhase::QueryingHolder;
-    QueryOutcome question{state.m_holder.m_attempt, false, state.m_holder, later};
-    return Step{std::move(state), std::move(question)};
+    QueryOutcome query{state.m_holder.m_attempt, false, state.m_holder, isDelayed};
+    return Step{std::move(state), std::move(query)};
 }
 
-Step askOwn(CallState state, bool later)
+Step queryOwn(CallState state, bool isDelayed)
 {
     state.m_phase = CallPhase::QueryingOwn;
-    QueryOutcome question{state.m_attempt, true, {}, later};
-    return Step{std::move(state), std::move(question)};
+    QueryOutcome query{state.m_attempt, true, {}, isDelayed};
+    return Step{std::move(state), std::move(query)};
 }
 
-Step claimAnew(CallState state, const std::string &nextAttempt)
+Step claimAgain(CallState state, const std::string &nextAttempt)
 {
     state.m_reclaims += 1;
     state.m_attempt = nextAttempt;
@@ -44,86 +44,86 @@
         return Step{state, Dispatch{state.m_attempt}};
     case Verdict::Lost:
         state.m_holder = result.m_holder;
-        return askOther(std::move(state), false);
+        return queryHolder(std::move(state), false);
     case Verdict::Expired:
-        return conclude(std::move(state), CallVerdict::KeyExpired);
+        return finish(std::move(state), CallVerdict::KeyExpired);
     case Verdict::Tombstoned:
         break;
     }
-    return conclude(std::move(state), CallVerdict::NotRun);
+    return finish(std::move(state), CallVerdict::NotRun);
 }
 
-Step whileClaiming(CallState state, const Event &event)
+Step advanceClaiming(CallState state, const Event &event)
 {
-    if (const ClaimDecided *judged = std::get_if<ClaimDecided>(&event)) {
-        return onClaimResult(std::move(state), judged->m_result);
+    if (const ClaimDecided *decided = std::get_if<ClaimDecided>(&event)) {
+        return onClaimResult(std::move(state), decided->m_result);
     }
-    // Nothing was sent, and without a further step of this call nothing will be.
-    return conclude(std::move(state), CallVerdict::NotRun);
+    // Nothing was sent, and nothing will be, since the call ends here.
+    return finish(std::move(state), CallVerdict::NotRun);
 }
 
-Step whileDispatched(CallState state, const Event &event)
+Step advanceDispatched(CallState state, const Event &event)
 {
     if (std::holds_alternative<CompleteAnswer>(event)) {
-        return conclude(std::move(state), CallVerdict::Answered);
+        return finish(std::move(state), CallVerdict::Answered);
     }
     if (std::holds_alternative<AttemptNotRun>(event)) {
         state.m_dispatched = false;
-        return conclude(std::move(state), CallVerdict::NotRun);
+        return finish(std::move(state), CallVerdict::NotRun);
     }
-    return askOwn(std::move(state), false);
+    return queryOwn(std::move(state), false);
 }
 
-Step whileAskingOwn(CallState state, const Event &event)
+Step advanceQueryingOwn(CallState state, const Event &event)
 {
-    const OutcomeReceived *told = std::get_if<OutcomeReceived>(&event);
-    if (!told) {
-        return conclude(std::move(state), CallVerdict::OutcomeUnknown);
+    const OutcomeReceived *received = std::get_if<OutcomeReceived>(&event);
+    if (!received) {
+        return finish(std::move(state), CallVerdict::OutcomeUnknown);
     }
-    switch (told->m_outcome) {
+    switch (received->m_outcome) {
     case Protocol::Outcome::Finished:
-        return conclude(std::move(state), CallVerdict::Answered);
+        return finish(std::move(state), CallVerdict::Answered);
     case Protocol::Outcome::NeverRan:
         state.m_dispatched = false;
-        return conclude(std::move(state), CallVerdict::NotRun);
+        return finish(std::move(state), CallVerdict::NotRun);
     case Protocol::Outcome::Running:
-        return askOwn(std::move(state), true);
+        return queryOwn(std::move(state), true);
     case Protocol::Outcome::Unknown:
         break;
     }
-    return conclude(std::move(state), CallVerdict::OutcomeUnknown);
+    return finish(std::move(state), CallVerdict::OutcomeUnknown);
 }
 
-Step whileAskingOther(CallState state, const Event &event)
+Step advanceQueryingHolder(CallState state, const Event &event)
 {
-    const OutcomeReceived *told = std::get_if<OutcomeReceived>(&event);
-    if (!told) {
-        return conclude(std::move(state), CallVerdict::KeyUsed);
+    const OutcomeReceived *received = std::get_if<OutcomeReceived>(&event);
+    if (!received) {
+        return finish(std::move(state), CallVerdict::KeyUsed);
     }
-    switch (told->m_outcome) {
+    switch (received->m_outcome) {
     case Protocol::Outcome::Finished:
-        return conclude(std::move(state), CallVerdict::Answered);
+        return finish(std::move(state), CallVerdict::Answered);
     case Protocol::Outcome::Running:
-        return askOther(std::move(state), true);
+        return queryHolder(std::move(state), true);
     case Protocol::Outcome::Unknown:
-        return conclude(std::move(state), CallVerdict::OutcomeUnknown);
+        return finish(std::move(state), CallVerdict::OutcomeUnknown);
     case Protocol::Outcome::NeverRan:
         break;
     }
     if (state.m_reclaims >= MaximumReclaims) {
-        return conclude(std::move(state), CallVerdict::NotRun);
+        return finish(std::move(state), CallVerdict::NotRun);
     }
     state.m_phase = CallPhase::WritingTombstone;
-    WriteTombstone bar{state.m_holder.m_attempt};
-    return Step{std::move(state), std::move(bar)};
+    WriteTombstone tombstone{state.m_holder.m_attempt};
+    return Step{std::move(state), std::move(tombstone)};
 }
 
-Step whileBarring(CallState state, const Event &event, const std::string &nextAttempt)
+Step advanceWritingTombstone(CallState state, const Event &event, const std::string &nextAttempt)
 {
     if (std::holds_alternative<TombstoneWritten>(event)) {
-        return claimAnew(std::move(state), nextAttempt);
+        return claimAgain(std::move(state), nextAttempt);
     }
-    return conclude(std::move(state), CallVerdict::NotRun);
+    return finish(std::move(state), CallVerdict::NotRun);
 }
 
 }
@@ -139,15 +139,15 @@
 {
     switch (state.m_phase) {
     case CallPhase::Claiming:
-        return whileClaiming(state, event);
+        return advanceClaiming(state, event);
     case CallPhase::Dispatched:
-        return whileDispatched(state, event);
+        return advanceDispatched(state, event);
     case CallPhase::QueryingOwn:
-        return whileAskingOwn(state, event);
+        return advanceQueryingOwn(state, event);
     case CallPhase::QueryingHolder:
-        return whileAskingOther(state, event);
+        return advanceQueryingHolder(state, event);
     case CallPhase::WritingTombstone:
-        return whileBarring(state, event, nextAttempt);
+        return advanceWritingTombstone(state, event, nextAttempt);
     case CallPhase::Finished:
         break;
     }
--- a/Libraries/LibClaims/CallStateMachine.h
+++ b/Libraries/LibClaims/CallStateMachine.h
@@ -1,4 +1,4 @@
-/// @file The course of one call that may not be repeated, as a pure state machine: what to do next, and what to tell the caller.
+/// @file Pure state machine of one keyed call, which must not run twice: which action comes next, and which verdict the caller gets.
 #pragma once
 
 #include "LibClaims/ClaimTable.h"
@@ -10,16 +10,16 @@
 
 namespace Claims {
 
-/// What the caller is told in the end.
+/// Final result of a call, as reported to the caller.
 enum class CallVerdict {
-    Answered, ///< The outcome of the one run under the key.
-    NotRun, ///< This call has not run and will not; the same key may be tried again.
-    KeyUsed, ///< Another attempt holds the key, and its outcome could not be had.
+    Answered, ///< The caller gets the outcome of the single execution under the key.
+    NotRun, ///< This call has not run and will not run; the caller may retry with the same key.
+    KeyUsed, ///< Another attempt holds the key, and its outcome is not available.
     KeyExpired,
-    OutcomeUnknown, ///< It was sent, and what came of it cannot be known.
+    OutcomeUnknown, ///< An attempt was sent, and its outcome cannot be determined.
 };
 
-// What the entry is to do.
+// Actions for the entry to perform.
 
 /// Claim the key for the attempt.
 struct WriteClaim
@@ -28,31 +28,31 @@
 
     bool operator==(const WriteClaim &) const = default;
 };
-/// Send the attempt to the agent that its claim names. Asked for at most once in the life of an attempt.
+/// Send the attempt to the agent that its claim names. Requested at most once for each attempt.
 struct Dispatch
 {
     std::string m_attempt;
 
     bool operator==(const Dispatch &) const = default;
 };
-/// Ask an agent what became of an attempt.
+/// Ask an agent for the outcome of an attempt.
 struct QueryOutcome
 {
     std::string m_attempt;
-    bool m_isOwn = true; ///< The entry's own attempt, at the agent it was sent to; else that of m_winner.
+    bool m_isOwn = true; ///< The attempt is this call's own, at the agent that it was sent to; otherwise it is that of m_holder.
     Claim m_holder;
-    bool m_isDelayed = false; ///< It was running a moment ago: wait before asking.
+    bool m_isDelayed = false; ///< The attempt was still running at the last query: wait before asking again.
 
     bool operator==(const QueryOutcome &) const = default;
 };
-/// Write a bar on the attempt, then report that.
+/// Write a tombstone for the attempt to the log.
 struct WriteTombstone
 {
     std::string m_attempt;
 
     bool operator==(const WriteTombstone &) const = default;
 };
-/// Tell the caller.
+/// End the call and report the verdict to the caller.
 struct ReportVerdict
 {
     CallVerdict m_verdict = CallVerdict::NotRun;
@@ -62,33 +62,35 @@
 
 using Action = std::variant<WriteClaim, Dispatch, QueryOutcome, WriteTombstone, ReportVerdict>;
 
-// What happened.
+// Events that the entry reports back.
 
+/// The claim was read back from the log with this result.
 struct ClaimDecided
 {
     ClaimResult m_result;
 };
-/// The claim got no result: the writer or the log is out of reach. It may still land, but is worth nothing without a dispatch.
+/// The claim got no result because the writer or the log is unreachable. It may still be appended, but has no effect without a dispatch.
 struct ClaimFailed
 {
 };
-/// A whole answer to the dispatched attempt arrived.
+/// A complete answer to the dispatched attempt arrived.
 struct CompleteAnswer
 {
 };
-/// The dispatch ended, and it is certain that the attempt did not run and will not: nothing was sent, or the agent has refused it.
+/// The dispatch ended, and the attempt is guaranteed not to have run and not to run later: nothing was sent, or the agent refused it.
 struct AttemptNotRun
 {
 };
-/// The dispatch ended without a whole answer.
+/// The dispatch ended without a complete answer; the attempt may have run.
 struct AnswerIncomplete
 {
 };
+/// The agent answered an outcome query.
 struct OutcomeReceived
 {
     Protocol::Outcome m_outcome = Protocol::Outcome::Unknown;
 };
-/// The agent could not be asked.
+/// The agent did not answer the outcome query.
 struct OutcomeUnavailable
 {
 };
@@ -98,7 +100,7 @@
 struct TombstoneFailed
 {
 };
-/// The call's time is over.
+/// The call's deadline has passed.
 struct DeadlinePassed
 {
 };
@@ -114,7 +116,7 @@
                            TombstoneFailed,
                            DeadlinePassed>;
 
-/// How often one call may claim its key anew after an agent has confirmed that the holder never ran.
+/// How often one call may claim its key again after an agent has confirmed that the holder never ran.
 inline constexpr std::uint32_t MaximumReclaims = 2;
 
 enum class CallPhase {
@@ -122,23 +124,23 @@
     Dispatched,
     QueryingOwn,
     QueryingHolder,
-    WritingTombstone, ///< The holder never ran; its bar is being written, after which the key is claimed anew.
+    WritingTombstone, ///< The holder never ran; its tombstone is being written, after which the key is claimed again.
     Finished,
 };
 
-/// Where one call stands. m_sent is the promise's hinge: once true, "not run" needs proof.
+/// State of one call. While m_dispatched is true, the call must not end as "not run".
 struct CallState
 {
     CallPhase m_phase = CallPhase::Claiming;
-    std::string m_attempt; ///< Of this entry.
-    bool m_dispatched = false; ///< m_attempt was handed to the network, and nothing has proved since that it did not run.
-    Claim m_holder; ///< Holder of the key, while it is another.
-    std::uint32_t m_reclaims = 0;
+    std::string m_attempt; ///< The call's own current attempt.
+    bool m_dispatched = false; ///< m_attempt was handed to the network, and it has not been proved since that it did not run.
+    Claim m_holder; ///< Claim of the other attempt that holds the key, if any.
+    std::uint32_t m_reclaims = 0; ///< At most MaximumReclaims.
 
     bool operator==(const CallState &) const = default;
 };
 
-/// The state and the first thing to do.
+/// A state and the action to perform in it.
 struct Step
 {
     CallState m_state;
@@ -147,9 +149,10 @@
     bool operator==(const Step &) const = default;
 };
 
+/// Starts a call whose first attempt has the given id.
 Step beginCall(const std::string &attempt);
 
-/// What follows from an event. @p nextAttempt is a fresh id, used if the key is claimed anew.
+/// Returns the step that follows an event. @p nextAttempt is a new id, used if the key is claimed again.
 Step advanceCall(const CallState &state, const Event &event, const std::string &nextAttempt);
 
 }
--- a/Libraries/LibClaims/ClaimKey.cpp
+++ b/Libraries/LibClaims/ClaimKey.cpp
@@ -1,4 +1,4 @@
-/// @file Reading and writing of keys and epochs.
+/// @file Parsing and formatting of keys and epochs.
 
 #include "LibClaims/ClaimKey.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-Core::Error badKey(const std::string &detail)
+Core::Error invalidKey(const std::string &detail)
 {
     return Core::makeError(Core::ErrorCode::InvalidInput, "read idempotency key", "", detail);
 }
@@ -20,7 +20,7 @@
     const char *end = text.data() + text.size();
     const std::from_chars_result result = std::from_chars(text.data(), end, value);
     if (text.empty() || result.ec != std::errc() || result.ptr != end) {
-        return badKey("the key must start with a key_epoch from /v1/addresses and a dot");
+        return invalidKey("the key must start with a key_epoch from /v1/addresses and a dot");
     }
     return value;
 }
@@ -41,17 +41,17 @@
 Core::Result<ClaimKey> parseClaimKey(std::string_view text)
 {
     if (text.size() > MaximumKeyBytes) {
-        return badKey("the key is longer than " + std::to_string(MaximumKeyBytes) + " bytes");
+        return invalidKey("the key is longer than " + std::to_string(MaximumKeyBytes) + " bytes");
     }
     if (!std::all_of(text.begin(), text.end(), isPrintable)) {
-        return badKey("the key must be printable ASCII without white space");
+        return invalidKey("the key must be printable ASCII without white space");
     }
     const std::size_t dot = text.find('.');
     if (dot == std::string_view::npos || dot + 1 == text.size()) {
-        return badKey("the key must be a key_epoch from /v1/addresses, a dot, and a text of the caller's own");
+        return invalidKey("the key must be a key_epoch from /v1/addresses, a dot, and a text of the caller's own");
     }
     if (dot == 0) {
-        // Its caller was given no epoch, since the claims could not be read then. The key is well formed, but not yet of use.
+        // The caller was given an empty epoch because no entry could read the claims at that time. The key is well formed but cannot be used.
         return Core::makeError(Core::ErrorCode::Unavailable, "check key", "", "the key has no epoch; ask /v1/addresses for one again");
     }
     const std::string_view epochText = text.substr(0, dot);
@@ -67,7 +67,7 @@
 
 ClaimKey scopedKey(const ClaimKey &key, const std::string &account, const std::string &service)
 {
-    // The key travels on in an HTTP header, so it takes no control character as separator; the lengths keep the parts apart.
+    // The scoped key is sent in an HTTP header, so it cannot use a control character as separator. The lengths make the parts unambiguous.
     const std::string lengths = std::to_string(account.size()) + "." + std::to_string(service.size());
     return ClaimKey{key.m_epoch, lengths + "/" + account + "/" + service + "/" + key.m_text};
 }
--- a/Libraries/LibClaims/ClaimMessages.h
+++ b/Libraries/LibClaims/ClaimMessages.h
@@ -1,4 +1,4 @@
-/// @file Claims on their way from an entry to a claim writer (method control.claim).
+/// @file Messages by which an entry sends claims to a claim writer (method control.claim).
 #pragma once
 
 #include "LibClaims/ClaimTable.h"
@@ -7,7 +7,7 @@
 
 inline constexpr const char *ClaimMethod = "control.claim";
 
-/// Bars and claims to write; with neither, only the epoch is asked for.
+/// Tombstones and claims to write; a request with neither only asks for the epoch.
 struct ClaimRequest
 {
     std::vector<AttemptTombstone> m_tombstones;
@@ -18,11 +18,11 @@
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("bars", m_tombstones), MSGPACK_NVP("claims", m_claims));
 };
 
-/// What became of them, once they stand in the log.
+/// Results of a request, after its records have been read back from the log.
 struct ClaimAnswer
 {
     std::vector<ClaimResult> m_results; ///< In the order of the request's claims.
-    Epoch m_epoch; ///< For new keys.
+    Epoch m_epoch; ///< Epoch for new keys.
 
     bool operator==(const ClaimAnswer &) const = default;
 
--- a/Libraries/LibClaims/ClaimTable.cpp
+++ b/Libraries/LibClaims/ClaimTable.cpp
@@ -1,4 +1,4 @@
-/// @file The fold over the claims stream.
+/// @file Application of the records of the claims stream.
 
 #include "LibClaims/ClaimTable.h"
 #include "LibWire/Pack.h"
@@ -18,14 +18,14 @@
 
 void ClaimTable::restartAt(Offset first)
 {
-    // Offsets run anew from here, so the dates of older entries no longer tell when they may go: they age from the restart on.
+    // Offsets are assigned again from here, so the old offsets no longer determine when entries expire. They expire one window after the restart.
     m_position = first - 1;
     m_coveredFrom = first;
-    for (ExpiryEntry &date : m_holderExpiry) {
-        date.m_offset = first;
+    for (ExpiryEntry &entry : m_holderExpiry) {
+        entry.m_offset = first;
     }
-    for (ExpiryEntry &date : m_tombstoneExpiry) {
-        date.m_offset = first;
+    for (ExpiryEntry &entry : m_tombstoneExpiry) {
+        entry.m_offset = first;
     }
 }
 
@@ -48,22 +48,22 @@
         return AppliedBatch();
     }
     const ClaimBatch &batch = decoded.value();
-    AppliedBatch folded{batch.m_id, {}};
+    AppliedBatch applied{batch.m_id, {}};
     if (batch.m_generation > m_generation) {
         m_generation = batch.m_generation;
         m_generationStart = offset;
     }
     const bool outdated = batch.m_generation < m_generation;
     if (!outdated) {
-        for (const AttemptTombstone &bar : batch.m_tombstones) {
-            applyTombstone(offset, bar);
+        for (const AttemptTombstone &tombstone : batch.m_tombstones) {
+            applyTombstone(offset, tombstone);
         }
     }
     for (const Claim &claim : batch.m_claims) {
-        folded.m_results.push_back(outdated ? ClaimResult{claim.m_attempt, Verdict::Expired, {}} : applyClaim(offset, claim));
+        applied.m_results.push_back(outdated ? ClaimResult{claim.m_attempt, Verdict::Expired, {}} : applyClaim(offset, claim));
     }
     removeExpired(offset);
-    return folded;
+    return applied;
 }
 
 bool ClaimTable::isExpired(const Epoch &epoch, Offset offset) const
@@ -71,10 +71,10 @@
     if (epoch.m_generation != m_generation || epoch.m_offset < m_generationStart) {
         return true;
     }
-    const bool neverHandedOut = epoch.m_offset >= offset;
+    const bool neverIssued = epoch.m_offset >= offset;
     const bool outsideWindow = epoch.m_offset + m_window < offset;
     const bool notCovered = epoch.m_offset + 1 < m_coveredFrom;
-    return neverHandedOut || outsideWindow || notCovered;
+    return neverIssued || outsideWindow || notCovered;
 }
 
 ClaimResult ClaimTable::applyClaim(Offset offset, const Claim &claim)
@@ -97,21 +97,21 @@
     return ClaimResult{claim.m_attempt, Verdict::Lost, it->second};
 }
 
-void ClaimTable::applyTombstone(Offset offset, const AttemptTombstone &bar)
+void ClaimTable::applyTombstone(Offset offset, const AttemptTombstone &tombstone)
 {
-    if (!m_tombstones.emplace(bar.m_attempt, offset).second) {
+    if (!m_tombstones.emplace(tombstone.m_attempt, offset).second) {
         return;
     }
-    m_tombstoneExpiry.push_back(ExpiryEntry{offset, bar.m_attempt});
-    const std::unordered_map<std::string, Claim>::const_iterator it = m_holders.find(bar.m_key);
-    if (it != m_holders.end() && it->second.m_attempt == bar.m_attempt) {
+    m_tombstoneExpiry.push_back(ExpiryEntry{offset, tombstone.m_attempt});
+    const std::unordered_map<std::string, Claim>::const_iterator it = m_holders.find(tombstone.m_key);
+    if (it != m_holders.end() && it->second.m_attempt == tombstone.m_attempt) {
         m_holders.erase(it);
     }
 }
 
 void ClaimTable::removeExpired(Offset offset)
 {
-    // A key claimed at offset O has an epoch below O, so it is expired once O + window is behind, and its claim can go.
+    // A key claimed at offset O has an epoch below O. It has expired once O + window has been passed, and its claim can be removed.
     while (!m_holderExpiry.empty() && m_holderExpiry.front().m_offset + m_window < offset) {
         const std::string &key = m_holderExpiry.front().m_text;
         m_holders.erase(key);
--- a/Libraries/LibClaims/ClaimWriter.cpp
+++ b/Libraries/LibClaims/ClaimWriter.cpp
@@ -1,4 +1,4 @@
-/// @file Appending and reading of claims.
+/// @file Appending and reading back of claims.
 
 #include "LibClaims/ClaimWriter.h"
 #include "LibCore/Random.h"
@@ -10,8 +10,10 @@
 
 namespace {
 
-constexpr Core::Duration RingPatience{100};
-constexpr Core::Duration ReadWait{300};
+/// Longest wait for a request before the append thread checks whether to stop.
+constexpr Core::Duration PopTimeout{100};
+/// Longest time for which a read waits for new records at the log.
+constexpr Core::Duration ReadWaitLimit{300};
 constexpr std::size_t RecordsPerRead = 1024;
 /// Requests in one batch; bounds the size of a record.
 constexpr std::size_t RequestsPerBatch = 1024;
@@ -95,7 +97,7 @@
         callback(unavailableError("the log is out of reach or slow"));
         return;
     }
-    // The ring takes its own copy of the callback, so that this one can still be told that the ring refused.
+    // The ring gets a copy of the callback, so that the callback can still be called here if the ring is full.
     if (!m_waiting.tryPush(PendingRequest{std::move(request), callback})) {
         m_refused.add();
         callback(Core::makeError(Core::ErrorCode::Overloaded, "claim key", m_name, "too many claims are waiting"));
@@ -120,7 +122,7 @@
 void ClaimWriter::appendLoop()
 {
     while (m_running) {
-        std::optional<PendingRequest> first = m_waiting.pop(RingPatience);
+        std::optional<PendingRequest> first = m_waiting.pop(PopTimeout);
         if (first) {
             appendBatch(collectBatch(std::move(*first)));
         }
@@ -175,7 +177,7 @@
         return;
     }
     if (offset.error().m_code == Core::ErrorCode::Ambiguous) {
-        // The record may stand in the log. The reader finds it there, or gives it up after the settle timeout.
+        // The record may be in the log. The reader either finds it there or fails the batch after the read-back timeout.
         m_appendAnswersLost.add();
         return;
     }
@@ -202,16 +204,16 @@
 
 void ClaimWriter::failTimedOutBatches(Core::Instant now)
 {
-    std::vector<std::string> old;
+    std::vector<std::string> timedOut;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (const std::pair<const std::string, OpenBatch> &entry : m_openBatches) {
             if (now - entry.second.m_openedAt > m_settings.m_readBackTimeout) {
-                old.push_back(entry.first);
+                timedOut.push_back(entry.first);
             }
         }
     }
-    for (const std::string &id : old) {
+    for (const std::string &id : timedOut) {
         failOpenBatch(id, unavailableError("the batch was not found in the log in time"));
     }
 }
@@ -273,7 +275,7 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         from = m_table.position() + 1;
     }
-    const Core::Result<Platform::LogPage> page = m_log.read(ClaimsStream, from, Platform::ReadOptions{RecordsPerRead, ReadWait});
+    const Core::Result<Platform::LogPage> page = m_log.read(ClaimsStream, from, Platform::ReadOptions{RecordsPerRead, ReadWaitLimit});
     if (!page) {
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
@@ -288,7 +290,7 @@
         return;
     }
     if (page.value().m_first > from) {
-        // Records that were never read are gone. Keys from before the gap cannot be told any more.
+        // The log has expired records that were never read. Keys issued before the gap must be refused.
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_table.startAt(page.value().m_first);
         m_lastRecordBody.clear();
@@ -301,7 +303,7 @@
 {
     for (const Protocol::LogRecord &record : page.m_records) {
         OpenBatch batch;
-        AppliedBatch folded;
+        AppliedBatch applied;
         Epoch epoch;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
@@ -309,32 +311,32 @@
                 return;
             }
             const std::uint64_t generation = m_table.generation();
-            folded = m_table.apply(record.m_offset, record.m_body);
+            applied = m_table.apply(record.m_offset, record.m_body);
             m_startNewGeneration = m_startNewGeneration && m_table.generation() == generation;
             m_lastRecordBody = record.m_body;
             epoch = m_table.epoch();
-            const std::unordered_map<std::string, OpenBatch>::iterator it = m_openBatches.find(folded.m_id);
+            const std::unordered_map<std::string, OpenBatch>::iterator it = m_openBatches.find(applied.m_id);
             if (it == m_openBatches.end()) {
                 continue;
             }
             batch = std::move(it->second);
             m_openBatches.erase(it);
         }
-        completeBatch(std::move(batch), folded, epoch);
+        completeBatch(std::move(batch), applied, epoch);
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_caughtUp = m_readingStarted && m_table.position() + 1 >= page.m_next;
     m_hasCaughtUp = m_hasCaughtUp || m_caughtUp;
 }
 
-void ClaimWriter::completeBatch(OpenBatch batch, const AppliedBatch &folded, const Epoch &epoch)
+void ClaimWriter::completeBatch(OpenBatch batch, const AppliedBatch &applied, const Epoch &epoch)
 {
     std::size_t next = 0;
     for (const PendingRequest &pending : batch.m_requests) {
         ClaimAnswer answer;
         answer.m_epoch = epoch;
-        const std::size_t end = std::min(next + pending.m_request.m_claims.size(), folded.m_results.size());
-        answer.m_results.assign(folded.m_results.begin() + static_cast<std::ptrdiff_t>(next), folded.m_results.begin() + static_cast<std::ptrdiff_t>(end));
+        const std::size_t end = std::min(next + pending.m_request.m_claims.size(), applied.m_results.size());
+        answer.m_results.assign(applied.m_results.begin() + static_cast<std::ptrdiff_t>(next), applied.m_results.begin() + static_cast<std::ptrdiff_t>(end));
         next = end;
         pending.m_callback(answer);
     }
--- a/Libraries/LibClaims/ClaimWriter.h
+++ b/Libraries/LibClaims/ClaimWriter.h
@@ -1,4 +1,4 @@
-/// @file The duty that appends claims in batches and tells each what became of it.
+/// @file Writer that appends claims to the log in batches and reports the result of each.
 #pragma once
 
 #include "LibClaims/ClaimMessages.h"
@@ -18,26 +18,26 @@
 
 struct WriterSettings
 {
-    Core::Duration m_batchInterval{10}; ///< Time that claims are collected for one append.
-    Core::Duration m_readBackTimeout{2000}; ///< Longest wait for an appended batch to be read back.
-    Core::Duration m_slowAppendLimit{500}; ///< An append that takes longer counts as an outage: new claims are refused at once.
-    Core::Duration m_retryPause{200}; ///< After a failed append, time during which claims are refused without a try.
-    Core::Duration m_checkInterval{1000}; ///< How often it is checked that the log still holds the last record folded.
-    Offset m_window = 20000; ///< Records that a key lives for; well under the log's retention.
-    std::size_t m_maximumWaiting = 8192; ///< Requests that wait for an append.
+    Core::Duration m_batchInterval{10}; ///< Time for which claims are collected for one append.
+    Core::Duration m_readBackTimeout{2000}; ///< Longest wait until an appended batch is read back.
+    Core::Duration m_slowAppendLimit{500}; ///< While an append takes longer than this, new claims are refused at once as during an outage.
+    Core::Duration m_retryPause{200}; ///< Time after a failed append or read before the next one; claims are refused meanwhile.
+    Core::Duration m_checkInterval{1000}; ///< Interval of the check that the log still holds the last record applied.
+    Offset m_window = 20000; ///< Records after which a key expires; must be well below the log's retention.
+    std::size_t m_maximumWaiting = 8192; ///< Maximum requests that wait for an append.
 
     bool operator==(const WriterSettings &) const = default;
 };
 
-/// Called once with what became of a request; on the writer's threads, so it must not block.
+/// Called once with the result of a request. Runs on the caller's or the writer's threads, so it must not block.
 using ClaimCallback = std::function<void(const Core::Result<ClaimAnswer> &)>;
 
 /**
- * Reads and writes the claims stream, on two threads: one appends, one reads and folds.
+ * Reads and writes the claims stream on two threads: one appends, the other reads and applies records.
  *
- * An answer is given only once the batch was read back and folded, so that it holds for every reader. If an append's answer is lost, the reader
- * settles it: the batch is found by its id or, after the settle timeout, given up. Giving up is safe, since a claim does nothing by itself:
- * the call that made it ends as not run, and the attempt is never dispatched, wherever its claim may land.
+ * A request is answered only after its batch was read back and applied, so that the result holds for every reader. If the answer to an append is
+ * lost, the reader finds the batch by its id, or fails it after the read-back timeout. Failing it is safe, since a claim has no effect by itself:
+ * the call that made it ends as not run and never dispatches the attempt, even if the claim is appended later.
  */
 class ClaimWriter
 {
@@ -49,16 +49,17 @@
     void stop();
 
     /**
-     * Starts or stops reading the stream. An entry that is no reader refuses claims, and forgets what it has read: a later start begins at the
-     * oldest record that the log holds, so that nothing in between is missed. Off at first.
+     * Starts or stops reading the stream. A writer that is not reading refuses claims and discards what it has read; a later start begins at the
+     * oldest record that the log holds, so that no record in between is missed. Initially off.
      */
     void setReading(bool reading);
 
-    /// Queues a request. While the log is down or slow it is refused at once with Unavailable.
+    /// Queues a request. Refuses it at once with Unavailable while the log is down or slow, and with Overloaded if too many requests are waiting.
     void submit(ClaimRequest request, ClaimCallback callback);
 
-    /// For new keys; fails with Unavailable until the stream has been read to its end.
+    /// Returns the epoch for new keys. Fails with Unavailable until the stream has been read to its end.
     Core::Result<Epoch> epoch() const;
+    /// Number of keys held.
     std::size_t keyCount() const;
 
 private:
@@ -68,7 +69,7 @@
         ClaimCallback m_callback;
     };
 
-    /// A batch that is being appended or waits to be read back.
+    /// A batch that is being appended or waiting to be read back.
     struct OpenBatch
     {
         std::vector<PendingRequest> m_requests;
@@ -84,7 +85,7 @@
     bool startReading();
     void restartStream(Offset first);
     void applyPage(const Platform::LogPage &page);
-    void completeBatch(OpenBatch batch, const AppliedBatch &folded, const Epoch &epoch);
+    void completeBatch(OpenBatch batch, const AppliedBatch &applied, const Epoch &epoch);
     void failOpenBatch(const std::string &id, const Core::Error &error);
     void failTimedOutBatches(Core::Instant now);
     bool isRefusing(Core::Instant now) const;
@@ -101,19 +102,19 @@
     Core::Ring<PendingRequest> m_waiting;
     std::atomic<bool> m_running = false;
 
-    mutable std::mutex m_mutex; ///< Guards what follows.
+    mutable std::mutex m_mutex; ///< Guards the members below, except for the threads.
     ClaimTable m_table;
     std::string m_lastRecordBody; ///< The record at m_table.position().
-    bool m_reading = false; ///< Asked for by setReading().
-    bool m_readingStarted = false; ///< The oldest record is known, and m_table begins there.
-    bool m_caughtUp = false; ///< The stream has been read to its end, and reading works.
-    /// m_current was true since this writer began to read. An epoch only ever grows, so that the last one known stays good for callers while the log is down;
-    /// without one they could not even form the key of the call that is to be refused as not run.
+    bool m_reading = false; ///< As requested by setReading().
+    bool m_readingStarted = false; ///< The offset of the oldest record is known, and m_table starts there.
+    bool m_caughtUp = false; ///< The stream has been read to its end, and the last read succeeded.
+    /// m_caughtUp has been true since this writer started reading. Epochs only increase, so the last one remains valid for callers while the log is down.
+    /// Without an epoch they could not form the key of the call that is then refused as not run.
     bool m_hasCaughtUp = false;
-    bool m_startNewGeneration = false; ///< The next batch starts a generation.
-    std::unordered_map<std::string, OpenBatch> m_openBatches; ///< By id.
+    bool m_startNewGeneration = false; ///< The next batch starts a new generation.
+    std::unordered_map<std::string, OpenBatch> m_openBatches; ///< By batch id.
     Core::Instant m_refuseUntil;
-    std::optional<Core::Instant> m_appendStartedAt; ///< Set while an append is under way.
+    std::optional<Core::Instant> m_appendStartedAt; ///< Set while an append is in progress.
 
     std::thread m_appendThread;
     std::thread m_readThread;
--- a/Libraries/LibClaims/ClaimWriterSelection.h
+++ b/Libraries/LibClaims/ClaimWriterSelection.h
@@ -1,4 +1,4 @@
-/// @file Which entries write claims to the log.
+/// @file Selection of the entries that write claims to the log.
 #pragma once
 
 #include "LibProtocol/Member.h"
@@ -9,20 +9,21 @@
 
 namespace Claims {
 
-/// Entries that write at the same time. Each appends at most a batch every batching interval, which keeps the appends within the log's rate.
+/// Entries that write concurrently. Each appends at most one batch per batch interval, which keeps the appends within the log's rate limit.
 inline constexpr std::size_t WriterCount = 3;
 
-/// Entries that read the claims stream: the writers and as many that stand by, so that one that takes over knows the claims already.
+/// Entries that read the claims stream: the writers and as many standbys, so that an entry that becomes a writer already knows the claims.
 inline constexpr std::size_t ReaderCount = 2 * WriterCount;
 
-/// Whether an entry should read the claims stream; all others would pay for it without use.
+/// True if the entry should read the claims stream. For the other entries reading it would be a cost without a use.
 bool isClaimReader(std::span<const Protocol::Member> members, const std::string &entry);
 
 /**
- * The entries to try for a claim on @p key, best first.
+ * Returns the entries to try for a claim on @p key, in order of preference.
  *
- * Rendezvous hashing over the live entries names the writers, and the key chooses among them, so that claims on one key usually meet at one
- * writer. Any entry may write any claim, since the log's order decides; entries that disagree on who is live cost appends and no promise.
+ * Rendezvous hashing over the live entries selects the writers, and the key selects among them, so that claims on one key usually go through one
+ * writer. Any entry may write any claim, since the order in the log decides. If entries disagree on which entries are live, this costs additional
+ * appends but breaks no guarantee.
  */
 std::vector<Protocol::Member> selectClaimWriters(std::span<const Protocol::Member> members, const std::string &key);
 
--- a/Tests/LibClaims/TestCallStateMachine.cpp
+++ b/Tests/LibClaims/TestCallStateMachine.cpp
@@ -1,4 +1,4 @@
-/// @file Model check of calls that may not be repeated: every interleaving of three calls under one key, with losses, late arrivals and restarts.
+/// @file Model check of keyed calls: every interleaving of three calls under one key, with lost and delayed messages and restarts of the agent.
 
 #include "LibClaims/CallStateMachine.h"
 #include "LibWire/Pack.h"
@@ -11,131 +11,131 @@
 constexpr std::size_t Calls = 3;
 constexpr int MaximumFaults = 3;
 
-/// Mechanisms that can be taken out, to see that the check notices.
+/// Mechanisms that can be disabled, to verify that the check detects it.
 struct Mechanisms
 {
-    bool m_claims = true; ///< Off: a lost claim is taken for a won one.
-    bool m_tombstones = true; ///< Off: an agent that is asked about an unknown attempt does not bar it.
-    bool m_incarnations = true; ///< Off: an agent takes attempts that were meant for its predecessor.
-    bool m_asking = true; ///< Off: a lost answer is reported as not run without asking.
-    bool m_bars = true; ///< Off: an entry that finds the holder never ran dispatches without barring and claiming anew.
+    bool m_claims = true; ///< Off: a lost claim is treated as won.
+    bool m_agentTombstones = true; ///< Off: an agent that is asked for the outcome of an unknown attempt does not record a tombstone for it.
+    bool m_incarnations = true; ///< Off: an agent accepts attempts that were sent to an earlier incarnation.
+    bool m_outcomeQueries = true; ///< Off: an incomplete answer is reported as not run without an outcome query.
+    bool m_logTombstones = true; ///< Off: an entry that finds that the holder never ran dispatches without writing a tombstone and claiming again.
 };
 
-enum class Run {
+enum class AttemptStatus {
     Ran,
-    Barred,
+    Tombstoned,
 };
 
 struct Agent
 {
-    int m_life = 0;
-    std::map<std::string, Run> m_attempts; ///< What it remembers of this life.
+    int m_incarnation = 0;
+    std::map<std::string, AttemptStatus> m_attempts; ///< Attempts seen by this incarnation.
 };
 
-/// A dispatched attempt that is still on its way, although its sender has given it up.
-struct Late
+/// A dispatched attempt that has not arrived yet, although its sender has given it up.
+struct DelayedAttempt
 {
     std::string m_attempt;
-    int m_life = 0;
+    int m_incarnation = 0;
 };
 
 struct Call
 {
     Claims::Step m_step;
-    int m_life = 0; ///< Of the agent, as known when the call began.
-    int m_attempts = 1;
-    std::vector<std::string> m_names; ///< Every attempt that it made.
+    int m_incarnation = 0; ///< Incarnation of the agent, as known when the call began.
+    int m_attemptCount = 1;
+    std::vector<std::string> m_attemptIds; ///< Ids of all its attempts.
 };
 
-struct World
+struct ModelState
 {
     std::vector<Claims::ClaimBatch> m_log;
-    std::vector<Claims::ClaimBatch> m_lateAppends; ///< May still land.
-    std::vector<Late> m_late;
+    std::vector<Claims::ClaimBatch> m_delayedAppends; ///< Batches that may still be appended.
+    std::vector<DelayedAttempt> m_delayedAttempts;
     Agent m_agent;
     std::vector<Call> m_calls;
-    std::map<std::string, int> m_effects; ///< By attempt: what truly happened.
+    std::map<std::string, int> m_executions; ///< Executions by attempt.
     int m_faults = 0;
 };
 
-Claims::ClaimKey key()
+Claims::ClaimKey makeKey()
 {
     return Claims::ClaimKey{Claims::Epoch{0, 0}, "0.booking"};
 }
 
-int lifeOf(const Claims::Claim &claim)
+int incarnationOf(const Claims::Claim &claim)
 {
     return std::stoi(claim.m_agentIncarnation);
 }
 
-std::string describe(const World &world)
+std::string stateKey(const ModelState &model)
 {
     std::string text;
-    for (const Claims::ClaimBatch &batch : world.m_log) {
+    for (const Claims::ClaimBatch &batch : model.m_log) {
         text += Wire::pack(batch);
     }
     text += "|";
-    for (const Claims::ClaimBatch &batch : world.m_lateAppends) {
+    for (const Claims::ClaimBatch &batch : model.m_delayedAppends) {
         text += Wire::pack(batch);
     }
-    for (const Late &late : world.m_late) {
-        text += "|" + late.m_attempt + std::to_string(late.m_life);
+    for (const DelayedAttempt &delayed : model.m_delayedAttempts) {
+        text += "|" + delayed.m_attempt + std::to_string(delayed.m_incarnation);
     }
-    text += "|agent" + std::to_string(world.m_agent.m_life);
-    for (const std::pair<const std::string, Run> &entry : world.m_agent.m_attempts) {
+    text += "|agent" + std::to_string(model.m_agent.m_incarnation);
+    for (const std::pair<const std::string, AttemptStatus> &entry : model.m_agent.m_attempts) {
         text += entry.first + std::to_string(static_cast<int>(entry.second));
     }
-    for (const Call &call : world.m_calls) {
+    for (const Call &call : model.m_calls) {
         const Claims::CallState &state = call.m_step.m_state;
         text += "|call" + std::to_string(static_cast<int>(state.m_phase)) + state.m_attempt + state.m_holder.m_attempt + std::to_string(state.m_reclaims)
-            + std::to_string(call.m_step.m_action.index()) + std::to_string(call.m_life);
-        if (const Claims::ReportVerdict *conclude = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action)) {
-            text += std::to_string(static_cast<int>(conclude->m_verdict));
+            + std::to_string(call.m_step.m_action.index()) + std::to_string(call.m_incarnation);
+        if (const Claims::ReportVerdict *verdict = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action)) {
+            text += std::to_string(static_cast<int>(verdict->m_verdict));
         }
     }
-    for (const std::pair<const std::string, int> &entry : world.m_effects) {
+    for (const std::pair<const std::string, int> &entry : model.m_executions) {
         text += "|" + entry.first + std::to_string(entry.second);
     }
-    return text + "|" + std::to_string(world.m_faults);
+    return text + "|" + std::to_string(model.m_faults);
 }
 
-/// The attempt arrives at the agent. True if the agent ran it.
-bool arrive(World &world, const Mechanisms &mechanisms, const std::string &attempt, int life)
+/// Delivers the attempt to the agent. Returns true if the agent ran it.
+bool deliverAttempt(ModelState &model, const Mechanisms &mechanisms, const std::string &attempt, int incarnation)
 {
-    if (mechanisms.m_incarnations && life != world.m_agent.m_life) {
+    if (mechanisms.m_incarnations && incarnation != model.m_agent.m_incarnation) {
         return false;
     }
-    if (!world.m_agent.m_attempts.emplace(attempt, Run::Ran).second) {
+    if (!model.m_agent.m_attempts.emplace(attempt, AttemptStatus::Ran).second) {
         return false;
     }
-    world.m_effects[attempt] += 1;
+    model.m_executions[attempt] += 1;
     return true;
 }
 
-/// As Endpoint::AttemptGate::outcome() answers.
-Protocol::Outcome ask(World &world, const Mechanisms &mechanisms, const std::string &attempt, int life)
+/// Answers as Endpoint::AttemptTracker::outcome() does.
+Protocol::Outcome queryOutcome(ModelState &model, const Mechanisms &mechanisms, const std::string &attempt, int incarnation)
 {
-    const bool sameLife = life == world.m_agent.m_life;
-    const std::map<std::string, Run>::const_iterator it = world.m_agent.m_attempts.find(attempt);
-    if (sameLife && it != world.m_agent.m_attempts.end()) {
-        return it->second == Run::Ran ? Protocol::Outcome::Finished : Protocol::Outcome::NeverRan;
+    const bool sameIncarnation = incarnation == model.m_agent.m_incarnation;
+    const std::map<std::string, AttemptStatus>::const_iterator it = model.m_agent.m_attempts.find(attempt);
+    if (sameIncarnation && it != model.m_agent.m_attempts.end()) {
+        return it->second == AttemptStatus::Ran ? Protocol::Outcome::Finished : Protocol::Outcome::NeverRan;
     }
-    if (mechanisms.m_tombstones) {
-        world.m_agent.m_attempts.emplace(attempt, Run::Barred);
+    if (mechanisms.m_agentTombstones) {
+        model.m_agent.m_attempts.emplace(attempt, AttemptStatus::Tombstoned);
     }
-    return sameLife ? Protocol::Outcome::NeverRan : Protocol::Outcome::Unknown;
+    return sameIncarnation ? Protocol::Outcome::NeverRan : Protocol::Outcome::Unknown;
 }
 
-/// Folds the whole log as a fresh writer does, and returns what became of a batch.
-Claims::AppliedBatch foldLog(const World &world, const std::string &id)
+/// Applies the complete log as a new writer does, and returns the result of one batch.
+Claims::AppliedBatch applyLog(const ModelState &model, const std::string &id)
 {
     Claims::ClaimTable table(100);
     Claims::AppliedBatch found;
     Claims::Offset offset = 0;
-    for (const Claims::ClaimBatch &batch : world.m_log) {
-        const Claims::AppliedBatch folded = table.apply(++offset, Wire::pack(batch));
-        if (folded.m_id == id) {
-            found = folded;
+    for (const Claims::ClaimBatch &batch : model.m_log) {
+        const Claims::AppliedBatch applied = table.apply(++offset, Wire::pack(batch));
+        if (applied.m_id == id) {
+            found = applied;
         }
     }
     return found;
@@ -149,145 +149,145 @@
     {
     }
 
-    /// The first broken promise, or an empty text.
+    /// Returns the first violation found, or an empty text.
     std::string check()
     {
-        World world;
+        ModelState model;
         for (std::size_t index = 0; index < Calls; ++index) {
             const std::string attempt = "call" + std::to_string(index) + ".1";
-            world.m_calls.push_back(Call{Claims::beginCall(attempt), 0, 1, {attempt}});
+            model.m_calls.push_back(Call{Claims::beginCall(attempt), 0, 1, {attempt}});
         }
-        explore(world);
-        return m_problem;
+        explore(model);
+        return m_violation;
     }
 
     std::size_t states() const
     {
-        return m_seen.size();
+        return m_visited.size();
     }
 
 private:
-    void explore(const World &world)
+    void explore(const ModelState &model)
     {
-        if (!m_problem.empty() || !m_seen.insert(describe(world)).second) {
+        if (!m_violation.empty() || !m_visited.insert(stateKey(model)).second) {
             return;
         }
-        m_problem = brokenPromise(world);
-        for (std::size_t index = 0; index < world.m_calls.size(); ++index) {
-            advanceCall(world, index);
+        m_violation = findViolation(model);
+        for (std::size_t index = 0; index < model.m_calls.size(); ++index) {
+            performAction(model, index);
         }
-        deliverLate(world);
-        if (world.m_agent.m_life == 0 && world.m_faults < MaximumFaults) {
-            World restarted = world;
+        deliverDelayed(model);
+        if (model.m_agent.m_incarnation == 0 && model.m_faults < MaximumFaults) {
+            ModelState restarted = model;
             restarted.m_agent = Agent{1, {}};
             restarted.m_faults += 1;
             explore(restarted);
         }
     }
 
-    static std::string brokenPromise(const World &world)
+    static std::string findViolation(const ModelState &model)
     {
-        int effects = 0;
-        for (const std::pair<const std::string, int> &entry : world.m_effects) {
-            effects += entry.second;
+        int executions = 0;
+        for (const std::pair<const std::string, int> &entry : model.m_executions) {
+            executions += entry.second;
         }
-        if (effects > 1) {
-            return "ran " + std::to_string(effects) + " times under one key";
+        if (executions > 1) {
+            return "ran " + std::to_string(executions) + " times under one key";
         }
-        for (const Call &call : world.m_calls) {
-            const Claims::ReportVerdict *conclude = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action);
-            if (!conclude) {
+        for (const Call &call : model.m_calls) {
+            const Claims::ReportVerdict *verdict = std::get_if<Claims::ReportVerdict>(&call.m_step.m_action);
+            if (!verdict) {
                 continue;
             }
-            const bool ran =
-                std::any_of(call.m_names.begin(), call.m_names.end(), [&world](const std::string &attempt) { return world.m_effects.contains(attempt); });
-            if (conclude->m_verdict == Claims::CallVerdict::NotRun && ran) {
-                return "a call was told not run, and ran";
+            const bool ran = std::any_of(
+                call.m_attemptIds.begin(), call.m_attemptIds.end(), [&model](const std::string &attempt) { return model.m_executions.contains(attempt); });
+            if (verdict->m_verdict == Claims::CallVerdict::NotRun && ran) {
+                return "a call was reported as not run, but ran";
             }
-            if (conclude->m_verdict == Claims::CallVerdict::Answered && effects != 1) {
-                return "a call was answered, and nothing ran";
+            if (verdict->m_verdict == Claims::CallVerdict::Answered && executions != 1) {
+                return "a call was answered, but nothing ran";
             }
         }
         return "";
     }
 
-    void deliverLate(const World &world)
+    void deliverDelayed(const ModelState &model)
     {
-        for (std::size_t index = 0; index < world.m_late.size(); ++index) {
-            World next = world;
-            const Late late = next.m_late[index];
-            next.m_late.erase(next.m_late.begin() + static_cast<std::ptrdiff_t>(index));
-            arrive(next, m_mechanisms, late.m_attempt, late.m_life);
+        for (std::size_t index = 0; index < model.m_delayedAttempts.size(); ++index) {
+            ModelState next = model;
+            const DelayedAttempt delayed = next.m_delayedAttempts[index];
+            next.m_delayedAttempts.erase(next.m_delayedAttempts.begin() + static_cast<std::ptrdiff_t>(index));
+            deliverAttempt(next, m_mechanisms, delayed.m_attempt, delayed.m_incarnation);
             explore(next);
         }
-        for (std::size_t index = 0; index < world.m_lateAppends.size(); ++index) {
-            World next = world;
-            next.m_log.push_back(next.m_lateAppends[index]);
-            next.m_lateAppends.erase(next.m_lateAppends.begin() + static_cast<std::ptrdiff_t>(index));
+        for (std::size_t index = 0; index < model.m_delayedAppends.size(); ++index) {
+            ModelState next = model;
+            next.m_log.push_back(next.m_delayedAppends[index]);
+            next.m_delayedAppends.erase(next.m_delayedAppends.begin() + static_cast<std::ptrdiff_t>(index));
             explore(next);
         }
     }
 
-    void proceed(World world, std::size_t index, const Claims::Event &event)
+    void applyEvent(ModelState model, std::size_t index, const Claims::Event &event)
     {
-        Call &call = world.m_calls[index];
-        const std::string nextAttempt = "call" + std::to_string(index) + "." + std::to_string(call.m_attempts + 1);
+        Call &call = model.m_calls[index];
+        const std::string nextAttempt = "call" + std::to_string(index) + "." + std::to_string(call.m_attemptCount + 1);
         const Claims::CallState before = call.m_step.m_state;
         call.m_step = Claims::advanceCall(before, event, nextAttempt);
-        if (!m_mechanisms.m_asking && before.m_phase == Claims::CallPhase::Dispatched && std::holds_alternative<Claims::AnswerIncomplete>(event)) {
+        if (!m_mechanisms.m_outcomeQueries && before.m_phase == Claims::CallPhase::Dispatched && std::holds_alternative<Claims::AnswerIncomplete>(event)) {
             call.m_step.m_action = Claims::ReportVerdict{Claims::CallVerdict::NotRun};
         }
-        if (!m_mechanisms.m_bars && std::holds_alternative<Claims::WriteTombstone>(call.m_step.m_action)) {
+        if (!m_mechanisms.m_logTombstones && std::holds_alternative<Claims::WriteTombstone>(call.m_step.m_action)) {
             call.m_step.m_state.m_phase = Claims::CallPhase::Dispatched;
             call.m_step.m_action = Claims::Dispatch{call.m_step.m_state.m_attempt};
         }
         if (call.m_step.m_state.m_attempt == nextAttempt) {
-            call.m_attempts += 1;
-            call.m_names.push_back(nextAttempt);
+            call.m_attemptCount += 1;
+            call.m_attemptIds.push_back(nextAttempt);
         }
-        explore(world);
+        explore(model);
     }
 
-    void advanceCall(const World &world, std::size_t index)
+    void performAction(const ModelState &model, std::size_t index)
     {
-        std::visit([this, &world, index](const auto &action) { perform(world, index, action); }, world.m_calls[index].m_step.m_action);
+        std::visit([this, &model, index](const auto &action) { perform(model, index, action); }, model.m_calls[index].m_step.m_action);
     }
 
-    /// Appends a batch in each way that it can go: answered, answer lost, refused, or landing later.
-    template <typename Good, typename Bad>
-    void append(const World &world, std::size_t index, const Claims::ClaimBatch &batch, Good good, Bad bad)
+    /// Explores each way in which an append can end: answered, answer lost, refused, or delayed.
+    template <typename Result, typename Failure>
+    void append(const ModelState &model, std::size_t index, const Claims::ClaimBatch &batch, Result onAppended, Failure failure)
     {
-        World landed = world;
-        landed.m_log.push_back(batch);
-        proceed(landed, index, good(foldLog(landed, batch.m_id)));
-        if (world.m_faults >= MaximumFaults) {
+        ModelState appended = model;
+        appended.m_log.push_back(batch);
+        applyEvent(appended, index, onAppended(applyLog(appended, batch.m_id)));
+        if (model.m_faults >= MaximumFaults) {
             return;
         }
-        landed.m_faults += 1;
-        proceed(landed, index, bad);
-        World refused = world;
+        appended.m_faults += 1;
+        applyEvent(appended, index, failure);
+        ModelState refused = model;
         refused.m_faults += 1;
-        proceed(refused, index, bad);
-        World late = refused;
-        late.m_lateAppends.push_back(batch);
-        proceed(late, index, bad);
+        applyEvent(refused, index, failure);
+        ModelState delayed = refused;
+        delayed.m_delayedAppends.push_back(batch);
+        applyEvent(delayed, index, failure);
     }
 
-    void perform(const World &world, std::size_t index, const Claims::WriteClaim &action)
+    void perform(const ModelState &model, std::size_t index, const Claims::WriteClaim &action)
     {
         Claims::Claim claim;
-        claim.m_key = key();
+        claim.m_key = makeKey();
         claim.m_attempt = action.m_attempt;
-        claim.m_agentIncarnation = std::to_string(world.m_calls[index].m_life);
+        claim.m_agentIncarnation = std::to_string(model.m_calls[index].m_incarnation);
         Claims::ClaimBatch batch;
         batch.m_id = "claim " + action.m_attempt;
         batch.m_claims.push_back(claim);
         append(
-            world,
+            model,
             index,
             batch,
-            [this](const Claims::AppliedBatch &folded) {
-                Claims::ClaimResult result = folded.m_results.at(0);
+            [this](const Claims::AppliedBatch &applied) {
+                Claims::ClaimResult result = applied.m_results.at(0);
                 if (!m_mechanisms.m_claims) {
                     result.m_verdict = Claims::Verdict::Won;
                 }
@@ -296,94 +296,94 @@
             Claims::Event(Claims::ClaimFailed{}));
     }
 
-    void perform(const World &world, std::size_t index, const Claims::Dispatch &action)
+    void perform(const ModelState &model, std::size_t index, const Claims::Dispatch &action)
     {
-        const int life = world.m_calls[index].m_life;
-        World arrived = world;
-        const bool ran = arrive(arrived, m_mechanisms, action.m_attempt, life);
-        proceed(arrived, index, ran ? Claims::Event(Claims::CompleteAnswer{}) : Claims::Event(Claims::AttemptNotRun{}));
-        if (world.m_faults >= MaximumFaults) {
+        const int incarnation = model.m_calls[index].m_incarnation;
+        ModelState arrived = model;
+        const bool ran = deliverAttempt(arrived, m_mechanisms, action.m_attempt, incarnation);
+        applyEvent(arrived, index, ran ? Claims::Event(Claims::CompleteAnswer{}) : Claims::Event(Claims::AttemptNotRun{}));
+        if (model.m_faults >= MaximumFaults) {
             return;
         }
         arrived.m_faults += 1;
-        proceed(arrived, index, Claims::AnswerIncomplete{});
-        World unsent = world;
+        applyEvent(arrived, index, Claims::AnswerIncomplete{});
+        ModelState unsent = model;
         unsent.m_faults += 1;
-        proceed(unsent, index, Claims::AttemptNotRun{});
-        World late = unsent;
-        late.m_late.push_back(Late{action.m_attempt, life});
-        proceed(late, index, Claims::AnswerIncomplete{});
+        applyEvent(unsent, index, Claims::AttemptNotRun{});
+        ModelState delayed = unsent;
+        delayed.m_delayedAttempts.push_back(DelayedAttempt{action.m_attempt, incarnation});
+        applyEvent(delayed, index, Claims::AnswerIncomplete{});
     }
 
-    void perform(const World &world, std::size_t index, const Claims::QueryOutcome &action)
+    void perform(const ModelState &model, std::size_t index, const Claims::QueryOutcome &action)
     {
-        World asked = world;
-        const int life = action.m_isOwn ? world.m_calls[index].m_life : lifeOf(action.m_holder);
-        const Protocol::Outcome outcome = ask(asked, m_mechanisms, action.m_attempt, life);
-        proceed(asked, index, Claims::OutcomeReceived{outcome});
-        if (world.m_faults >= MaximumFaults) {
+        ModelState queried = model;
+        const int incarnation = action.m_isOwn ? model.m_calls[index].m_incarnation : incarnationOf(action.m_holder);
+        const Protocol::Outcome outcome = queryOutcome(queried, m_mechanisms, action.m_attempt, incarnation);
+        applyEvent(queried, index, Claims::OutcomeReceived{outcome});
+        if (model.m_faults >= MaximumFaults) {
             return;
         }
-        asked.m_faults += 1;
-        proceed(asked, index, Claims::OutcomeUnavailable{});
+        queried.m_faults += 1;
+        applyEvent(queried, index, Claims::OutcomeUnavailable{});
     }
 
-    void perform(const World &world, std::size_t index, const Claims::WriteTombstone &action)
+    void perform(const ModelState &model, std::size_t index, const Claims::WriteTombstone &action)
     {
         Claims::ClaimBatch batch;
-        batch.m_id = "bar " + action.m_attempt + std::to_string(index);
-        batch.m_tombstones.push_back(Claims::AttemptTombstone{key().m_text, action.m_attempt});
+        batch.m_id = "tombstone " + action.m_attempt + std::to_string(index);
+        batch.m_tombstones.push_back(Claims::AttemptTombstone{makeKey().m_text, action.m_attempt});
         append(
-            world,
+            model,
             index,
             batch,
             [](const Claims::AppliedBatch &) { return Claims::Event(Claims::TombstoneWritten{}); },
             Claims::Event(Claims::TombstoneFailed{}));
     }
 
-    void perform(const World &, std::size_t, const Claims::ReportVerdict &)
+    void perform(const ModelState &, std::size_t, const Claims::ReportVerdict &)
     {
     }
 
     const Mechanisms m_mechanisms;
-    std::set<std::string> m_seen;
-    std::string m_problem;
+    std::set<std::string> m_visited;
+    std::string m_violation;
 };
 
 }
 
-TEST_CASE("no interleaving of three calls under one key runs twice, or runs after not run was said")
+TEST_CASE("in no interleaving do three calls under one key run twice, or run although reported as not run")
 {
-    // Three entries get the same booking from one caller that lost patience. Appends and answers are lost or land late, the agent restarts, and any
-    // entry pauses at any point. Were there a hole, a crew would be booked twice, or a booking reported as not made would stand.
+    // A caller retries the same keyed call through three entries. Appends and answers are lost or delayed, the agent restarts, and any entry can pause
+    // at any point. A violation would mean that a call runs twice, or takes effect although it was reported as not run.
     Checker checker((Mechanisms()));
     REQUIRE(checker.check() == "");
     INFO("states: " << checker.states());
     REQUIRE(checker.states() > 1000);
 }
 
-TEST_CASE("the model check notices each mechanism that is taken out")
+TEST_CASE("the model check detects each mechanism that is disabled")
 {
     Mechanisms mechanisms;
-    SECTION("claims")
+    SECTION("claims decide which attempt runs")
     {
         mechanisms.m_claims = false;
     }
     SECTION("tombstones at the agent")
     {
-        mechanisms.m_tombstones = false;
+        mechanisms.m_agentTombstones = false;
     }
     SECTION("incarnations of the agent")
     {
         mechanisms.m_incarnations = false;
     }
-    SECTION("asking after a lost answer")
+    SECTION("outcome query after an incomplete answer")
     {
-        mechanisms.m_asking = false;
+        mechanisms.m_outcomeQueries = false;
     }
-    SECTION("bars and claiming anew")
+    SECTION("tombstones in the log and claiming again")
     {
-        mechanisms.m_bars = false;
+        mechanisms.m_logTombstones = false;
     }
     Checker checker(mechanisms);
     REQUIRE(checker.check() != "");
--- a/Tests/LibClaims/TestClaimWriter.cpp
+++ b/Tests/LibClaims/TestClaimWriter.cpp
@@ -1,4 +1,4 @@
-/// @file The writer against a log that is down, loses answers or records.
+/// @file The claim writer with a log that is down or loses answers or records.
 
 #include "LibClaims/ClaimWriter.h"
 #include "LibClaims/ClaimWriterSelection.h"
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// A writer on a log; the log outlives it.
-struct Site
+/// A writer and its log; the log outlives the writer.
+struct WriterFixture
 {
     StandIn::LogStore m_log;
     Telemetry::Metrics m_metrics;
     std::unique_ptr<Claims::ClaimWriter> m_writer;
 
-    Site()
+    WriterFixture()
     {
         restart();
     }
 
-    ~Site()
+    ~WriterFixture()
     {
         m_log.stop();
     }
@@ -67,93 +67,93 @@
 
 }
 
-TEST_CASE("claims made at the same time are written in few records, and one wins")
+TEST_CASE("concurrent claims on one key are batched into few records, and exactly one wins")
 {
-    Site site;
+    WriterFixture fixture;
     std::vector<std::future<Claims::Verdict>> verdicts;
     for (int index = 0; index < 20; ++index) {
-        verdicts.push_back(std::async(std::launch::async, [&site, index] { return site.verdict("attempt-" + std::to_string(index), {0, 0}); }));
+        verdicts.push_back(std::async(std::launch::async, [&fixture, index] { return fixture.verdict("attempt-" + std::to_string(index), {0, 0}); }));
     }
     int won = 0;
     for (std::future<Claims::Verdict> &verdict : verdicts) {
         won += verdict.get() == Claims::Verdict::Won ? 1 : 0;
     }
     REQUIRE(won == 1);
-    REQUIRE(site.m_metrics.counter("claims_batches_total").value() < 20);
+    REQUIRE(fixture.m_metrics.counter("claims_batches_total").value() < 20);
 }
 
-TEST_CASE("a lost append answer is settled by reading back")
+TEST_CASE("a batch whose append answer was lost is found by reading back")
 {
-    // The append takes effect and its answer is lost. Treated as a failure, the caller would be sent away although the key is held; appended again
-    // blindly, it would be held twice.
-    Site site;
+    // The append takes effect but its answer is lost. If this were treated as a failure, the caller would be refused although the key is held. If the
+    // batch were appended again without a check, the key would be claimed twice.
+    WriterFixture fixture;
     StandIn::LogFaults faults;
     faults.m_loseAnswers = true;
-    site.m_log.setFaults(faults);
-    REQUIRE(site.verdict("first", {0, 0}) == Claims::Verdict::Won);
-    REQUIRE(site.m_metrics.counter("claims_append_answers_lost_total").value() == 1);
+    fixture.m_log.setFaults(faults);
+    REQUIRE(fixture.verdict("first", {0, 0}) == Claims::Verdict::Won);
+    REQUIRE(fixture.m_metrics.counter("claims_append_answers_lost_total").value() == 1);
 }
 
-TEST_CASE("while the log is down claims are refused and nothing is held")
+TEST_CASE("while the log is down, claims are refused and no key is held")
 {
-    Site site;
+    WriterFixture fixture;
     StandIn::LogFaults faults;
     faults.m_down = true;
-    site.m_log.setFaults(faults);
-    REQUIRE(site.claim("first", {0, 0}).error().m_code == Core::ErrorCode::Unavailable);
-    site.m_log.setFaults({});
-    site.awaitEpoch();
-    Core::Result<Claims::ClaimAnswer> answer = site.claim("second", {0, 0});
+    fixture.m_log.setFaults(faults);
+    REQUIRE(fixture.claim("first", {0, 0}).error().m_code == Core::ErrorCode::Unavailable);
+    fixture.m_log.setFaults({});
+    fixture.awaitEpoch();
+    Core::Result<Claims::ClaimAnswer> answer = fixture.claim("second", {0, 0});
     while (!answer) {
-        answer = site.claim("second", {0, 0});
+        answer = fixture.claim("second", {0, 0});
     }
     REQUIRE(answer.value().m_results.at(0).m_verdict == Claims::Verdict::Won);
 }
 
-TEST_CASE("a replaced writer knows the claims of its predecessor")
+TEST_CASE("a restarted writer knows the claims written before")
 {
-    Site site;
-    REQUIRE(site.verdict("first", {0, 0}) == Claims::Verdict::Won);
-    site.restart();
-    REQUIRE(site.verdict("second", {0, 0}) == Claims::Verdict::Lost);
+    WriterFixture fixture;
+    REQUIRE(fixture.verdict("first", {0, 0}) == Claims::Verdict::Won);
+    fixture.restart();
+    REQUIRE(fixture.verdict("second", {0, 0}) == Claims::Verdict::Lost);
 }
 
-TEST_CASE("a writer that starts after records have expired refuses the keys from before")
+TEST_CASE("a writer that starts after records have expired refuses keys issued before them")
 {
-    Site site;
-    REQUIRE(site.verdict("first", {0, 0}) == Claims::Verdict::Won);
-    REQUIRE(site.verdict("next", {0, 1}, "other") == Claims::Verdict::Won);
-    site.m_log.expireRecordsBefore(2);
-    site.restart();
-    REQUIRE(site.verdict("second", {0, 0}) == Claims::Verdict::Expired);
+    WriterFixture fixture;
+    REQUIRE(fixture.verdict("first", {0, 0}) == Claims::Verdict::Won);
+    REQUIRE(fixture.verdict("next", {0, 1}, "other") == Claims::Verdict::Won);
+    fixture.m_log.expireRecordsBefore(2);
+    fixture.restart();
+    REQUIRE(fixture.verdict("second", {0, 0}) == Claims::Verdict::Expired);
 }
 
-TEST_CASE("after the log lost records, keys from before are refused and new ones work")
+TEST_CASE("after the log has lost records, older keys are refused and new keys work")
 {
-    // The record that held the claim is gone, and its offset will be handed out again. The caller's retry must not run a second time.
-    Site site;
-    const Claims::Epoch before = site.awaitEpoch();
-    REQUIRE(site.verdict("first", before) == Claims::Verdict::Won);
-    site.m_log.dropRecordsFrom(1);
-    while (site.m_metrics.counter("claims_stream_restarts_total").value() == 0) {
+    // The record with the claim is lost, and its offset will be assigned again. The caller's retry must not run a second time.
+    WriterFixture fixture;
+    const Claims::Epoch before = fixture.awaitEpoch();
+    REQUIRE(fixture.verdict("first", before) == Claims::Verdict::Won);
+    fixture.m_log.dropRecordsFrom(1);
+    while (fixture.m_metrics.counter("claims_stream_restarts_total").value() == 0) {
         std::this_thread::yield();
     }
-    site.awaitEpoch();
-    REQUIRE(site.verdict("second", before) == Claims::Verdict::Expired);
-    const Claims::Epoch after = site.awaitEpoch();
+    fixture.awaitEpoch();
+    REQUIRE(fixture.verdict("second", before) == Claims::Verdict::Expired);
+    const Claims::Epoch after = fixture.awaitEpoch();
     REQUIRE(after.m_generation == 1);
-    REQUIRE(site.verdict("third", after, "new") == Claims::Verdict::Won);
+    REQUIRE(fixture.verdict("third", after, "new") == Claims::Verdict::Won);
 }
 
-TEST_CASE("a writer that stood aside misses no claim that was made meanwhile")
+TEST_CASE("a writer that stopped reading misses no claim that was made meanwhile")
 {
-    // Other entries rank higher for a while, and this one stops reading. When it is a writer again it must not take a key for free that was claimed.
-    Site site;
-    site.m_writer->setReading(false);
-    REQUIRE_FALSE(site.m_writer->epoch());
-    REQUIRE(site.claim("refused", {0, 0}).error().m_code == Core::ErrorCode::Unavailable);
+    // Other entries rank higher for a while, and this one stops reading. When it is a writer again, it must not treat a claimed key as free.
+    WriterFixture fixture;
+    fixture.m_writer->setReading(false);
+    REQUIRE_FALSE(fixture.m_writer->epoch());
+    REQUIRE(fixture.claim("refused", {0, 0}).error().m_code == Core::ErrorCode::Unavailable);
     Telemetry::Metrics metrics;
-    Claims::ClaimWriter other(site.m_log, "entry-2", Claims::WriterSettings(), metrics);
+    Claims::ClaimWriter other(fixture.m_log, "entry-2", Claims::WriterSettings(), metrics);
     other.start();
     other.setReading(true);
     while (!other.epoch()) {
@@ -165,12 +165,12 @@
     std::promise<bool> won;
     other.submit(Claims::ClaimRequest{{}, {claim}}, [&won](const Core::Result<Claims::ClaimAnswer> &answer) { won.set_value(answer.has_value()); });
     REQUIRE(won.get_future().get());
-    site.m_writer->setReading(true);
-    site.awaitEpoch();
-    REQUIRE(site.verdict("second", {0, 0}) == Claims::Verdict::Lost);
+    fixture.m_writer->setReading(true);
+    fixture.awaitEpoch();
+    REQUIRE(fixture.verdict("second", {0, 0}) == Claims::Verdict::Lost);
 }
 
-TEST_CASE("few entries write claims, and one key meets at one of them")
+TEST_CASE("few entries write claims, and claims on one key go to the same one")
 {
     std::vector<Protocol::Member> members;
     for (int index = 0; index < 13; ++index) {
