--- a/Libraries/LibEntry/AgentWatcher.cpp
+++ b/Libraries/LibEntry/AgentWatcher.cpp
@@ -1,4 +1,4 @@
-/// @file Streams of reports from agents.
+/// @file Receipt of report streams from agents.
 
 #include "LibEntry/AgentWatcher.h"
 #include "LibWire/Pack.h"
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Core::Duration TurnInterval{50};
+constexpr Core::Duration PollInterval{50};
 constexpr Core::Duration RetryInterval{500};
-/// How often the watch set is looked over without a change of state or members.
-constexpr Core::Duration ChoiceInterval{1000};
-constexpr std::size_t ArrivalCapacity = 8192;
+/// Longest time between two updates of the watch set; a change of state or members triggers one at once.
+constexpr Core::Duration UpdateInterval{1000};
+constexpr std::size_t FrameCapacity = 8192;
 constexpr std::size_t EndCapacity = 65536;
 
 }
@@ -22,7 +22,7 @@
     , m_loadsIgnored(m_parts.m_metrics->counter("watch_loads_ignored_total"))
     , m_streamsLost(m_parts.m_metrics->counter("watch_streams_lost_total"))
     , m_reportsDropped(m_parts.m_metrics->counter("watch_reports_dropped_total"))
-    , m_inbox(std::make_shared<Inbox>(ArrivalCapacity, EndCapacity))
+    , m_inbox(std::make_shared<Inbox>(FrameCapacity, EndCapacity))
 {
 }
 
@@ -70,17 +70,17 @@
     if (state->m_applied != m_lastApplied || members != m_lastMembersVersion || now >= m_nextUpdate) {
         m_lastApplied = state->m_applied;
         m_lastMembersVersion = members;
-        m_nextUpdate = now + ChoiceInterval;
+        m_nextUpdate = now + UpdateInterval;
         updateWatchSet();
     }
     m_parts.m_router->poll();
-    return TurnInterval;
+    return PollInterval;
 }
 
 void AgentWatcher::processInbox()
 {
-    while (const std::optional<ReceivedFrame> arrival = m_inbox->m_frames.pop(Core::Duration(0))) {
-        onFrame(arrival->m_stream, arrival->m_frame);
+    while (const std::optional<ReceivedFrame> received = m_inbox->m_frames.pop(Core::Duration(0))) {
+        onFrame(received->m_stream, received->m_frame);
     }
     while (const std::optional<std::uint64_t> ended = m_inbox->m_ends.pop(Core::Duration(0))) {
         onStreamEnd(*ended);
@@ -114,7 +114,7 @@
         return;
     }
     if (!applied || report.m_member.m_id != it->second.m_instance) {
-        // Something else answers at this address; the instance list will say what.
+        // Another process answers at this address. The instance list will provide the new address.
         m_parts.m_node->cancel(it->second.m_call);
         return;
     }
@@ -133,7 +133,7 @@
 
 std::vector<std::string> AgentWatcher::instancesServingEarlierVersions() const
 {
-    std::vector<std::string> held;
+    std::vector<std::string> serving;
     const std::lock_guard<std::mutex> lock(m_reportsMutex);
     for (const std::pair<const std::string, Protocol::AgentReport> &entry : m_reports) {
         const std::vector<std::string> previous = m_parts.m_versions->previousDigests(entry.second.m_member.m_service);
@@ -142,10 +142,10 @@
             return std::find(previous.begin(), previous.end(), attestation.m_digest) != previous.end();
         });
         if (serves) {
-            held.push_back(entry.first);
+            serving.push_back(entry.first);
         }
     }
-    return held;
+    return serving;
 }
 
 void AgentWatcher::updateWatchSet()
--- a/Libraries/LibEntry/AgentWatcher.h
+++ b/Libraries/LibEntry/AgentWatcher.h
@@ -1,4 +1,4 @@
-/// @file The duty that watches agents and keeps the router's view of them.
+/// @file Worker that subscribes to agents' reports and passes them to the router.
 #pragma once
 
 #include "LibControl/StateStore.h"
@@ -20,11 +20,11 @@
     Router *m_router = nullptr;
     VersionTracker *m_versions = nullptr;
     Telemetry::Metrics *m_metrics = nullptr;
-    std::string m_entryName; ///< Of the entry.
+    std::string m_entryName; ///< Id of this entry.
     std::size_t m_watchedPerGroup = 24;
 };
 
-/// Opens a stream of reports to each agent of the watch set, and opens it anew when it ends.
+/// Keeps a stream of reports open from each agent of the watch set, and reopens it when it ends.
 class AgentWatcher
 {
 public:
@@ -32,12 +32,12 @@
     ~AgentWatcher();
 
     void start();
-    /// To be called before the node is stopped.
+    /// Must be called before the node is stopped.
     void stop();
-    /// State or members have changed.
+    /// Updates the watch set soon. To be called when state or members have changed.
     void wake();
 
-    /// The newest report of each watched agent, for the status page.
+    /// Returns the newest report of each watched agent, by instance.
     std::map<std::string, Protocol::AgentReport> reports() const;
 
 private:
@@ -57,7 +57,7 @@
         }
 
         Core::Ring<ReceivedFrame> m_frames;
-        Core::Ring<std::uint64_t> m_ends; ///< Kept apart, so that a flood of reports cannot lose one.
+        Core::Ring<std::uint64_t> m_ends; ///< Separate from the frames, so that no end is dropped when m_frames is full.
     };
 
     struct Stream
@@ -83,14 +83,14 @@
     Telemetry::Counter &m_streamsLost;
     Telemetry::Counter &m_reportsDropped;
     std::shared_ptr<Inbox> m_inbox;
-    std::map<std::uint64_t, Stream> m_streams; ///< By a number that is never used again. Used by the duty's thread only, as are the next three.
+    std::map<std::uint64_t, Stream> m_streams; ///< By a number that is never reused. This member and the next five are used by the worker's thread only.
     std::uint64_t m_nextStream = 1;
-    std::map<std::string, Core::Instant> m_retryAt; ///< By instance.
+    std::map<std::string, Core::Instant> m_retryAt; ///< Earliest time to reopen a stream that ended, by instance.
     Control::Offset m_lastApplied = 0;
     std::uint64_t m_lastMembersVersion = 0;
     Core::Instant m_nextUpdate;
     mutable std::mutex m_reportsMutex;
-    std::map<std::string, Protocol::AgentReport> m_reports; ///< Of the watched agents.
+    std::map<std::string, Protocol::AgentReport> m_reports; ///< Newest reports of the watched agents, by instance.
     Control::Worker m_worker;
 };
 
--- a/Libraries/LibEntry/CallerError.cpp
+++ b/Libraries/LibEntry/CallerError.cpp
@@ -1,4 +1,4 @@
-/// @file Mapping of failures to HTTP.
+/// @file Mapping of errors to HTTP.
 
 #include "LibEntry/CallerError.h"
 #include "LibTelemetry/AdminServer.h"
--- a/Libraries/LibEntry/CallerError.h
+++ b/Libraries/LibEntry/CallerError.h
@@ -1,4 +1,4 @@
-/// @file What callers are told when a request fails: HTTP status, code and when to come back.
+/// @file Errors as callers receive them: HTTP status, code and retry time.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -16,29 +16,30 @@
     KeyUsed,
     KeyExpired,
     TooLarge,
-    AccountBusy, ///< Not run: the account's own queue is full.
+    AccountBusy, ///< Not run: the account's queue is full.
     NotRun,
     OutcomeUnknown,
     Timeout,
 };
 
-/// The final answer to a request that failed. Immutable once made.
+/// Final answer to a failed request.
 struct CallerError
 {
     CallerCode m_code = CallerCode::NotRun;
     Core::Error m_error;
-    std::optional<Core::Duration> m_retryAfter; ///< Set for every refusal that can be tried again.
-    std::vector<std::string> m_addresses; ///< Other entries to use, if this one is leaving.
+    std::optional<Core::Duration> m_retryAfter; ///< Time after which the caller may retry; set for every refusal that can be retried.
+    std::vector<std::string> m_addresses; ///< Caller addresses of other entries, if this one is leaving.
 
     bool operator==(const CallerError &) const = default;
 };
 
+/// Returns the HTTP status of an error code.
 int httpStatus(CallerCode code);
-/// The code as docs/CALLERS.md names it.
+/// Returns the name of the code as documented in docs/CALLERS.md.
 std::string_view callerCodeName(CallerCode code);
-/// {"error":{...}} without a line end.
+/// Returns {"error":{...}} without a trailing newline.
 std::string callerErrorJson(const CallerError &error);
-/// Whole seconds for the Retry-After header, rounded up, at least 1.
+/// Returns the value of the Retry-After header: seconds, rounded up, at least 1.
 std::int64_t retryAfterSeconds(Core::Duration wait);
 
 }
--- a/Libraries/LibEntry/CallerRequest.cpp
+++ b/Libraries/LibEntry/CallerRequest.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of callers' requests.
+/// @file Parsing of callers' requests.
 
 #include "LibEntry/CallerRequest.h"
 
--- a/Libraries/LibEntry/CallerRequest.h
+++ b/Libraries/LibEntry/CallerRequest.h
@@ -1,4 +1,4 @@
-/// @file Callers' requests, read and checked. Pure.
+/// @file Parsing and validation of callers' requests.
 #pragma once
 
 #include "LibClaims/ClaimKey.h"
@@ -28,14 +28,14 @@
     std::string m_account;
     std::string m_service;
     std::string m_path; ///< Starts with a slash.
-    std::optional<Claims::ClaimKey> m_key; ///< Set for calls that may not be repeated.
+    std::optional<Claims::ClaimKey> m_key; ///< Idempotency key; set for calls that must not run twice.
     std::int32_t m_priority = 0;
     std::string m_body;
 
     bool operator==(const CallRequest &) const = default;
 };
 
-/// Headers that are common to both, as text; absent ones are empty.
+/// Headers used by both kinds of requests, as text; absent ones are empty.
 struct RequestHeaders
 {
     std::string m_account;
@@ -44,13 +44,14 @@
     std::string m_priority;
 };
 
+/// Priorities range from the negative of this value to this value.
 inline constexpr std::int32_t MaximumPriority = 100;
 
-/// Fails with InvalidInput.
+/// Parses the body and headers of a generate request. Fails with InvalidInput.
 Core::Result<GenerateRequest> parseGenerate(const std::string &body, const RequestHeaders &headers, const CallerLimits &limits);
-/// @p path is the request's path without the query; fails with InvalidInput.
+/// Parses a call; @p path is the request's path without the query. Fails with InvalidInput, or with Unavailable if the key has an empty epoch.
 Core::Result<CallRequest> parseCall(const std::string &path, std::string body, const RequestHeaders &headers);
-/// The time that the caller gives, from its header or the default. Fails with InvalidInput.
+/// Returns the request's timeout from its header, or the default. Fails with InvalidInput.
 Core::Result<Core::Duration> parseTimeout(const RequestHeaders &headers, const CallerLimits &limits);
 
 }
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -1,4 +1,4 @@
-/// @file Handlers of callers' requests.
+/// @file HTTP handlers for callers' requests.
 
 #include "LibEntry/CallerServer.h"
 #include "LibEntry/ConnectionGuard.h"
@@ -24,13 +24,15 @@
 
 namespace {
 
-/// When a caller without a key epoch should ask for one again; an entry reads the claims to their end within a second of the log's return.
+/// Retry time for a caller without a key epoch. An entry reads the claims stream to its end within a second after the log is back.
 constexpr Core::Duration MissingEpochRetryAfter{1000};
 
 constexpr const char *JsonType = "application/json";
 constexpr const char *LinesType = "application/x-ndjson";
 constexpr std::size_t ReadBytes = 16384;
+/// Bytes of a refused body that are read and discarded.
 constexpr std::size_t MaximumDiscarded = 64 << 20;
+/// Buffered bytes of an answer above which they are sent at once.
 constexpr std::size_t FlushBytes = 8192;
 constexpr int ListenBacklog = 1024;
 constexpr int ThreadIdleSeconds = 60;
@@ -44,7 +46,7 @@
     return static_cast<Poco::Net::HTTPServerRequestImpl &>(request).socket();
 }
 
-/// True once the caller has closed its end or the connection is broken.
+/// True if the caller has closed its end or the connection is broken.
 bool isClosed(Poco::Net::StreamSocket &socket)
 {
     try {
@@ -79,7 +81,7 @@
     return CallerError{CallerCode::InvalidInput, error, std::nullopt, {}};
 }
 
-/// Reads a body of at most @p limit bytes; fails with Overloaded if it is longer.
+/// Reads a body of at most @p limit bytes. Fails with Overloaded if it is longer, with InvalidInput if it is shorter than announced.
 Core::Result<std::string> readBody(HTTPServerRequest &request, std::size_t limit)
 {
     const Core::Error tooLarge =
@@ -104,8 +106,8 @@
     return body;
 }
 
-/// Reads the rest of a body and forgets it. Closing a connection that holds unread bytes resets it, and the caller, still sending, would see a
-/// failure in place of the refusal. The guard's limit on the time of a request bounds this too.
+/// Reads and discards the rest of a body. Closing a connection with unread bytes resets it, and a caller that is still sending would get a connection
+/// error instead of the refusal. The time is bounded by the guard's request timeout.
 void discardBody(HTTPServerRequest &request)
 {
     std::string part(ReadBytes, '\0');
@@ -163,7 +165,7 @@
         return isClosed(m_socket);
     }
 
-    /// True once the status line is out, so that an error can only be told as a line.
+    /// True once the status line has been sent, after which an error can only be reported as a line.
     bool hasStarted() const
     {
         return m_stream != nullptr;
@@ -175,7 +177,7 @@
         flush();
     }
 
-    /// Lines that came together go out in one chunk: a write for each token is most of what an answer costs.
+    /// Sends all buffered lines in one chunk, since a write for each token would be most of the cost of an answer.
     bool flush() override
     {
         if (m_lines.empty()) {
@@ -191,11 +193,11 @@
     Poco::Net::StreamSocket &m_socket;
     HTTPServerResponse &m_response;
     std::ostream *m_stream = nullptr; ///< Owned by the response.
-    std::string m_digest; ///< Version that the answer started with.
-    std::string m_lines; ///< Not written yet; below FlushBytes.
+    std::string m_digest; ///< Digest of the version that the answer comes from.
+    std::string m_lines; ///< Buffered lines; less than FlushBytes bytes.
 };
 
-/// Counts a request for work as open while it lives.
+/// Counts a request as open during its lifetime.
 class OpenRequest
 {
 public:
@@ -232,8 +234,8 @@
         try {
             serve(request, response);
         } catch (const Poco::Exception &exception) {
-            // The caller's connection failed under the answer; there is nobody left to tell.
-            VLOG(1) << "caller's connection: " << exception.displayText();
+            // The caller's connection failed while the answer was sent, so the error cannot be reported to it.
+            VLOG(1) << "connection to caller failed: " << exception.displayText();
             response.setKeepAlive(false);
         }
         m_guard.beginReceiving(socketOf(request));
@@ -369,7 +371,7 @@
     std::shared_ptr<ConnectionGuard> m_guard;
 };
 
-/// Lets a connection in, or tells it at once to come back.
+/// Accepts a connection, or refuses it at once with a retry time.
 class GuardFilter : public Poco::Net::TCPServerConnectionFilter
 {
 public:
@@ -398,18 +400,18 @@
             "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: "
             + std::to_string(body.size()) + "\r\n\r\n" + body;
         try {
-            // A fresh socket takes this much without waiting.
+            // The empty send buffer of a new socket takes this much without blocking.
             socket.sendBytes(answer.data(), static_cast<int>(answer.size()));
             socket.shutdownSend();
         } catch (const Poco::Exception &) {
-            // The caller is gone already; closing is all that is left.
+            // The caller has already disconnected.
         }
     }
 
     std::shared_ptr<ConnectionGuard> m_guard;
 };
 
-/// A connection that is counted while it lives.
+/// A connection that is counted by the guard during its lifetime.
 class GuardedConnection : public Poco::Net::HTTPServerConnection
 {
 public:
--- a/Libraries/LibEntry/CallerServer.h
+++ b/Libraries/LibEntry/CallerServer.h
@@ -1,4 +1,4 @@
-/// @file The HTTP listener for callers.
+/// @file HTTP server for callers.
 #pragma once
 
 #include "LibEntry/Frontend.h"
@@ -18,9 +18,9 @@
 class ConnectionGuard;
 
 /**
- * Serves callers over POCO's HTTP server, a thread for each connection, up to a limit.
+ * Serves callers with POCO's HTTP server, with one thread per connection up to a limit.
  *
- * A connection over the limit is told at once to come back, instead of waiting in a queue that its caller cannot see.
+ * A connection above the limit is refused at once with a retry time instead of waiting in a queue that its caller cannot see.
  */
 class CallerServer
 {
@@ -28,8 +28,9 @@
     explicit CallerServer(Frontend &frontend);
     ~CallerServer();
 
+    /// Fails with Unavailable if it cannot listen.
     Core::Result<void> start();
-    /// Ends idle connections and waits for requests that run.
+    /// Closes idle connections and waits for running requests.
     void stop();
 
 private:
--- a/Libraries/LibEntry/ClaimService.cpp
+++ b/Libraries/LibEntry/ClaimService.cpp
@@ -1,4 +1,4 @@
-/// @file Sending claims to their writers.
+/// @file Sending of claims to claim writers.
 
 #include "LibEntry/ClaimService.h"
 #include "LibClaims/ClaimWriterSelection.h"
@@ -10,16 +10,17 @@
 
 namespace {
 
-/// Claims and bars that one request from another entry may carry.
-constexpr std::size_t MaximumPerRequest = 64;
-/// Longest time for one writer; then the next one is tried, which is safe with the same attempt.
+/// Maximum claims and tombstones in one request from another entry.
+constexpr std::size_t MaximumItemsPerRequest = 64;
+/// Longest wait for one writer before the next one is tried. Claiming again at another writer is safe, since the attempt is the same.
 constexpr Core::Duration WriterTimeout{3000};
 constexpr Core::Duration EpochTimeout{1000};
-/// How old the epoch handed out for new keys may be, besides the way it takes. An older one only shortens the lives of keys.
-constexpr Core::Duration EpochInterval{1000};
-constexpr Core::Duration EpochRetry{100};
+/// Interval of the epoch query. An older epoch only shortens the lifetime of keys.
+constexpr Core::Duration EpochPollInterval{1000};
+/// Interval of the epoch query while it fails.
+constexpr Core::Duration EpochRetryInterval{100};
 
-Core::Duration timeLeft(Core::Instant deadline)
+Core::Duration remainingTime(Core::Instant deadline)
 {
     return std::chrono::duration_cast<Core::Duration>(deadline - Core::Clock::now());
 }
@@ -54,7 +55,7 @@
         call.m_responder.fail(request.error());
         return;
     }
-    if (request.value().m_claims.size() + request.value().m_tombstones.size() > MaximumPerRequest) {
+    if (request.value().m_claims.size() + request.value().m_tombstones.size() > MaximumItemsPerRequest) {
         call.m_responder.fail(Core::makeError(Core::ErrorCode::InvalidInput, "write claims", m_self.m_id, "too many claims in one request"));
         return;
     }
@@ -94,12 +95,12 @@
     const std::vector<Protocol::Member> members = m_store.members();
     Core::Error last = Core::makeError(Core::ErrorCode::Unavailable, "write claims", m_self.m_id, "no claim writer is known");
     for (const Protocol::Member &writer : Claims::selectClaimWriters(members, key)) {
-        const Core::Duration left = std::min(timeLeft(deadline), WriterTimeout);
-        if (left <= Core::Duration(0)) {
+        const Core::Duration remaining = std::min(remainingTime(deadline), WriterTimeout);
+        if (remaining <= Core::Duration(0)) {
             break;
         }
         const bool here = writer.m_id == m_self.m_id;
-        const Core::Result<Claims::ClaimAnswer> answer = here ? writeLocally(request, left) : writeRemotely(writer, request, left);
+        const Core::Result<Claims::ClaimAnswer> answer = here ? writeLocally(request, remaining) : writeRemotely(writer, request, remaining);
         if (answer) {
             return answer;
         }
@@ -119,7 +120,7 @@
     }
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_epoch = epoch ? std::optional<Claims::Epoch>(epoch.value()) : std::nullopt;
-    return epoch ? EpochInterval : EpochRetry;
+    return epoch ? EpochPollInterval : EpochRetryInterval;
 }
 
 std::string ClaimService::keyEpoch() const
--- a/Libraries/LibEntry/ClaimService.h
+++ b/Libraries/LibEntry/ClaimService.h
@@ -1,4 +1,4 @@
-/// @file Claims as an entry's callers need them: through this entry's writer or that of another entry.
+/// @file Writing of claims for an entry's callers, through this entry's claim writer or that of another entry.
 #pragma once
 
 #include "LibClaims/ClaimWriter.h"
@@ -18,7 +18,7 @@
     Claims::WriterSettings m_settings;
 };
 
-/// Answers control.claim and sends claims to the writers. Must be constructed before the node is started.
+/// Handles control.claim and sends claims to the claim writers. Must be constructed before the node is started.
 class ClaimService
 {
 public:
@@ -27,9 +27,9 @@
     void start();
     void stop();
 
-    /// Has a request written that concerns one key; blocks until the result stands in the log, at most until the deadline.
+    /// Writes claims or tombstones for one key. Blocks until they have been read back from the log, at most until the deadline.
     Core::Result<Claims::ClaimAnswer> write(const std::string &key, const Claims::ClaimRequest &request, Core::Instant deadline);
-    /// The epoch for new keys, as of a moment ago; empty until it is known.
+    /// Returns a recent epoch for new keys; empty until one is known.
     std::string keyEpoch() const;
 
     const Claims::ClaimWriter &writer() const
@@ -48,8 +48,8 @@
     const Protocol::Member m_self;
     Claims::ClaimWriter m_writer;
     mutable std::mutex m_mutex;
-    std::optional<Claims::Epoch> m_epoch; ///< For new keys, as a writer told it; empty while none can be asked.
-    Control::Worker m_worker; ///< Looks whether this entry is a reader, and asks for the epoch if it is not.
+    std::optional<Claims::Epoch> m_epoch; ///< Epoch for new keys, as received from a writer; empty while no writer can be reached.
+    Control::Worker m_worker; ///< Checks whether this entry is a claim reader, and queries the epoch if it has none of its own.
 };
 
 }
--- a/Libraries/LibEntry/ConnectionGuard.cpp
+++ b/Libraries/LibEntry/ConnectionGuard.cpp
@@ -1,4 +1,4 @@
-/// @file Counting and cutting of callers' connections.
+/// @file Counting and closing of callers' connections.
 
 #include "LibEntry/ConnectionGuard.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Core::Duration LookInterval{200};
+constexpr Core::Duration CheckInterval{200};
 
 }
 
@@ -71,7 +71,7 @@
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_stopping) {
-        m_changed.wait_for(lock, LookInterval);
+        m_changed.wait_for(lock, CheckInterval);
         closeTimedOut(Core::Clock::now());
     }
 }
@@ -92,7 +92,7 @@
         try {
             it->second.m_socket.shutdown();
         } catch (const Poco::Exception &) {
-            // The connection is gone already, which is what was wanted.
+            // The connection is already closed.
         }
         m_closed.add();
         it = m_receiving.erase(it);
--- a/Libraries/LibEntry/ConnectionGuard.h
+++ b/Libraries/LibEntry/ConnectionGuard.h
@@ -1,4 +1,4 @@
-/// @file Bounds on callers' connections: how many, and how long one may take to send a request.
+/// @file Limits on the number of callers' connections and on the time for sending a request.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -14,10 +14,10 @@
 namespace Entry {
 
 /**
- * Knows which connections are in the middle of sending a request, and cuts those that take too long.
+ * Tracks connections on which a request is being received, and closes those that take too long.
  *
- * A caller that sends a byte now and then would hold a thread for good, since every single read of it succeeds in time; a few hundred such
- * callers would shut out all others. Only a limit on the whole request prevents this.
+ * A caller that sends single bytes at intervals would occupy a thread indefinitely, since each read succeeds within its timeout. A few hundred such
+ * callers would block all others. Only a limit on the time of the complete request prevents this.
  */
 class ConnectionGuard
 {
@@ -28,16 +28,16 @@
     void start();
     void stop();
 
-    /// Counts a new connection; false if there are too many.
+    /// Counts a new connection. Returns false, without counting it, if the limit is reached.
     bool tryAcquire();
     void release();
 
-    /// The socket is idle or a request starts to arrive on it.
+    /// Starts the request timeout: the socket is idle or receives a request.
     void beginReceiving(const Poco::Net::StreamSocket &socket);
-    /// The request has arrived whole, or the connection is done with.
+    /// Stops the request timeout: the request was received completely, or the connection has ended.
     void endReceiving(const Poco::Net::StreamSocket &socket);
 
-    /// Ends every connection that is idle or sending.
+    /// Closes every connection that is idle or receiving a request.
     void closeAll();
 
     std::size_t connections() const
@@ -60,10 +60,10 @@
     Telemetry::Counter &m_refused;
     Telemetry::Counter &m_closed;
     std::atomic<std::size_t> m_connections = 0;
-    std::mutex m_mutex; ///< Guards what follows.
+    std::mutex m_mutex; ///< Guards the members below, except for m_thread.
     std::condition_variable m_changed;
     bool m_stopping = false;
-    std::unordered_map<const void *, ReceivingConnection> m_receiving; ///< By the socket's implementation; at most m_maximumConnections.
+    std::unordered_map<const void *, ReceivingConnection> m_receiving; ///< By the socket's implementation object; at most m_maximumConnections.
     std::thread m_thread;
 };
 
--- a/Libraries/LibEntry/Entry.cpp
+++ b/Libraries/LibEntry/Entry.cpp
@@ -1,4 +1,4 @@
-/// @file Joining of an entry's duties.
+/// @file Setup, shutdown and admin pages of an entry.
 
 #include "LibEntry/Entry.h"
 #include "LibEntry/StatusPage.h"
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr Core::Duration DrainInterval{20};
-/// How long callers may still come with an address that they got just before the announcement.
+constexpr Core::Duration DrainPollInterval{20};
+/// Added to the address lifetime, for callers that got this entry's address just before it announced that it is leaving.
 constexpr Core::Duration LifetimeMargin{500};
-/// After the last answer has left the process, the network still needs its connections for a moment.
+/// Time for the network to transmit the last answer before connections are closed.
 constexpr Core::Duration FlushTime{200};
 constexpr Core::Duration ClaimsLogTimeout{1500};
 
@@ -99,14 +99,14 @@
     m_agentWatcher.start();
     BOOST_OUTCOME_TRYV(m_callers.start());
     BOOST_OUTCOME_TRYV(m_admin.start());
-    LOG(INFO) << "entry " << m_settings.m_instance.m_member.m_id << " runs";
+    LOG(INFO) << "entry " << m_settings.m_instance.m_member.m_id << " started";
     return Core::success();
 }
 
 void Entry::startLeaving()
 {
-    LOG(INFO) << "leaving";
-    m_frontend.m_state = Standing::Leaving;
+    LOG(INFO) << "entry is leaving";
+    m_frontend.m_state = EntryState::Leaving;
     Protocol::Member self = m_settings.m_instance.m_member;
     self.m_leaving = true;
     m_store.announce(self);
@@ -117,13 +117,13 @@
 {
     const Core::Instant announced = Core::Clock::now();
     std::this_thread::sleep_for(m_settings.m_addressLifetime + LifetimeMargin);
-    m_frontend.m_state = Standing::Draining;
+    m_frontend.m_state = EntryState::Draining;
     while (m_frontend.m_openRequests > 0) {
         if (Core::Clock::now() - announced > m_settings.m_drainLimit) {
-            LOG(WARNING) << "the drain limit came before the last answer was complete";
+            LOG(WARNING) << "drain limit reached before all running requests had ended";
             return false;
         }
-        std::this_thread::sleep_for(DrainInterval);
+        std::this_thread::sleep_for(DrainPollInterval);
     }
     std::this_thread::sleep_for(FlushTime);
     return true;
@@ -151,13 +151,13 @@
 Telemetry::AdminAnswer Entry::status() const
 {
     const std::shared_ptr<const Control::ControlState> state = m_store.current();
-    StatusInput situation;
-    situation.m_self = m_settings.m_instance.m_member;
-    situation.m_state = state.get();
-    situation.m_members = m_store.members();
-    situation.m_applied = m_feed.subscriberStatuses();
-    situation.m_reports = m_agentWatcher.reports();
-    return Telemetry::AdminAnswer{200, "application/json", Telemetry::toJsonText(makeStatusPage(situation))};
+    StatusInput input;
+    input.m_self = m_settings.m_instance.m_member;
+    input.m_state = state.get();
+    input.m_members = m_store.members();
+    input.m_applied = m_feed.subscriberStatuses();
+    input.m_reports = m_agentWatcher.reports();
+    return Telemetry::AdminAnswer{200, "application/json", Telemetry::toJsonText(makeStatusPage(input))};
 }
 
 Poco::JSON::Object::Ptr Entry::dumpInstance() const
@@ -166,7 +166,7 @@
     Poco::JSON::Object::Ptr object = new Poco::JSON::Object;
     object->set("id", self.m_id);
     object->set("incarnation", self.m_incarnation);
-    object->set("leaving", m_frontend.m_state != Standing::Serving);
+    object->set("leaving", m_frontend.m_state != EntryState::Serving);
     object->set("ready", m_store.isReady());
     object->set("log_up", m_tail.isLogUp());
     object->set("open_requests", m_frontend.m_openRequests.load());
--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -1,4 +1,4 @@
-/// @file An entry: its duties, joined.
+/// @file An entry process, composed of its workers and services.
 #pragma once
 
 #include "LibControl/Checkpointer.h"
@@ -15,7 +15,7 @@
 
 namespace Entry {
 
-/// One process on an entry instance. Start once, stop once.
+/// One entry process. May be started and stopped only once.
 class Entry
 {
 public:
@@ -25,10 +25,11 @@
     Entry(const Entry &) = delete;
     Entry &operator=(const Entry &) = delete;
 
+    /// Starts all workers and servers. Fails if an address cannot be listened on.
     Core::Result<void> start();
-    /// Announces that the entry is leaving: its address is not handed out any more, but still serves.
+    /// Announces that the entry is leaving. Its address is no longer given to callers, but requests are still served.
     void startLeaving();
-    /// Serves one address lifetime more, then refuses new work and waits for what runs. False if the drain limit came first.
+    /// Serves for one more address lifetime, then refuses new requests and waits for running ones. Returns false if the drain limit is reached first.
     bool awaitDrained();
     void stop();
 
@@ -43,7 +44,7 @@
     Telemetry::Metrics m_metrics;
     Wire::Node m_node;
     Platform::HttpLog m_log;
-    Platform::HttpLog m_claimsLog; ///< Gives up sooner, since callers wait for it.
+    Platform::HttpLog m_claimsLog; ///< Has a shorter timeout, since callers wait for claims.
     Platform::HttpInstanceList m_instanceList;
     Control::StateStore m_store;
     Control::LogTail m_tail;
--- a/Libraries/LibEntry/EntrySettings.cpp
+++ b/Libraries/LibEntry/EntrySettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the settings file.
+/// @file Parsing of the settings file.
 
 #include "LibEntry/EntrySettings.h"
 
--- a/Libraries/LibEntry/EntrySettings.h
+++ b/Libraries/LibEntry/EntrySettings.h
@@ -1,4 +1,4 @@
-/// @file The settings file of an entry.
+/// @file Settings of an entry.
 #pragma once
 
 #include "LibClaims/ClaimWriter.h"
@@ -9,13 +9,13 @@
 
 namespace Entry {
 
-/// Bounds on what callers can ask of an entry.
+/// Limits on callers' connections and requests.
 struct CallerLimits
 {
-    std::size_t m_maximumConnections = 512; ///< Connections served at once, one thread each; more are refused at once.
+    std::size_t m_maximumConnections = 512; ///< Concurrent connections, with one thread each; more are refused.
     std::size_t m_maximumBodyBytes = 1 << 20; ///< Bytes of a request's body.
     std::size_t m_maximumAnswerBytes = 16 << 20; ///< Bytes of a plain service's answer.
-    Core::Duration m_requestTimeout{10000}; ///< Time for a caller to send its request, from the first byte to the last.
+    Core::Duration m_requestTimeout{10000}; ///< Time for a caller to send a request, from the first byte to the last.
     Core::Duration m_keepAliveTimeout{5000}; ///< Idle time after which a connection is closed.
     Core::Duration m_defaultTimeout{30000};
     Core::Duration m_maximumTimeout{600000};
@@ -34,13 +34,13 @@
     CallerLimits m_callers;
     Routing::SchedulerSettings m_scheduler;
     Claims::WriterSettings m_claims;
-    std::size_t m_watchedPerGroup = 24; ///< Agents watched of each service, or of each version where a service has more.
+    std::size_t m_watchedPerGroup = 24; ///< Agents watched of each service, or of each version if the service has more agents than this.
     std::size_t m_addressesPerAnswer = 3;
-    Core::Duration m_addressLifetime{3000}; ///< How long callers may keep an address.
-    Core::Duration m_drainLimit{600000}; ///< Longest time for running answers to end when leaving.
+    Core::Duration m_addressLifetime{3000}; ///< Time for which callers may use an address.
+    Core::Duration m_drainLimit{600000}; ///< Longest wait for running requests when leaving.
 };
 
-/// Reads a whole settings file; problems are noted at the reader.
+/// Reads the complete settings file. Problems are recorded in the reader.
 EntrySettings readEntrySettings(Settings::Reader &reader);
 
 }
--- a/Libraries/LibEntry/Frontend.cpp
+++ b/Libraries/LibEntry/Frontend.cpp
@@ -1,4 +1,4 @@
-/// @file Refusals and addresses.
+/// @file Refusals of requests and addresses of entries.
 
 #include "LibEntry/Frontend.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Core::Duration ShortRetry{1000};
+constexpr Core::Duration DefaultRetryAfter{1000};
 
 }
 
@@ -20,7 +20,7 @@
             addresses.push_back(member.m_callers.toString());
         }
     }
-    if (frontend.m_state == Standing::Serving) {
+    if (frontend.m_state == EntryState::Serving) {
         addresses.push_back(self.m_callers.toString());
     }
     Core::Random random(Core::stableHash(Core::randomIdentifier()));
@@ -33,19 +33,19 @@
 
 std::optional<CallerError> refusalWhileDraining(const Frontend &frontend)
 {
-    if (frontend.m_state != Standing::Draining) {
+    if (frontend.m_state != EntryState::Draining) {
         return std::nullopt;
     }
     CallerError error;
     error.m_code = CallerCode::NotRun;
     error.m_error = Core::makeError(Core::ErrorCode::Unavailable, "accept request", frontend.m_settings->m_instance.m_member.m_id, "this entry is leaving");
-    error.m_retryAfter = ShortRetry;
+    error.m_retryAfter = DefaultRetryAfter;
     return withOtherEntries(frontend, std::move(error));
 }
 
 CallerError withOtherEntries(const Frontend &frontend, CallerError error)
 {
-    if (error.m_code == CallerCode::NotRun && frontend.m_state != Standing::Serving) {
+    if (error.m_code == CallerCode::NotRun && frontend.m_state != EntryState::Serving) {
         error.m_addresses = callerAddresses(frontend, frontend.m_settings->m_addressesPerAnswer);
     }
     return error;
@@ -60,7 +60,7 @@
     error.m_code = CallerCode::NotRun;
     error.m_error = Core::makeError(
         Core::ErrorCode::Unavailable, "accept request", frontend.m_settings->m_instance.m_member.m_id, "no accepted configuration is known yet");
-    error.m_retryAfter = ShortRetry;
+    error.m_retryAfter = DefaultRetryAfter;
     return error;
 }
 
--- a/Libraries/LibEntry/Frontend.h
+++ b/Libraries/LibEntry/Frontend.h
@@ -1,4 +1,4 @@
-/// @file What the handlers of callers' requests share.
+/// @file State and services shared by the handlers of callers' requests.
 #pragma once
 
 #include "LibEntry/ClaimService.h"
@@ -10,14 +10,14 @@
 
 namespace Entry {
 
-/// Where an entry is in its life.
+/// Phase of an entry's lifecycle.
 enum class EntryState {
     Serving,
-    Leaving, ///< Leaving, but still serving callers that hold its address.
-    Draining, ///< New work is refused; what runs is finished.
+    Leaving, ///< Announced as leaving, but still serving callers that have its address.
+    Draining, ///< New requests are refused; running ones are completed.
 };
 
-/// References to the parts that a request passes through; all outlive the HTTP server.
+/// The components that a request passes through; all outlive the HTTP server.
 struct Frontend
 {
     const EntrySettings *m_settings = nullptr;
@@ -27,18 +27,18 @@
     VersionTracker *m_versions = nullptr;
     ClaimService *m_claims = nullptr;
     Telemetry::Metrics *m_metrics = nullptr;
-    std::atomic<Standing> m_state = Standing::Serving;
-    std::atomic<std::size_t> m_openRequests = 0; ///< Requests for work that have not been answered to their end.
+    std::atomic<EntryState> m_state = EntryState::Serving;
+    std::atomic<std::size_t> m_openRequests = 0; ///< Requests that have not been answered completely.
 };
 
-/// Callers' addresses of live entries, at most @p count, in random order; this entry's own unless it is leaving.
+/// Returns the addresses for callers of live entries, at most @p count, in random order. Includes this entry's address unless it is leaving.
 std::vector<std::string> callerAddresses(const Frontend &frontend, std::size_t count);
 
-/// The refusal of new work while leaving; empty if work is taken.
+/// Returns the refusal of new requests while draining; empty if requests are accepted.
 std::optional<CallerError> refusalWhileDraining(const Frontend &frontend);
-/// Adds to a refusal of an entry that is leaving where the caller may go instead, whatever the reason of the refusal.
+/// Adds the addresses of other entries to any refusal of an entry that is leaving, whatever its reason.
 CallerError withOtherEntries(const Frontend &frontend, CallerError error);
-/// The refusal before any accepted state is known; empty if it is.
+/// Returns the refusal of requests while no accepted state is known; empty if one is known.
 std::optional<CallerError> refusalUnlessReady(const Frontend &frontend);
 
 }
--- a/Libraries/LibEntry/Generation.cpp
+++ b/Libraries/LibEntry/Generation.cpp
@@ -1,4 +1,4 @@
-/// @file Attempts at a generate request.
+/// @file Execution of a generate request.
 
 #include "LibEntry/Generation.h"
 
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t MaximumAttempts = 3;
-constexpr Core::Duration ShortRetry{1000};
+constexpr Core::Duration DefaultRetryAfter{1000};
 
-/// One request on its way through attempts.
+/// Runs the attempts at one request.
 class Generation
 {
 public:
@@ -32,21 +32,21 @@
             }
             if (served.value().m_digest.empty()) {
                 const Core::Error error = Core::makeError(Core::ErrorCode::Unavailable, "route request", m_request.m_template, "no whole version serves yet");
-                return CallerError{CallerCode::NotRun, error, ShortRetry, {}};
+                return CallerError{CallerCode::NotRun, error, DefaultRetryAfter, {}};
             }
             const std::variant<Grant, CallerError> acquired =
                 m_frontend.m_router->acquire(submission(served.value()), [this] { return m_sink.isDisconnected(); });
             if (const CallerError *refused = std::get_if<CallerError>(&acquired)) {
-                return m_maybeRan ? failure(m_lastError) : *refused;
+                return m_mayHaveRun ? makeCallerError(m_lastError) : *refused;
             }
             const AttemptOutcome outcome = attempt(served.value(), std::get<Grant>(acquired));
             if (outcome.m_end == AttemptEnd::Complete || outcome.m_end == AttemptEnd::CallerGone) {
                 return std::nullopt;
             }
             m_lastError = outcome.m_error;
-            m_maybeRan = m_maybeRan || outcome.m_end == AttemptEnd::Unknown;
+            m_mayHaveRun = m_mayHaveRun || outcome.m_end == AttemptEnd::Unknown;
             if (!mayRetry(outcome)) {
-                return failure(outcome.m_error);
+                return makeCallerError(outcome.m_error);
             }
         }
     }
@@ -62,7 +62,7 @@
         submission.m_request.m_deadline = m_deadline;
         submission.m_group = Routing::GroupKey{version.m_service, version.m_digest};
         submission.m_affinity = Routing::affinityHash(m_request.m_account, m_request.m_prompt);
-        submission.m_excluded = m_failedAt;
+        submission.m_excluded = m_triedInstances;
         return submission;
     }
 
@@ -88,7 +88,7 @@
     AttemptOutcome attempt(const ServedVersion &version, const Grant &grant)
     {
         const Routing::Granted &granted = grant.m_granted;
-        m_failedAt.push_back(granted.m_member.m_id);
+        m_triedInstances.push_back(granted.m_member.m_id);
         LiveAttempt live(*m_frontend.m_node, granted.m_member.m_wire, liveRequest(version, granted), m_deadline);
         const AttemptOutcome outcome = live.run([this, &version](const Protocol::AnswerFrame &frame) { return onFrame(version, frame); },
                                                 [this] { return !m_sink.flush() || m_sink.isDisconnected(); });
@@ -96,7 +96,7 @@
         return outcome;
     }
 
-    /// An engine that is merely full, or an answer that took the whole time, is no sign of an endpoint in trouble.
+    /// Maps the outcome for the scheduler. A full engine, a rejected request or a timeout does not count as a failure of the endpoint.
     static Routing::CallResult callResult(const AttemptOutcome &outcome)
     {
         switch (outcome.m_end) {
@@ -115,8 +115,8 @@
 
     bool onFrame(const ServedVersion &version, const Protocol::AnswerFrame &frame)
     {
-        if (!m_started) {
-            m_started = true;
+        if (!m_answerStarted) {
+            m_answerStarted = true;
             if (!m_sink.onVersion(version)) {
                 return false;
             }
@@ -128,17 +128,17 @@
         return m_sink.onToken(frame.m_data);
     }
 
-    /// Only before the caller has seen anything: a second attempt's words need not be those of the first.
+    /// A request is retried only before any of the answer was sent, since another attempt may generate a different text.
     bool mayRetry(const AttemptOutcome &outcome)
     {
-        const bool hopeless = outcome.m_error.m_code == Core::ErrorCode::InvalidInput || Core::Clock::now() >= m_deadline;
-        if (m_started || hopeless || m_failedAt.size() >= MaximumAttempts) {
+        const bool cannotSucceed = outcome.m_error.m_code == Core::ErrorCode::InvalidInput || Core::Clock::now() >= m_deadline;
+        if (m_answerStarted || cannotSucceed || m_triedInstances.size() >= MaximumAttempts) {
             return false;
         }
         return m_frontend.m_router->tryRetry();
     }
 
-    CallerError failure(const Core::Error &error) const
+    CallerError makeCallerError(const Core::Error &error) const
     {
         if (Core::Clock::now() >= m_deadline || error.m_code == Core::ErrorCode::Timeout) {
             return CallerError{CallerCode::Timeout, error, std::nullopt, {}};
@@ -146,20 +146,20 @@
         if (error.m_code == Core::ErrorCode::InvalidInput) {
             return CallerError{CallerCode::InvalidInput, error, std::nullopt, {}};
         }
-        if (m_maybeRan) {
+        if (m_mayHaveRun) {
             return CallerError{CallerCode::OutcomeUnknown, error, std::nullopt, {}};
         }
-        return CallerError{CallerCode::NotRun, error, ShortRetry, {}};
+        return CallerError{CallerCode::NotRun, error, DefaultRetryAfter, {}};
     }
 
     Frontend &m_frontend;
     const GenerateRequest &m_request;
     const Core::Instant m_deadline;
     AnswerSink &m_sink;
-    std::vector<std::string> m_failedAt; ///< Instances tried so far.
+    std::vector<std::string> m_triedInstances; ///< Instances of the attempts so far.
     Core::Error m_lastError;
-    bool m_maybeRan = false; ///< An attempt was lost, so "not run" would not be true.
-    bool m_started = false; ///< The caller has been sent something of the answer.
+    bool m_mayHaveRun = false; ///< The outcome of an attempt is unknown, so the request must not end as "not run".
+    bool m_answerStarted = false; ///< Part of the answer was sent to the caller.
     std::uint64_t m_tokens = 0;
 };
 
--- a/Libraries/LibEntry/Generation.h
+++ b/Libraries/LibEntry/Generation.h
@@ -1,4 +1,4 @@
-/// @file The course of one generate request: version, endpoint, attempts, and what the caller gets.
+/// @file Execution of one generate request: choice of version and endpoint, attempts, and delivery of the answer.
 #pragma once
 
 #include "LibEntry/CallerRequest.h"
@@ -7,22 +7,23 @@
 
 namespace Entry {
 
-/// Where an answer goes as it comes. Each function returns false once the caller is gone.
+/// Receives an answer while it is generated. The functions that return bool, except isDisconnected(), return false once the caller has disconnected.
 class AnswerSink
 {
 public:
     virtual ~AnswerSink() = default;
 
-    /// The first frame was checked; the answer comes from this version.
+    /// Called after the first frame was checked; the answer comes from this version.
     virtual bool onVersion(const ServedVersion &version) = 0;
     virtual bool onToken(const std::string &token) = 0;
     virtual bool onEnd(std::uint64_t tokens, const std::string &digest) = 0;
-    /// Nothing more is there for now: what was given goes out.
+    /// Sends everything received so far; called when no more frames are available.
     virtual bool flush() = 0;
     virtual bool isDisconnected() = 0;
 };
 
-/// Runs a request to its end. An error after onVersion() means that the answer stays incomplete. Empty if the answer is whole or the caller gone.
+/// Runs a request to its end. Returns nothing if the answer is complete or the caller disconnected. An error after onVersion() means that the answer
+/// remains incomplete.
 std::optional<CallerError> generate(Frontend &frontend, const GenerateRequest &request, Core::Instant deadline, AnswerSink &sink);
 
 }
--- a/Libraries/LibEntry/LiveAttempt.cpp
+++ b/Libraries/LibEntry/LiveAttempt.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of an attempt's answer.
+/// @file Execution of an attempt and reading of its answer.
 
 #include "LibEntry/LiveAttempt.h"
 #include "LibWire/Pack.h"
@@ -8,15 +8,15 @@
 namespace {
 
 constexpr std::size_t InboxFrames = 4096;
-/// How often a thread that waits for a frame looks whether its caller is still there.
-constexpr Core::Duration GoneInterval{100};
-/// How long after the deadline the agent's own word that time is up is awaited, which says more than a local timeout.
+/// Interval at which a thread that waits for a frame checks whether its caller has disconnected.
+constexpr Core::Duration DisconnectCheckInterval{100};
+/// Time after the deadline for which the agent's timeout error is awaited, since it says more than a local timeout.
 constexpr Core::Duration DeadlineGrace{200};
 
-Core::Duration timeLeft(Core::Instant deadline)
+Core::Duration remainingTime(Core::Instant deadline)
 {
-    const Core::Duration left = std::chrono::duration_cast<Core::Duration>(deadline - Core::Clock::now());
-    return std::max(Core::Duration(1), left);
+    const Core::Duration remaining = std::chrono::duration_cast<Core::Duration>(deadline - Core::Clock::now());
+    return std::max(Core::Duration(1), remaining);
 }
 
 }
@@ -68,10 +68,10 @@
             const std::lock_guard<std::mutex> lock(inbox->m_endMutex);
             inbox->m_end = end;
         }
-        // Closing wakes the reader, which still gets what is in the ring.
+        // Closing wakes the reader, which still receives the frames in the ring.
         inbox->m_frames.close();
     };
-    m_call = m_node.call(agent, "live.call", Wire::pack(request), Wire::CallOptions{timeLeft(deadline) + DeadlineGrace}, events);
+    m_call = m_node.call(agent, "live.call", Wire::pack(request), Wire::CallOptions{remainingTime(deadline) + DeadlineGrace}, events);
 }
 
 LiveAttempt::~LiveAttempt()
@@ -92,27 +92,27 @@
     return Core::makeError(Core::ErrorCode::Ambiguous, "read answer", m_peer, detail);
 }
 
-AttemptOutcome LiveAttempt::run(const Consumer &consume, const IdleCheck &isGone)
+AttemptOutcome LiveAttempt::run(const Consumer &consume, const IdleCheck &isDisconnected)
 {
     bool idle = false;
     while (true) {
-        // Without waiting first: what has arrived together is handed on together.
-        const std::optional<std::string> arrival = m_inbox->m_frames.pop(idle ? GoneInterval : Core::Duration(0));
-        idle = !arrival;
+        // Doesn't wait at first, so that frames that have arrived together are passed on together.
+        const std::optional<std::string> received = m_inbox->m_frames.pop(idle ? DisconnectCheckInterval : Core::Duration(0));
+        idle = !received;
         if (m_inbox->m_overrun) {
             return AttemptOutcome{AttemptEnd::Unknown, ambiguousError("the caller reads too slowly")};
         }
-        if (!arrival) {
+        if (!received) {
             const std::optional<Wire::CallEnd> end = callEnd();
             if (end) {
                 return makeOutcome(*end);
             }
-            if (isGone()) {
+            if (isDisconnected()) {
                 return AttemptOutcome{AttemptEnd::CallerGone, ambiguousError("the caller went away")};
             }
             continue;
         }
-        const Core::Result<Protocol::AnswerFrame> frame = Wire::unpack<Protocol::AnswerFrame>(*arrival, m_peer);
+        const Core::Result<Protocol::AnswerFrame> frame = Wire::unpack<Protocol::AnswerFrame>(*received, m_peer);
         if (!frame) {
             return AttemptOutcome{AttemptEnd::Unknown, frame.error()};
         }
--- a/Libraries/LibEntry/LiveAttempt.h
+++ b/Libraries/LibEntry/LiveAttempt.h
@@ -1,4 +1,4 @@
-/// @file One attempt at an agent, read by the thread that serves the caller.
+/// @file One attempt at an agent, whose answer is read by the thread that serves the caller.
 #pragma once
 
 #include "LibClaims/ClaimRecord.h"
@@ -14,28 +14,28 @@
 
 /// How an attempt ended.
 enum class AttemptEnd {
-    Complete, ///< Every frame was checked, and the end was.
-    NotRun, ///< It is certain that it did not run and will not: nothing was sent, or the agent has refused it.
-    Unknown, ///< It may have run; what came of it is not known here.
+    Complete, ///< All frames including the end frame were received and are valid.
+    NotRun, ///< The attempt is guaranteed not to have run and not to run later: nothing was sent, or the agent refused it.
+    Unknown, ///< The attempt may have run; its outcome is not known here.
     CallerGone,
 };
 
 struct AttemptOutcome
 {
     AttemptEnd m_end = AttemptEnd::Unknown;
-    Core::Error m_error; ///< Unless Whole.
+    Core::Error m_error; ///< Set unless m_end is Complete.
 
     bool operator==(const AttemptOutcome &) const = default;
 };
 
-/// Whether the end of a call proves that the agent has not run the attempt and never will.
+/// True if the end of a call proves that the agent has not run the attempt and never will.
 bool provesNotRun(const Wire::CallEnd &end);
 
 /**
- * A call of live.call whose frames are handed, checked, to a consumer.
+ * A live.call whose frames are checked and passed to a consumer.
  *
- * The node's thread puts frames into a bounded ring; the caller's thread takes them out. A caller that reads too slowly fills the ring, and
- * its attempt is given up rather than kept in memory without bound.
+ * The node's thread puts frames into a bounded ring, and the thread that serves the caller takes them out. If a caller reads so slowly that the ring
+ * is full, its attempt is given up rather than buffered without a bound.
  */
 class LiveAttempt
 {
@@ -47,13 +47,13 @@
     LiveAttempt(const LiveAttempt &) = delete;
     LiveAttempt &operator=(const LiveAttempt &) = delete;
 
-    /// Receives checked frames; false if the caller is gone.
+    /// Receives checked frames. Returns false if the caller has disconnected.
     using Consumer = std::function<bool(const Protocol::AnswerFrame &frame)>;
-    /// Asked whenever nothing more has arrived yet, and now and then while that lasts; true if the caller is gone.
+    /// Called when no frame is available, and periodically while waiting for one. Returns true if the caller has disconnected.
     using IdleCheck = std::function<bool()>;
 
     /// Reads the answer to its end.
-    AttemptOutcome run(const Consumer &consume, const IdleCheck &isGone);
+    AttemptOutcome run(const Consumer &consume, const IdleCheck &isDisconnected);
 
 private:
     /// Shared with the call's callbacks, which may outlive this object.
@@ -67,7 +67,7 @@
         Core::Ring<std::string> m_frames;
         std::atomic<bool> m_overrun = false;
         std::mutex m_endMutex;
-        std::optional<Wire::CallEnd> m_end; ///< Kept apart, so that a full ring cannot lose it.
+        std::optional<Wire::CallEnd> m_end; ///< Separate from the ring, so that it is not dropped when the ring is full.
     };
 
     std::optional<Wire::CallEnd> callEnd() const;
@@ -82,7 +82,7 @@
     Wire::CallId m_call = 0;
 };
 
-/// Asks an agent what became of an attempt.
+/// A question to an agent about the outcome of an attempt.
 struct OutcomeQuery
 {
     Core::Address m_agent;
--- a/Libraries/LibEntry/Router.cpp
+++ b/Libraries/LibEntry/Router.cpp
@@ -1,4 +1,4 @@
-/// @file Waiting for the scheduler's decisions.
+/// @file Waiting of callers' threads for the scheduler's decisions.
 
 #include "LibEntry/Router.h"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// How often a waiting thread looks whether its caller is still there.
-constexpr Core::Duration GoneInterval{100};
+/// Interval at which a waiting thread checks whether its caller has disconnected.
+constexpr Core::Duration DisconnectCheckInterval{100};
 
 std::string groupName(const Routing::GroupKey &group)
 {
@@ -43,7 +43,7 @@
     return error;
 }
 
-std::variant<Grant, CallerError> Router::acquire(Routing::Submission submission, const DisconnectCheck &isGone)
+std::variant<Grant, CallerError> Router::acquire(Routing::Submission submission, const DisconnectCheck &isDisconnected)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     submission.m_request.m_ticket = m_nextTicket++;
@@ -56,11 +56,11 @@
     if (const Routing::Refused *refused = std::get_if<Routing::Refused>(&admission)) {
         return refusal(*refused, submission.m_group);
     }
-    return waitForResolution(lock, submission, isGone);
+    return waitForResolution(lock, submission, isDisconnected);
 }
 
 std::variant<Grant, CallerError>
-Router::waitForResolution(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const DisconnectCheck &isGone)
+Router::waitForResolution(std::unique_lock<std::mutex> &lock, const Routing::Submission &submission, const DisconnectCheck &isDisconnected)
 {
     const Core::Instant since = Core::Clock::now();
     const Routing::Ticket ticket = submission.m_request.m_ticket;
@@ -73,15 +73,15 @@
             notifyWaiters(m_scheduler.poll(now));
             break;
         }
-        const Core::Instant until = std::min(now + GoneInterval, submission.m_request.m_deadline);
+        const Core::Instant until = std::min(now + DisconnectCheckInterval, submission.m_request.m_deadline);
         waiter->m_changed.wait_until(lock, until);
         if (waiter->m_resolution) {
             break;
         }
         lock.unlock();
-        const bool gone = isGone();
+        const bool disconnected = isDisconnected();
         lock.lock();
-        if (gone && !waiter->m_resolution) {
+        if (disconnected && !waiter->m_resolution) {
             break;
         }
     }
--- a/Libraries/LibEntry/ServiceCall.cpp
+++ b/Libraries/LibEntry/ServiceCall.cpp
@@ -1,4 +1,4 @@
-/// @file Attempts at a plain service, and the claims before them.
+/// @file Execution of calls to plain services, and the claims that precede keyed ones.
 
 #include "LibEntry/ServiceCall.h"
 #include "LibClaims/CallStateMachine.h"
@@ -8,17 +8,18 @@
 namespace {
 
 constexpr std::size_t MaximumAttempts = 3;
-constexpr Core::Duration ShortRetry{1000};
-constexpr Core::Duration OutcomeInterval{100};
+constexpr Core::Duration DefaultRetryAfter{1000};
+constexpr Core::Duration OutcomePollInterval{100};
 constexpr Core::Duration OutcomeTimeout{2000};
-constexpr int OutcomeTries = 3;
+/// Failed outcome queries after which an outcome is unavailable.
+constexpr int MaximumOutcomeQueries = 3;
 
-Core::Duration timeLeft(Core::Instant deadline)
+Core::Duration remainingTime(Core::Instant deadline)
 {
     return std::chrono::duration_cast<Core::Duration>(deadline - Core::Clock::now());
 }
 
-/// The account's share of the service, or an error if the service's templates don't name the account.
+/// Returns the account's share of the service. Fails with NotFound if the service has templates but none of them names the account.
 Core::Result<std::uint32_t> accountWeight(const Control::ControlState &state, const CallRequest &request)
 {
     bool hasTemplate = false;
@@ -69,11 +70,11 @@
     return live;
 }
 
-/// What an attempt gave, once it has ended.
-struct AttemptReport
+/// Result of an attempt.
+struct AttemptResult
 {
     AttemptOutcome m_outcome;
-    ServiceAnswer m_answer; ///< Meaningful if the outcome is Whole.
+    ServiceAnswer m_answer; ///< Valid if the outcome is Complete.
 };
 
 Routing::CallResult callResult(const AttemptOutcome &outcome)
@@ -87,85 +88,85 @@
     return harmless ? Routing::CallResult::Abandoned : Routing::CallResult::Failed;
 }
 
-AttemptReport
-runAttempt(Frontend &frontend, const Grant &grant, const Protocol::LiveRequest &request, Core::Instant deadline, const std::function<bool()> &isGone)
+AttemptResult
+runAttempt(Frontend &frontend, const Grant &grant, const Protocol::LiveRequest &request, Core::Instant deadline, const std::function<bool()> &isDisconnected)
 {
-    AttemptReport report;
+    AttemptResult result;
     LiveAttempt live(*frontend.m_node, grant.m_granted.m_member.m_wire, request, deadline);
     bool tooLarge = false;
     const std::size_t limit = frontend.m_settings->m_callers.m_maximumAnswerBytes;
-    report.m_outcome = live.run(
-        [&report, &tooLarge, limit](const Protocol::AnswerFrame &frame) {
-            report.m_answer.m_status = frame.m_status;
-            report.m_answer.m_body += frame.m_data;
-            tooLarge = report.m_answer.m_body.size() > limit;
+    result.m_outcome = live.run(
+        [&result, &tooLarge, limit](const Protocol::AnswerFrame &frame) {
+            result.m_answer.m_status = frame.m_status;
+            result.m_answer.m_body += frame.m_data;
+            tooLarge = result.m_answer.m_body.size() > limit;
             return !tooLarge;
         },
-        isGone);
+        isDisconnected);
     if (tooLarge) {
-        report.m_outcome.m_end = AttemptEnd::Unknown;
-        report.m_outcome.m_error = Core::makeError(Core::ErrorCode::Corrupt, "read answer", grant.m_granted.m_member.m_id, "the answer is too large");
+        result.m_outcome.m_end = AttemptEnd::Unknown;
+        result.m_outcome.m_error = Core::makeError(Core::ErrorCode::Corrupt, "read answer", grant.m_granted.m_member.m_id, "the answer is too large");
     }
-    frontend.m_router->release(grant, callResult(report.m_outcome));
-    return report;
+    frontend.m_router->release(grant, callResult(result.m_outcome));
+    return result;
 }
 
-CallerError notRun(const Core::Error &error)
+CallerError notRunError(const Core::Error &error)
 {
-    return CallerError{CallerCode::NotRun, error, ShortRetry, {}};
+    return CallerError{CallerCode::NotRun, error, DefaultRetryAfter, {}};
 }
 
-ServiceResult callRepeatable(Frontend &frontend, const CallRequest &request, Routing::Submission submission, const std::function<bool()> &isGone)
+ServiceResult callRepeatable(Frontend &frontend, const CallRequest &request, Routing::Submission submission, const std::function<bool()> &isDisconnected)
 {
     const Core::Instant deadline = submission.m_request.m_deadline;
-    bool maybeRan = false;
+    bool mayHaveRun = false;
     Core::Error lastError;
     while (true) {
-        const std::variant<Grant, CallerError> acquired = frontend.m_router->acquire(submission, isGone);
+        const std::variant<Grant, CallerError> acquired = frontend.m_router->acquire(submission, isDisconnected);
         if (const CallerError *refused = std::get_if<CallerError>(&acquired)) {
-            return maybeRan ? CallerError{CallerCode::OutcomeUnknown, lastError, std::nullopt, {}} : *refused;
+            return mayHaveRun ? CallerError{CallerCode::OutcomeUnknown, lastError, std::nullopt, {}} : *refused;
         }
         const Grant &grant = std::get<Grant>(acquired);
         const Protocol::LiveRequest live = makeLiveRequest(request, grant.m_granted, Core::randomIdentifier());
-        const AttemptReport report = runAttempt(frontend, grant, live, deadline, isGone);
-        if (report.m_outcome.m_end == AttemptEnd::Complete) {
-            return report.m_answer;
+        const AttemptResult result = runAttempt(frontend, grant, live, deadline, isDisconnected);
+        if (result.m_outcome.m_end == AttemptEnd::Complete) {
+            return result.m_answer;
         }
-        lastError = report.m_outcome.m_error;
-        maybeRan = maybeRan || report.m_outcome.m_end != AttemptEnd::NotRun;
+        lastError = result.m_outcome.m_error;
+        mayHaveRun = mayHaveRun || result.m_outcome.m_end != AttemptEnd::NotRun;
         submission.m_excluded.push_back(grant.m_granted.m_member.m_id);
-        const bool late = Core::Clock::now() >= deadline;
-        const bool hopeless = lastError.m_code == Core::ErrorCode::InvalidInput || report.m_outcome.m_end == AttemptEnd::CallerGone;
-        if (!late && !hopeless && submission.m_excluded.size() < MaximumAttempts && frontend.m_router->tryRetry()) {
+        const bool deadlinePassed = Core::Clock::now() >= deadline;
+        const bool cannotSucceed = lastError.m_code == Core::ErrorCode::InvalidInput || result.m_outcome.m_end == AttemptEnd::CallerGone;
+        if (!deadlinePassed && !cannotSucceed && submission.m_excluded.size() < MaximumAttempts && frontend.m_router->tryRetry()) {
             continue;
         }
         if (lastError.m_code == Core::ErrorCode::InvalidInput) {
             return CallerError{CallerCode::InvalidInput, lastError, std::nullopt, {}};
         }
-        if (late || lastError.m_code == Core::ErrorCode::Timeout) {
+        if (deadlinePassed || lastError.m_code == Core::ErrorCode::Timeout) {
             return CallerError{CallerCode::Timeout, lastError, std::nullopt, {}};
         }
-        return maybeRan ? CallerError{CallerCode::OutcomeUnknown, lastError, std::nullopt, {}} : notRun(lastError);
+        return mayHaveRun ? CallerError{CallerCode::OutcomeUnknown, lastError, std::nullopt, {}} : notRunError(lastError);
     }
 }
 
-/// Carries out the actions of the claim protocol for one call.
+/// Performs the actions of the call state machine for one keyed call.
 class KeyedCall
 {
 public:
-    KeyedCall(Frontend &frontend, const CallRequest &request, Routing::Submission submission, std::function<bool()> isGone)
+    KeyedCall(Frontend &frontend, const CallRequest &request, Routing::Submission submission, std::function<bool()> isDisconnected)
         : m_frontend(frontend)
         , m_request(request)
         , m_key(Claims::scopedKey(*request.m_key, request.m_account, request.m_service))
         , m_submission(std::move(submission))
         , m_deadline(m_submission.m_request.m_deadline)
-        , m_isGone(std::move(isGone))
+        , m_isDisconnected(std::move(isDisconnected))
     {
     }
 
     ServiceResult run()
     {
-        const std::variant<Grant, CallerError> acquired = m_frontend.m_router->acquire(m_submission, m_isGone);
+        const std::variant<Grant, CallerError> acquired = m_frontend.m_router->acquire(m_submission, m_isDisconnected);
         if (const CallerError *refused = std::get_if<CallerError>(&acquired)) {
             return *refused;
         }
@@ -176,16 +177,16 @@
             step = Claims::advanceCall(step.m_state, event, Core::randomIdentifier());
         }
         if (m_grant) {
-            // The endpoint was not used: another attempt holds the key, or the claim failed.
+            // The endpoint was not used, because another attempt holds the key or the claim failed.
             m_frontend.m_router->release(*m_grant, Routing::CallResult::Abandoned);
         }
-        return conclude(std::get<Claims::ReportVerdict>(step.m_action).m_verdict);
+        return makeResult(std::get<Claims::ReportVerdict>(step.m_action).m_verdict);
     }
 
 private:
     Claims::Event perform(const Claims::WriteClaim &action)
     {
-        const Routing::Granted &granted = agent();
+        const Routing::Granted &granted = grantedEndpoint();
         Claims::Claim claim;
         claim.m_key = m_key;
         claim.m_attempt = action.m_attempt;
@@ -209,15 +210,15 @@
     Claims::Event perform(const Claims::Dispatch &action)
     {
         const Grant grant = *m_grant;
-        m_used = grant.m_granted;
+        m_dispatchedTo = grant.m_granted;
         m_grant.reset();
         const Protocol::LiveRequest live = makeLiveRequest(m_request, grant.m_granted, action.m_attempt);
-        // A caller that goes away does not end the call: its outcome is to be there when the caller comes back with the key.
-        const AttemptReport report = runAttempt(m_frontend, grant, live, m_deadline, [] { return false; });
-        m_error = report.m_outcome.m_error;
-        switch (report.m_outcome.m_end) {
+        // A caller that disconnects does not end the call, so that the outcome is available when the caller retries with the key.
+        const AttemptResult result = runAttempt(m_frontend, grant, live, m_deadline, [] { return false; });
+        m_error = result.m_outcome.m_error;
+        switch (result.m_outcome.m_end) {
         case AttemptEnd::Complete:
-            m_answer = report.m_answer;
+            m_answer = result.m_answer;
             return Claims::CompleteAnswer{};
         case AttemptEnd::NotRun:
             return Claims::AttemptNotRun{};
@@ -230,17 +231,17 @@
 
     Claims::Event perform(const Claims::QueryOutcome &action)
     {
-        const bool over = timeLeft(m_deadline) <= Core::Duration(0);
-        if (action.m_isDelayed && over) {
+        const bool deadlinePassed = remainingTime(m_deadline) <= Core::Duration(0);
+        if (action.m_isDelayed && deadlinePassed) {
             m_error = Core::makeError(Core::ErrorCode::Timeout, "ask outcome", "", "it was still running when the time was over");
             return Claims::DeadlinePassed{};
         }
         if (action.m_isDelayed) {
-            std::this_thread::sleep_for(OutcomeInterval);
+            std::this_thread::sleep_for(OutcomePollInterval);
         }
-        const OutcomeQuery question = action.m_isOwn ? ownQuestion(action) : otherQuestion(action);
-        for (int attempt = 0; attempt < OutcomeTries; ++attempt) {
-            const Core::Result<Protocol::OutcomeAnswer> answer = queryOutcome(*m_frontend.m_node, question, OutcomeTimeout);
+        const OutcomeQuery query = action.m_isOwn ? ownOutcomeQuery(action) : holderOutcomeQuery(action);
+        for (int attempt = 0; attempt < MaximumOutcomeQueries; ++attempt) {
+            const Core::Result<Protocol::OutcomeAnswer> answer = queryOutcome(*m_frontend.m_node, query, OutcomeTimeout);
             if (answer) {
                 m_answer = ServiceAnswer{answer.value().m_status, answer.value().m_body};
                 return Claims::OutcomeReceived{answer.value().m_outcome};
@@ -252,8 +253,8 @@
 
     Claims::Event perform(const Claims::WriteTombstone &action)
     {
-        const Claims::AttemptTombstone bar{m_key.m_text, action.m_attempt};
-        const Core::Result<Claims::ClaimAnswer> answer = m_frontend.m_claims->write(m_key.m_text, Claims::ClaimRequest{{bar}, {}}, m_deadline);
+        const Claims::AttemptTombstone tombstone{m_key.m_text, action.m_attempt};
+        const Core::Result<Claims::ClaimAnswer> answer = m_frontend.m_claims->write(m_key.m_text, Claims::ClaimRequest{{tombstone}, {}}, m_deadline);
         if (answer) {
             return Claims::TombstoneWritten{};
         }
@@ -266,30 +267,30 @@
         return Claims::DeadlinePassed{};
     }
 
-    const Routing::Granted &agent() const
+    const Routing::Granted &grantedEndpoint() const
     {
         return m_grant->m_granted;
     }
 
-    OutcomeQuery ownQuestion(const Claims::QueryOutcome &action) const
+    OutcomeQuery ownOutcomeQuery(const Claims::QueryOutcome &action) const
     {
-        const Protocol::OutcomeRequest request{action.m_attempt, m_key.m_text, m_used.m_member.m_incarnation, m_used.m_reportSequence};
-        return OutcomeQuery{m_used.m_member.m_wire, request};
+        const Protocol::OutcomeRequest request{action.m_attempt, m_key.m_text, m_dispatchedTo.m_member.m_incarnation, m_dispatchedTo.m_reportSequence};
+        return OutcomeQuery{m_dispatchedTo.m_member.m_wire, request};
     }
 
-    OutcomeQuery otherQuestion(const Claims::QueryOutcome &action) const
+    OutcomeQuery holderOutcomeQuery(const Claims::QueryOutcome &action) const
     {
-        const Claims::Claim &winner = action.m_holder;
-        return OutcomeQuery{winner.m_agentWire, Protocol::OutcomeRequest{action.m_attempt, m_key.m_text, winner.m_agentIncarnation, winner.m_agentReport}};
+        const Claims::Claim &holder = action.m_holder;
+        return OutcomeQuery{holder.m_agentWire, Protocol::OutcomeRequest{action.m_attempt, m_key.m_text, holder.m_agentIncarnation, holder.m_agentReport}};
     }
 
-    ServiceResult conclude(Claims::CallVerdict verdict) const
+    ServiceResult makeResult(Claims::CallVerdict verdict) const
     {
         switch (verdict) {
         case Claims::CallVerdict::Answered:
             return m_answer;
         case Claims::CallVerdict::NotRun:
-            return notRun(m_error);
+            return notRunError(m_error);
         case Claims::CallVerdict::KeyUsed:
             return CallerError{CallerCode::KeyUsed, m_error, std::nullopt, {}};
         case Claims::CallVerdict::KeyExpired:
@@ -306,16 +307,16 @@
     const Claims::ClaimKey m_key;
     const Routing::Submission m_submission;
     const Core::Instant m_deadline;
-    const std::function<bool()> m_isGone;
-    std::optional<Grant> m_grant; ///< Held until the dispatch takes it or the call ends without one.
-    Routing::Granted m_used; ///< Where the own attempt was dispatched to.
+    const std::function<bool()> m_isDisconnected;
+    std::optional<Grant> m_grant; ///< Held until the dispatch uses it or the call ends without a dispatch.
+    Routing::Granted m_dispatchedTo; ///< Endpoint to which the call's own attempt was dispatched.
     ServiceAnswer m_answer;
     Core::Error m_error;
 };
 
 }
 
-ServiceResult callService(Frontend &frontend, const CallRequest &request, Core::Instant deadline, const std::function<bool()> &isGone)
+ServiceResult callService(Frontend &frontend, const CallRequest &request, Core::Instant deadline, const std::function<bool()> &isDisconnected)
 {
     const Core::Result<std::uint32_t> weight = accountWeight(*frontend.m_store->current(), request);
     if (!weight) {
@@ -323,9 +324,9 @@
     }
     Routing::Submission submission = makeSubmission(request, weight.value(), deadline);
     if (!request.m_key) {
-        return callRepeatable(frontend, request, std::move(submission), isGone);
+        return callRepeatable(frontend, request, std::move(submission), isDisconnected);
     }
-    return KeyedCall(frontend, request, std::move(submission), isGone).run();
+    return KeyedCall(frontend, request, std::move(submission), isDisconnected).run();
 }
 
 }
--- a/Libraries/LibEntry/ServiceCall.h
+++ b/Libraries/LibEntry/ServiceCall.h
@@ -1,4 +1,4 @@
-/// @file The course of one call to a plain service, repeatable or not.
+/// @file Execution of one call to a plain service, with or without an idempotency key.
 #pragma once
 
 #include "LibEntry/CallerRequest.h"
@@ -9,7 +9,7 @@
 
 namespace Entry {
 
-/// A whole answer of a plain service.
+/// A complete answer of a plain service.
 struct ServiceAnswer
 {
     std::int32_t m_status = 200;
@@ -20,7 +20,7 @@
 
 using ServiceResult = std::variant<ServiceAnswer, CallerError>;
 
-/// Runs a call to its end. @p isGone tells whether the caller went away; a call that may not be repeated is then finished all the same.
-ServiceResult callService(Frontend &frontend, const CallRequest &request, Core::Instant deadline, const std::function<bool()> &isGone);
+/// Runs a call to its end. @p isDisconnected returns true if the caller has disconnected; a keyed call is completed nevertheless.
+ServiceResult callService(Frontend &frontend, const CallRequest &request, Core::Instant deadline, const std::function<bool()> &isDisconnected);
 
 }
--- a/Libraries/LibEntry/StatusPage.cpp
+++ b/Libraries/LibEntry/StatusPage.cpp
@@ -1,4 +1,4 @@
-/// @file Making of the status page.
+/// @file Creation of the status page.
 
 #include "LibEntry/StatusPage.h"
 
@@ -11,24 +11,24 @@
 using Poco::JSON::Array;
 using Poco::JSON::Object;
 
-Control::Offset appliedAt(const StatusInput &situation, const Protocol::Member &member)
+Control::Offset appliedOffset(const StatusInput &input, const Protocol::Member &member)
 {
-    if (member.m_id == situation.m_self.m_id) {
-        return situation.m_state->m_applied;
+    if (member.m_id == input.m_self.m_id) {
+        return input.m_state->m_applied;
     }
     Control::Offset applied = 0;
-    const std::map<std::string, Control::SubscriberStatus>::const_iterator told = situation.m_applied.find(member.m_id);
-    if (told != situation.m_applied.end() && told->second.m_member.m_incarnation == member.m_incarnation) {
-        applied = told->second.m_applied;
+    const std::map<std::string, Control::SubscriberStatus>::const_iterator subscriber = input.m_applied.find(member.m_id);
+    if (subscriber != input.m_applied.end() && subscriber->second.m_member.m_incarnation == member.m_incarnation) {
+        applied = subscriber->second.m_applied;
     }
-    const std::map<std::string, Protocol::AgentReport>::const_iterator report = situation.m_reports.find(member.m_id);
-    if (report != situation.m_reports.end() && report->second.m_member.m_incarnation == member.m_incarnation) {
+    const std::map<std::string, Protocol::AgentReport>::const_iterator report = input.m_reports.find(member.m_id);
+    if (report != input.m_reports.end() && report->second.m_member.m_incarnation == member.m_incarnation) {
         applied = std::max(applied, report->second.m_appliedOffset);
     }
     return applied;
 }
 
-Object::Ptr describeMember(const StatusInput &situation, const Protocol::Member &member)
+Object::Ptr describeMember(const StatusInput &input, const Protocol::Member &member)
 {
     Object::Ptr object = new Object;
     object->set("id", member.m_id);
@@ -41,14 +41,14 @@
     object->set("callers", member.m_callers.isEmpty() ? std::string() : member.m_callers.toString());
     object->set("admin", member.m_admin.isEmpty() ? std::string() : member.m_admin.toString());
     object->set("leaving", member.m_leaving);
-    object->set("applied", appliedAt(situation, member));
+    object->set("applied", appliedOffset(input, member));
     return object;
 }
 
-bool serves(const StatusInput &situation, const std::string &instance, const std::string &digest)
+bool serves(const StatusInput &input, const std::string &instance, const std::string &digest)
 {
-    const std::map<std::string, Protocol::AgentReport>::const_iterator it = situation.m_reports.find(instance);
-    if (it == situation.m_reports.end() || !it->second.m_endpointHealthy) {
+    const std::map<std::string, Protocol::AgentReport>::const_iterator it = input.m_reports.find(instance);
+    if (it == input.m_reports.end() || !it->second.m_endpointHealthy) {
         return false;
     }
     const std::vector<Protocol::Attestation> &attestations = it->second.m_attestations;
@@ -56,15 +56,15 @@
         attestations.begin(), attestations.end(), [&digest](const Protocol::Attestation &attestation) { return attestation.m_digest == digest; });
 }
 
-Object::Ptr describeDeployment(const StatusInput &situation, const Control::Deployment &deployment)
+Object::Ptr describeDeployment(const StatusInput &input, const Control::Deployment &deployment)
 {
     Array::Ptr serving = new Array;
     Array::Ptr waiting = new Array;
     std::size_t unwatched = 0;
     for (const Control::PlannedReplica &replica : deployment.m_replicas) {
-        if (!situation.m_reports.contains(replica.m_instance)) {
+        if (!input.m_reports.contains(replica.m_instance)) {
             unwatched += 1;
-        } else if (serves(situation, replica.m_instance, deployment.m_digest)) {
+        } else if (serves(input, replica.m_instance, deployment.m_digest)) {
             serving->add(replica.m_instance);
         } else {
             waiting->add(replica.m_instance);
@@ -82,11 +82,11 @@
     return object;
 }
 
-Object::Ptr describeService(const StatusInput &situation, const std::string &service, const Control::Plan &plan)
+Object::Ptr describeService(const StatusInput &input, const std::string &service, const Control::Plan &plan)
 {
     Array::Ptr deployments = new Array;
     for (const Control::Deployment &deployment : plan.m_deployments) {
-        deployments->add(describeDeployment(situation, deployment));
+        deployments->add(describeDeployment(input, deployment));
     }
     Object::Ptr object = new Object;
     object->set("service", service);
@@ -95,10 +95,10 @@
     return object;
 }
 
-Array::Ptr describeTransfers(const StatusInput &situation)
+Array::Ptr describeTransfers(const StatusInput &input)
 {
     Array::Ptr transfers = new Array;
-    for (const std::pair<const std::string, Protocol::AgentReport> &entry : situation.m_reports) {
+    for (const std::pair<const std::string, Protocol::AgentReport> &entry : input.m_reports) {
         for (const Protocol::TransferProgress &progress : entry.second.m_transfers) {
             Object::Ptr object = new Object;
             object->set("instance", entry.first);
@@ -113,22 +113,22 @@
 
 }
 
-Object::Ptr makeStatusPage(const StatusInput &situation)
+Object::Ptr makeStatusPage(const StatusInput &input)
 {
     Array::Ptr members = new Array;
-    for (const Protocol::Member &member : situation.m_members) {
-        members->add(describeMember(situation, member));
+    for (const Protocol::Member &member : input.m_members) {
+        members->add(describeMember(input, member));
     }
     Array::Ptr services = new Array;
-    for (const std::pair<const std::string, Control::Plan> &entry : situation.m_state->m_plans) {
-        services->add(describeService(situation, entry.first, entry.second));
+    for (const std::pair<const std::string, Control::Plan> &entry : input.m_state->m_plans) {
+        services->add(describeService(input, entry.first, entry.second));
     }
     Object::Ptr page = new Object;
-    page->set("entry", situation.m_self.m_id);
-    page->set("applied", situation.m_state->m_applied);
+    page->set("entry", input.m_self.m_id);
+    page->set("applied", input.m_state->m_applied);
     page->set("members", members);
     page->set("services", services);
-    page->set("transfers", describeTransfers(situation));
+    page->set("transfers", describeTransfers(input));
     return page;
 }
 
--- a/Libraries/LibEntry/StatusPage.h
+++ b/Libraries/LibEntry/StatusPage.h
@@ -1,4 +1,4 @@
-/// @file The status page of an entry: what every member has in force, and how far each deployment has come.
+/// @file Status page of an entry: the state that each member has applied, and the progress of each deployment.
 #pragma once
 
 #include "LibControl/StateFeed.h"
@@ -11,17 +11,17 @@
 
 namespace Entry {
 
-/// What the page is made from.
+/// Input of the status page.
 struct StatusInput
 {
     Protocol::Member m_self;
     const Control::ControlState *m_state = nullptr;
     std::vector<Protocol::Member> m_members;
-    std::map<std::string, Control::SubscriberStatus> m_applied; ///< As told by subscribers of this entry.
-    std::map<std::string, Protocol::AgentReport> m_reports; ///< Of the agents that this entry watches.
+    std::map<std::string, Control::SubscriberStatus> m_applied; ///< As reported by the subscribers of this entry, by instance.
+    std::map<std::string, Protocol::AgentReport> m_reports; ///< Newest reports of the agents that this entry watches, by instance.
 };
 
 /// {"entry","applied","members":[...],"services":[{"service","plan","deployments":[...]}],"transfers":[...]}
-Poco::JSON::Object::Ptr makeStatusPage(const StatusInput &situation);
+Poco::JSON::Object::Ptr makeStatusPage(const StatusInput &input);
 
 }
--- a/Libraries/LibEntry/VersionTracker.cpp
+++ b/Libraries/LibEntry/VersionTracker.cpp
@@ -1,4 +1,4 @@
-/// @file Following of rollouts.
+/// @file Tracking of rollouts.
 
 #include "LibEntry/VersionTracker.h"
 
@@ -45,25 +45,25 @@
         return Core::makeError(Core::ErrorCode::NotFound, "find template", templateName, "no template in force names the account " + account);
     }
     AccountRecord &record = it->second;
-    Routing::RolloutState situation;
-    situation.m_wantedDigest = record.m_parameters.m_digest;
-    situation.m_wantedReplicas = record.m_parameters.m_replicas;
+    Routing::RolloutState rollout;
+    rollout.m_wantedDigest = record.m_parameters.m_digest;
+    rollout.m_wantedReplicas = record.m_parameters.m_replicas;
     std::string previousVersion;
-    situation.m_switched = record.m_switched;
-    m_router.readTable([&situation, &record, &previousVersion](const Routing::EndpointTable &table) {
+    rollout.m_switched = record.m_switched;
+    m_router.readTable([&rollout, &record, &previousVersion](const Routing::EndpointTable &table) {
         const Core::Instant now = Core::Clock::now();
-        situation.m_wantedServing = table.countAvailable(Routing::GroupKey{record.m_service, situation.m_wantedDigest}, now);
-        situation.m_watched = table.countServiceAvailable(record.m_service, now);
+        rollout.m_wantedServing = table.countAvailable(Routing::GroupKey{record.m_service, rollout.m_wantedDigest}, now);
+        rollout.m_watched = table.countServiceAvailable(record.m_service, now);
         for (const Control::EarlierVersion &earlier : record.m_earlierVersions) {
-            situation.m_previousServing = table.countAvailable(Routing::GroupKey{record.m_service, earlier.m_digest}, now);
-            if (situation.m_previousServing > 0) {
-                situation.m_previousDigest = earlier.m_digest;
+            rollout.m_previousServing = table.countAvailable(Routing::GroupKey{record.m_service, earlier.m_digest}, now);
+            if (rollout.m_previousServing > 0) {
+                rollout.m_previousDigest = earlier.m_digest;
                 previousVersion = earlier.m_version;
                 break;
             }
         }
     });
-    const std::string digest = Routing::chooseVersion(situation);
+    const std::string digest = Routing::chooseVersion(rollout);
     const bool wanted = digest == record.m_parameters.m_digest;
     record.m_switched = record.m_switched || wanted;
     return ServedVersion{record.m_service, digest, wanted ? record.m_parameters.m_version : previousVersion, record.m_parameters.m_weight};
--- a/Libraries/LibEntry/WatchSet.cpp
+++ b/Libraries/LibEntry/WatchSet.cpp
@@ -1,4 +1,4 @@
-/// @file Choice of the agents to watch.
+/// @file Selection of the agents to watch.
 
 #include "LibEntry/WatchSet.h"
 #include "LibCore/Random.h"
@@ -11,25 +11,25 @@
 
 using Agents = std::map<std::string, const Protocol::Member *>;
 
-struct Ranked
+struct RankedAgent
 {
     std::uint64_t m_weight = 0;
     const Protocol::Member *m_member = nullptr;
 };
 
-void addBest(WatchSet &chosen, const std::string &entry, const std::vector<const Protocol::Member *> &candidates, std::size_t count)
+void addHighestRanked(WatchSet &chosen, const std::string &entry, const std::vector<const Protocol::Member *> &candidates, std::size_t count)
 {
-    std::vector<Ranked> ranked;
+    std::vector<RankedAgent> ranked;
     for (const Protocol::Member *member : candidates) {
-        ranked.push_back(Ranked{Core::rendezvousWeight(entry, member->m_id), member});
+        ranked.push_back(RankedAgent{Core::rendezvousWeight(entry, member->m_id), member});
     }
-    std::sort(ranked.begin(), ranked.end(), [](const Ranked &left, const Ranked &right) { return left.m_weight > right.m_weight; });
+    std::sort(ranked.begin(), ranked.end(), [](const RankedAgent &left, const RankedAgent &right) { return left.m_weight > right.m_weight; });
     for (std::size_t index = 0; index < std::min(count, ranked.size()); ++index) {
         chosen[ranked[index].m_member->m_id] = *ranked[index].m_member;
     }
 }
 
-void addPlanned(WatchSet &chosen, const std::string &entry, const Control::Plan &plan, const Agents &agents, std::size_t perGroup)
+void addPlannedReplicas(WatchSet &chosen, const std::string &entry, const Control::Plan &plan, const Agents &agents, std::size_t perGroup)
 {
     for (const Control::Deployment &deployment : plan.m_deployments) {
         std::vector<const Protocol::Member *> candidates;
@@ -39,7 +39,7 @@
                 candidates.push_back(it->second);
             }
         }
-        addBest(chosen, entry, candidates, perGroup);
+        addHighestRanked(chosen, entry, candidates, perGroup);
     }
 }
 
@@ -66,10 +66,10 @@
         const std::map<std::string, Control::Plan>::const_iterator plan = state.m_plans.find(service.first);
         const bool hasDeployments = plan != state.m_plans.end() && !plan->second.m_deployments.empty();
         if (all.size() <= perGroup || !hasDeployments) {
-            addBest(chosen, entry, all, perGroup);
+            addHighestRanked(chosen, entry, all, perGroup);
             continue;
         }
-        addPlanned(chosen, entry, plan->second, service.second, perGroup);
+        addPlannedReplicas(chosen, entry, plan->second, service.second, perGroup);
         for (const std::string &instance : held) {
             const Agents::const_iterator it = service.second.find(instance);
             if (it != service.second.end()) {
--- a/Libraries/LibEntry/WatchSet.h
+++ b/Libraries/LibEntry/WatchSet.h
@@ -1,4 +1,4 @@
-/// @file Which agents an entry watches. Pure.
+/// @file Selection of the agents that an entry watches.
 #pragma once
 
 #include "LibControl/ControlState.h"
@@ -13,11 +13,11 @@
 using WatchSet = std::map<std::string, Protocol::Member>;
 
 /**
- * Every agent of a service that has few, else the best by rendezvous weight among the replicas of each version.
+ * Selects all agents of a service that has at most @p perGroup, otherwise those with the highest rendezvous weights among the replicas of each version.
  *
- * Reports of every agent to every entry would grow with the product of both. With a bounded subset per version an entry pays the same however
- * large the fleet is, and the rendezvous weights spread the entries evenly over the agents. @p held are instances watched now that serve a
- * version which is no longer planned but may still answer; they stay.
+ * If every agent reported to every entry, the number of reports would grow with the product of both numbers. With a bounded subset per version, the
+ * cost of an entry does not depend on the size of the fleet, and the rendezvous weights distribute the entries evenly over the agents. @p held are
+ * instances watched now that serve a version which is no longer planned but may still answer; they remain selected.
  */
 WatchSet chooseWatchSet(const std::string &entry,
                         const Control::ControlState &state,
--- a/Tests/Entry/EntryCluster.h
+++ b/Tests/Entry/EntryCluster.h
@@ -1,4 +1,4 @@
-/// @file A site in one process: the log stand-in, entries, and made-up agents whose conduct a test chooses.
+/// @file Cluster in one process for the tests of the entry: the log stand-in, entries, and fake agents whose behavior a test sets.
 #pragma once
 
 #include "LibControl/Records.h"
@@ -23,7 +23,7 @@
 inline constexpr const char *ModelService = "drafting-models";
 inline constexpr const char *PlainService = "client-portal";
 
-/// Waits for a condition without a limit of its own; ctest's timeout ends a test that hangs.
+/// Waits for a condition without a time limit; ctest's timeout ends a test that hangs.
 template <typename Condition>
 void waitUntil(Condition condition)
 {
@@ -70,7 +70,7 @@
     return reply;
 }
 
-/// An agent whose answers a test chooses. Keyed calls go through the real gate.
+/// An agent whose answers a test sets. Keyed calls are admitted by the real attempt tracker.
 class FakeAgent
 {
 public:
@@ -78,7 +78,7 @@
 
     FakeAgent(const std::string &id, const std::string &service)
         : m_node(settings(m_address), m_metrics)
-        , m_gate(id + "-life", Endpoint::AttemptTrackerLimits())
+        , m_attemptTracker(id + "-life", Endpoint::AttemptTrackerLimits())
     {
         m_report.m_member.m_id = id;
         m_report.m_member.m_incarnation = id + "-life";
@@ -115,10 +115,10 @@
         change(m_report);
     }
 
-    void setBehavior(Behavior conduct)
+    void setBehavior(Behavior behavior)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_behavior = std::move(conduct);
+        m_behavior = std::move(behavior);
     }
 
     void setOutcomeReachable(bool reachable)
@@ -126,7 +126,7 @@
         m_outcomeReachable = reachable;
     }
 
-    /// Frames of a whole answer.
+    /// Returns the frames of a complete answer.
     static std::vector<Protocol::AnswerFrame> frames(const Protocol::LiveRequest &request)
     {
         Endpoint::AnswerFramer framer(request.m_attempt, request.m_digest, 200);
@@ -138,7 +138,7 @@
         return frames;
     }
 
-    /// Runs the request and sends the whole answer.
+    /// Runs the request and sends the complete answer.
     void answer(const Protocol::LiveRequest &request, const Wire::Responder &responder)
     {
         run(request);
@@ -148,28 +148,31 @@
         responder.finish();
     }
 
-    /// The effect, without any answer.
+    /// Runs the request without sending an answer.
     void run(const Protocol::LiveRequest &request)
     {
-        m_effects += 1;
+        m_executions += 1;
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_gate.tryBegin(request.m_attempt);
-        m_gate.recordAnswer(request.m_attempt, 200, "red linen frames");
+        m_attemptTracker.tryBegin(request.m_attempt);
+        m_attemptTracker.recordAnswer(request.m_attempt, 200, "red linen frames");
     }
 
+    /// Runs the request and records its outcome as lost.
     void runAndLoseOutcome(const Protocol::LiveRequest &request)
     {
-        m_effects += 1;
+        m_executions += 1;
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_gate.tryBegin(request.m_attempt);
-        m_gate.recordLostAnswer(request.m_attempt);
+        m_attemptTracker.tryBegin(request.m_attempt);
+        m_attemptTracker.recordLostAnswer(request.m_attempt);
     }
 
-    int effects() const
+    /// Number of requests that were run.
+    int executions() const
     {
-        return m_effects;
+        return m_executions;
     }
 
+    /// Number of calls received, including those that were not admitted.
     int calls() const
     {
         return m_calls;
@@ -193,30 +196,30 @@
     {
         const Protocol::LiveRequest request = Wire::unpack<Protocol::LiveRequest>(call.m_body, call.m_peer).value();
         m_calls += 1;
-        Behavior conduct;
+        Behavior behavior;
         {
             const std::lock_guard<std::mutex> lock(m_mutex);
-            conduct = m_behavior;
+            behavior = m_behavior;
             const Endpoint::AttemptTag tag{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
-            const Endpoint::Admission admission = m_gate.admit(tag);
+            const Endpoint::Admission admission = m_attemptTracker.admit(tag);
             if (!request.m_repeatable && admission != Endpoint::Admission::Admitted) {
-                call.m_responder.fail(Core::makeError(Core::ErrorCode::Cancelled, "admit attempt", "", "barred"));
+                call.m_responder.fail(Core::makeError(Core::ErrorCode::Cancelled, "admit attempt", "", "not admitted"));
                 return;
             }
         }
-        conduct(*this, request, call.m_responder);
+        behavior(*this, request, call.m_responder);
     }
 
     void onOutcome(const Wire::IncomingCall &call)
     {
         if (!m_outcomeReachable) {
-            call.m_responder.fail(Core::makeError(Core::ErrorCode::Unavailable, "ask outcome", "", "out of reach"));
+            call.m_responder.fail(Core::makeError(Core::ErrorCode::Unavailable, "ask outcome", "", "unreachable"));
             return;
         }
         const Protocol::OutcomeRequest request = Wire::unpack<Protocol::OutcomeRequest>(call.m_body, call.m_peer).value();
         const std::lock_guard<std::mutex> lock(m_mutex);
         const Endpoint::AttemptTag tag{request.m_attempt, request.m_key, request.m_agentIncarnation, request.m_agentReport};
-        call.m_responder.reply(Wire::pack(m_gate.outcome(tag)));
+        call.m_responder.reply(Wire::pack(m_attemptTracker.outcome(tag)));
     }
 
     void reportLoop()
@@ -237,18 +240,18 @@
     const Core::Address m_address = Network::freeLoopbackAddress();
     Wire::Node m_node;
     mutable std::mutex m_mutex;
-    Endpoint::AttemptTracker m_gate;
+    Endpoint::AttemptTracker m_attemptTracker;
     Protocol::AgentReport m_report;
     std::vector<Wire::Responder> m_watchers;
     Behavior m_behavior;
     std::atomic<bool> m_outcomeReachable = true;
     std::atomic<bool> m_stopping = false;
-    std::atomic<int> m_effects = 0;
+    std::atomic<int> m_executions = 0;
     std::atomic<int> m_calls = 0;
     std::thread m_thread;
 };
 
-/// The platform's log and list, over HTTP.
+/// The platform's log and instance list, over HTTP.
 class FakePlatform
 {
 public:
@@ -283,7 +286,7 @@
         REQUIRE(send(m_address, "POST", "/faults", json).m_status < 300);
     }
 
-    /// Puts a template in force whose account "sao-mai" wants the digest.
+    /// Publishes a template in which the account "sao-mai" uses the digest.
     void publishTemplate(Control::Offset basedOn = 0, const std::string &digest = Digest)
     {
         Control::PublishTemplate change;
@@ -315,7 +318,7 @@
     StandIn::HttpServer m_server;
 };
 
-/// An entry with its addresses.
+/// An entry with addresses of its own, and requests to it.
 class TestEntry
 {
 public:
@@ -374,7 +377,7 @@
         return send(member().m_callers, "GET", "/v1/addresses", "").m_body;
     }
 
-    /// A fresh key; waits until this entry hands out epochs.
+    /// Returns a new key. Waits until this entry issues epochs.
     std::string newKey(const std::string &text) const
     {
         std::string epoch;
@@ -386,7 +389,7 @@
         return epoch + "." + text;
     }
 
-    /// Whether the entry's dump calls this many endpoints available.
+    /// True if the entry is ready and its dump lists exactly this many available endpoints.
     bool hasAvailableEndpoints(std::size_t available) const
     {
         const std::string dump = send(member().m_admin, "GET", "/dump", "").m_body;
--- a/Tests/Entry/TestCallerRequests.cpp
+++ b/Tests/Entry/TestCallerRequests.cpp
@@ -1,4 +1,4 @@
-/// @file Whole answers, one entry, and agents that misbehave.
+/// @file Callers' requests to one entry: complete answers, invalid answers of agents, overload, timeouts and limits.
 
 #include "EntryCluster.h"
 
@@ -6,14 +6,14 @@
 
 namespace {
 
-struct Pair
+struct TwoAgentCluster
 {
     FakePlatform m_platform;
     FakeAgent m_first{"engine-1", ModelService};
     FakeAgent m_second{"engine-2", ModelService};
     TestEntry m_entry{"entry-1", m_platform, {}};
 
-    Pair()
+    TwoAgentCluster()
     {
         m_platform.publishTemplate();
         m_platform.registerAgent(m_first.member());
@@ -21,10 +21,10 @@
         waitUntil([this] { return m_entry.hasAvailableEndpoints(2); });
     }
 
-    void setConduct(const FakeAgent::Behavior &conduct)
+    void setBehavior(const FakeAgent::Behavior &behavior)
     {
-        m_first.setBehavior(conduct);
-        m_second.setBehavior(conduct);
+        m_first.setBehavior(behavior);
+        m_second.setBehavior(behavior);
     }
 
     int calls() const
@@ -33,8 +33,8 @@
     }
 };
 
-/// Sends the frames of a whole answer after a change to them, and finishes the stream as if all were well.
-FakeAgent::Behavior changedAnswer(const std::function<void(std::vector<Protocol::AnswerFrame> &frames)> &change)
+/// Sends the frames of a complete answer after a modification, and finishes the stream without an error.
+FakeAgent::Behavior modifiedAnswer(const std::function<void(std::vector<Protocol::AnswerFrame> &frames)> &change)
 {
     return [change](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
         std::vector<Protocol::AnswerFrame> frames = FakeAgent::frames(request);
@@ -48,145 +48,145 @@
 
 }
 
-TEST_CASE("a caller gets the version, the tokens and the end")
+TEST_CASE("a caller receives the version, the tokens and the end of an answer")
 {
-    Pair pair;
-    const HttpReply reply = pair.m_entry.generate();
+    TwoAgentCluster cluster;
+    const HttpReply reply = cluster.m_entry.generate();
     REQUIRE(reply.m_status == 200);
     REQUIRE(reply.m_body.starts_with("{\"version\":\"7\",\"digest\":\"" + Digest + "\"}\n{\"token\":\"red \"}\n"));
     REQUIRE(reply.isComplete());
 }
 
-TEST_CASE("an answer with crossed, doubled or missing frames never looks whole")
+TEST_CASE("an answer with foreign, duplicate or missing frames is never delivered as complete")
 {
-    // A frame of another caller's answer is mixed in, or one comes twice or not at all. The analyst would finish a draft that nobody's model wrote.
-    Pair pair;
-    SECTION("crossed")
+    // A frame of another caller's answer enters the stream, or a frame arrives twice or not at all. The caller would use a text that no model generated.
+    TwoAgentCluster cluster;
+    SECTION("frame of another attempt")
     {
-        pair.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames[1].m_attempt = "another"; }));
+        cluster.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames[1].m_attempt = "another"; }));
     }
-    SECTION("doubled")
+    SECTION("duplicate frame")
     {
-        pair.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.insert(frames.begin() + 1, frames[1]); }));
+        cluster.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.insert(frames.begin() + 1, frames[1]); }));
     }
-    SECTION("missing")
+    SECTION("missing frame")
     {
-        pair.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.erase(frames.begin() + 1); }));
+        cluster.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.erase(frames.begin() + 1); }));
     }
-    SECTION("cut before the end, although the stream ends well")
+    SECTION("missing end frame in a stream that ends without an error")
     {
-        pair.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.pop_back(); }));
+        cluster.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames.pop_back(); }));
     }
-    SECTION("another version in the middle")
+    SECTION("frame of another version")
     {
-        pair.setConduct(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames[2].m_version = OtherDigest; }));
+        cluster.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) { frames[2].m_version = OtherDigest; }));
     }
-    const HttpReply reply = pair.m_entry.generate();
+    const HttpReply reply = cluster.m_entry.generate();
     REQUIRE(reply.m_status == 200);
     REQUIRE_FALSE(reply.isComplete());
     REQUIRE(reply.m_body.find("\"code\":\"outcome-unknown\"") != std::string::npos);
 }
 
-TEST_CASE("a wrong version from the first frame on is not delivered, and another endpoint answers")
+TEST_CASE("an answer that is of the wrong version from the first frame is not delivered, and another endpoint answers")
 {
-    // An engine names another version than its agent attests. The analyst would get a draft of weights that the account has not accepted.
-    Pair pair;
-    // One prompt keeps to one endpoint: that one is made to misbehave.
-    REQUIRE(pair.m_entry.generate().isComplete());
-    FakeAgent &owner = pair.m_first.calls() > 0 ? pair.m_first : pair.m_second;
-    owner.setBehavior(changedAnswer([](std::vector<Protocol::AnswerFrame> &frames) {
+    // An engine answers with another version than its agent attests. The caller would get an answer from weights that the account has not accepted.
+    TwoAgentCluster cluster;
+    // Equal prompts are routed to one endpoint, which is made to send wrong answers.
+    REQUIRE(cluster.m_entry.generate().isComplete());
+    FakeAgent &owner = cluster.m_first.calls() > 0 ? cluster.m_first : cluster.m_second;
+    owner.setBehavior(modifiedAnswer([](std::vector<Protocol::AnswerFrame> &frames) {
         for (Protocol::AnswerFrame &frame : frames) {
             frame.m_version = OtherDigest;
             frame.m_data = "wrong";
         }
     }));
     for (int request = 0; request < 6; ++request) {
-        const HttpReply reply = pair.m_entry.generate();
+        const HttpReply reply = cluster.m_entry.generate();
         REQUIRE(reply.isComplete());
         REQUIRE(reply.m_body.find("wrong") == std::string::npos);
     }
     REQUIRE(owner.calls() > 1);
 }
 
-TEST_CASE("an endpoint that refuses is replaced by another, within the retry budget")
+TEST_CASE("a request that an endpoint refuses is retried at another, within the retry budget")
 {
-    Pair pair;
-    pair.m_first.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    TwoAgentCluster cluster;
+    cluster.m_first.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         responder.fail(Core::makeError(Core::ErrorCode::Unavailable, "admit attempt", "", "leaving"));
     });
     for (int request = 0; request < 6; ++request) {
-        REQUIRE(pair.m_entry.generate().isComplete());
+        REQUIRE(cluster.m_entry.generate().isComplete());
     }
-    pair.m_second.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    cluster.m_second.setBehavior([](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         responder.fail(Core::makeError(Core::ErrorCode::Overloaded, "generate", "", "full"));
     });
-    const HttpReply refused = pair.m_entry.generate();
+    const HttpReply refused = cluster.m_entry.generate();
     REQUIRE(refused.m_status == 503);
     REQUIRE(refused.code() == "not-run");
     REQUIRE_FALSE(refused.m_retryAfter.empty());
 }
 
-TEST_CASE("a leaving endpoint gets no new work, and what it runs is finished")
+TEST_CASE("a leaving endpoint gets no new requests, and its running request is completed")
 {
-    // The instance list still calls it live. Its own word counts at once, and the draft that it is writing is not cut off.
-    Pair pair;
+    // The instance list still lists the endpoint as live. Its own report takes effect at once, and its running answer is not interrupted.
+    TwoAgentCluster cluster;
     std::promise<Wire::Responder> started;
-    std::promise<Protocol::LiveRequest> asked;
-    pair.m_first.setBehavior([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
-        asked.set_value(request);
+    std::promise<Protocol::LiveRequest> receivedRequest;
+    cluster.m_first.setBehavior([&started, &receivedRequest](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
+        receivedRequest.set_value(request);
         started.set_value(responder);
     });
-    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
-    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
-    std::future<HttpReply> running = std::async(std::launch::async, [&pair] { return pair.m_entry.generate(); });
+    cluster.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
+    waitUntil([&cluster] { return cluster.m_entry.hasAvailableEndpoints(1); });
+    std::future<HttpReply> running = std::async(std::launch::async, [&cluster] { return cluster.m_entry.generate(); });
     const Wire::Responder responder = started.get_future().get();
-    pair.m_first.changeReport([](Protocol::AgentReport &report) { report.m_member.m_leaving = true; });
-    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(0); });
-    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = true; });
-    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
+    cluster.m_first.changeReport([](Protocol::AgentReport &report) { report.m_member.m_leaving = true; });
+    waitUntil([&cluster] { return cluster.m_entry.hasAvailableEndpoints(0); });
+    cluster.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = true; });
+    waitUntil([&cluster] { return cluster.m_entry.hasAvailableEndpoints(1); });
     for (int request = 0; request < 10; ++request) {
-        REQUIRE(pair.m_entry.generate().isComplete());
+        REQUIRE(cluster.m_entry.generate().isComplete());
     }
-    REQUIRE(pair.m_first.calls() == 1);
-    pair.m_first.answer(asked.get_future().get(), responder);
+    REQUIRE(cluster.m_first.calls() == 1);
+    cluster.m_first.answer(receivedRequest.get_future().get(), responder);
     REQUIRE(running.get().isComplete());
 }
 
-TEST_CASE("overload is answered at once with a time to come back")
+TEST_CASE("a request above the account's queue limit is refused at once with a retry time")
 {
-    // Every engine is busy and the account's queue is full. The next caller must not wait for its deadline to learn that.
-    Pair pair;
-    const FakeAgent::Behavior hang = [](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    // All engines are busy and the account's queue is full. The next caller must not wait until its deadline for the refusal.
+    TwoAgentCluster cluster;
+    const FakeAgent::Behavior neverAnswer = [](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         static std::mutex mutex;
-        static std::vector<Wire::Responder> held;
+        static std::vector<Wire::Responder> pending;
         const std::lock_guard<std::mutex> lock(mutex);
-        held.push_back(responder);
+        pending.push_back(responder);
     };
-    pair.setConduct(hang);
-    std::vector<std::future<HttpReply>> held;
+    cluster.setBehavior(neverAnswer);
+    std::vector<std::future<HttpReply>> pending;
     for (int request = 0; request < 16 + 64; ++request) {
-        held.push_back(std::async(std::launch::async, [&pair] { return pair.m_entry.generate({{"Oriolerail-Timeout-Ms", "3000"}}); }));
+        pending.push_back(std::async(std::launch::async, [&cluster] { return cluster.m_entry.generate({{"Oriolerail-Timeout-Ms", "3000"}}); }));
     }
-    waitUntil([&pair] { return send(pair.m_entry.member().m_admin, "GET", "/metrics", "").m_body.find("routing_queued 64") != std::string::npos; });
-    const HttpReply refused = pair.m_entry.generate();
+    waitUntil([&cluster] { return send(cluster.m_entry.member().m_admin, "GET", "/metrics", "").m_body.find("routing_queued 64") != std::string::npos; });
+    const HttpReply refused = cluster.m_entry.generate();
     REQUIRE(refused.m_status == 429);
     REQUIRE(refused.code() == "not-run");
     REQUIRE(std::stoi(refused.m_retryAfter) >= 1);
-    for (std::future<HttpReply> &reply : held) {
+    for (std::future<HttpReply> &reply : pending) {
         const int status = reply.get().m_status;
         REQUIRE((status == 503 || status == 504));
     }
 }
 
-TEST_CASE("a caller that goes away stops its request")
+TEST_CASE("a request is cancelled when its caller disconnects")
 {
-    // A buyer closes the window. The engine would go on writing for nobody, and everyone behind would wait for it.
-    Pair pair;
+    // Otherwise the engine would continue to generate an answer that nobody reads, and requests in the queue would wait for it.
+    TwoAgentCluster cluster;
     std::promise<Wire::Responder> started;
-    pair.m_first.setBehavior([&started](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) { started.set_value(responder); });
-    pair.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
-    waitUntil([&pair] { return pair.m_entry.hasAvailableEndpoints(1); });
-    const Core::Address &callers = pair.m_entry.member().m_callers;
+    cluster.m_first.setBehavior([&started](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) { started.set_value(responder); });
+    cluster.m_second.changeReport([](Protocol::AgentReport &report) { report.m_endpointHealthy = false; });
+    waitUntil([&cluster] { return cluster.m_entry.hasAvailableEndpoints(1); });
+    const Core::Address &callers = cluster.m_entry.member().m_callers;
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(callers.m_host, callers.m_port));
     const std::string body = R"({"account":"sao-mai","template":"season","prompt":"moodboard"})";
     const std::string text = "POST /v1/generate HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -197,25 +197,25 @@
     waitUntil([&responder] { return responder.isCancelled(); });
 }
 
-TEST_CASE("a request without an answer ends at its deadline, and the agent is told the time that is left")
+TEST_CASE("a request without an answer ends at its deadline, and its call to the agent is cancelled")
 {
-    Pair pair;
-    std::vector<Wire::Responder> held;
+    TwoAgentCluster cluster;
+    std::vector<Wire::Responder> pending;
     std::mutex mutex;
-    pair.setConduct([&held, &mutex](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
+    cluster.setBehavior([&pending, &mutex](FakeAgent &, const Protocol::LiveRequest &, const Wire::Responder &responder) {
         const std::lock_guard<std::mutex> lock(mutex);
-        held.push_back(responder);
+        pending.push_back(responder);
     });
-    const HttpReply reply = pair.m_entry.generate({{"Oriolerail-Timeout-Ms", "300"}});
+    const HttpReply reply = cluster.m_entry.generate({{"Oriolerail-Timeout-Ms", "300"}});
     REQUIRE(reply.m_status == 504);
     REQUIRE(reply.code() == "timeout");
-    waitUntil([&held, &mutex] {
+    waitUntil([&pending, &mutex] {
         const std::lock_guard<std::mutex> lock(mutex);
-        return held.size() == 1 && held[0].isCancelled();
+        return pending.size() == 1 && pending[0].isCancelled();
     });
 }
 
-TEST_CASE("nothing is served before accepted configuration is known, and nothing by default")
+TEST_CASE("no request is served before an accepted configuration is known")
 {
     FakePlatform platform;
     TestEntry entry("entry-1", platform, {});
@@ -224,10 +224,10 @@
     REQUIRE(entry.call().m_status == 503);
 }
 
-TEST_CASE("malformed requests are refused as such")
+TEST_CASE("malformed requests are refused with the matching status")
 {
-    Pair pair;
-    const Core::Address &callers = pair.m_entry.member().m_callers;
+    TwoAgentCluster cluster;
+    const Core::Address &callers = cluster.m_entry.member().m_callers;
     REQUIRE(send(callers, "POST", "/v1/generate", "no json").m_status == 400);
     REQUIRE(send(callers, "POST", "/v1/generate", "{}").m_status == 400);
     REQUIRE(send(callers, "POST", "/v1/generate", R"({"account":"a b","template":"season","prompt":"x"})").m_status == 400);
@@ -235,14 +235,15 @@
     REQUIRE(send(callers, "POST", "/v1/generate", R"({"account":"sao-mai","template":"none","prompt":"x"})").m_status == 404);
     REQUIRE(send(callers, "POST", "/v1/generate", std::string(2 << 20, 'x')).m_status == 413);
     REQUIRE(send(callers, "GET", "/v1/generate", "").m_status == 404);
-    REQUIRE(pair.m_entry.generate({{"Oriolerail-Timeout-Ms", "soon"}}).m_status == 400);
-    REQUIRE(pair.m_entry.keyedCall("no-epoch").m_status == 400);
-    REQUIRE(pair.calls() == 0);
+    REQUIRE(cluster.m_entry.generate({{"Oriolerail-Timeout-Ms", "soon"}}).m_status == 400);
+    REQUIRE(cluster.m_entry.keyedCall("no-epoch").m_status == 400);
+    REQUIRE(cluster.calls() == 0);
 }
 
-TEST_CASE("a caller that sends its request too slowly is cut off")
+TEST_CASE("a connection whose request arrives too slowly is closed")
 {
-    // It sends a byte now and then, so that every single read succeeds. A few hundred like it would hold every thread of the entry.
+    // The caller sends single bytes at intervals, so that each read succeeds within its timeout. A few hundred such callers would occupy all threads of the
+    // entry.
     FakePlatform platform;
     TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_requestTimeout = Core::Duration(400); });
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(entry.member().m_callers.m_host, entry.member().m_callers.m_port));
@@ -259,7 +260,7 @@
     REQUIRE(cut);
 }
 
-TEST_CASE("connections over the limit are told at once to come back")
+TEST_CASE("connections above the limit are refused at once with a retry time")
 {
     FakePlatform platform;
     TestEntry entry("entry-1", platform, {}, [](Entry::EntrySettings &settings) { settings.m_callers.m_maximumConnections = 2; });
--- a/Tests/Entry/TestLeaving.cpp
+++ b/Tests/Entry/TestLeaving.cpp
@@ -1,4 +1,4 @@
-/// @file An entry that leaves while callers still hold its address.
+/// @file An entry that leaves while callers still use its address.
 
 #include "EntryCluster.h"
 
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// Two entries before one engine; the second one is to leave.
-struct LeavingSite
+/// Two entries and one engine; the second entry leaves.
+struct LeavingCluster
 {
     FakePlatform m_platform;
     FakeAgent m_agent{"engine-1", ModelService};
-    TestEntry m_stays;
-    TestEntry m_leaves;
+    TestEntry m_stayingEntry;
+    TestEntry m_leavingEntry;
 
-    LeavingSite()
-        : m_stays("entry-1", published(), {})
-        , m_leaves("entry-2", m_platform, {m_stays.member().m_wire})
+    LeavingCluster()
+        : m_stayingEntry("entry-1", publishedPlatform(), {})
+        , m_leavingEntry("entry-2", m_platform, {m_stayingEntry.member().m_wire})
     {
     }
 
-    FakePlatform &published()
+    FakePlatform &publishedPlatform()
     {
         m_platform.publishTemplate();
         m_platform.registerAgent(m_agent.member());
@@ -30,63 +30,63 @@
 
 }
 
-TEST_CASE("a leaving entry hands out others' addresses, serves one lifetime more, refuses then, and cuts nothing off")
+TEST_CASE("a leaving entry returns only other entries' addresses, serves for one more address lifetime, then refuses requests and completes running ones")
 {
-    // A technician restarts an entry during the day. Callers hold its address for a while yet, and one is in the middle of a long draft.
-    LeavingSite site;
-    FakeAgent &agent = site.m_agent;
-    TestEntry &stays = site.m_stays;
-    TestEntry &leaves = site.m_leaves;
-    waitUntil([&stays, &leaves] { return stays.hasAvailableEndpoints(1) && leaves.hasAvailableEndpoints(1); });
-    waitUntil([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
+    // An entry is restarted while callers still use its address and one of them is receiving a long answer.
+    LeavingCluster cluster;
+    FakeAgent &agent = cluster.m_agent;
+    TestEntry &stayingEntry = cluster.m_stayingEntry;
+    TestEntry &leavingEntry = cluster.m_leavingEntry;
+    waitUntil([&stayingEntry, &leavingEntry] { return stayingEntry.hasAvailableEndpoints(1) && leavingEntry.hasAvailableEndpoints(1); });
+    waitUntil([&leavingEntry, &stayingEntry] { return leavingEntry.addresses().find(stayingEntry.member().m_callers.toString()) != std::string::npos; });
 
     std::promise<Wire::Responder> started;
-    std::promise<Protocol::LiveRequest> asked;
-    agent.setBehavior([&started, &asked](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
-        asked.set_value(request);
+    std::promise<Protocol::LiveRequest> receivedRequest;
+    agent.setBehavior([&started, &receivedRequest](FakeAgent &, const Protocol::LiveRequest &request, const Wire::Responder &responder) {
+        receivedRequest.set_value(request);
         started.set_value(responder);
     });
-    std::future<HttpReply> running = std::async(std::launch::async, [&leaves] { return leaves.generate(); });
+    std::future<HttpReply> running = std::async(std::launch::async, [&leavingEntry] { return leavingEntry.generate(); });
     const Wire::Responder responder = started.get_future().get();
     agent.setBehavior([](FakeAgent &self, const Protocol::LiveRequest &request, const Wire::Responder &answer) { self.answer(request, answer); });
 
-    leaves.entry().startLeaving();
-    REQUIRE(leaves.addresses().find(leaves.member().m_callers.toString()) == std::string::npos);
-    REQUIRE(leaves.generate().isComplete());
-    std::future<bool> drained = std::async(std::launch::async, [&leaves] { return leaves.entry().awaitDrained(); });
-    HttpReply refused = leaves.generate();
+    leavingEntry.entry().startLeaving();
+    REQUIRE(leavingEntry.addresses().find(leavingEntry.member().m_callers.toString()) == std::string::npos);
+    REQUIRE(leavingEntry.generate().isComplete());
+    std::future<bool> drained = std::async(std::launch::async, [&leavingEntry] { return leavingEntry.entry().awaitDrained(); });
+    HttpReply refused = leavingEntry.generate();
     while (refused.m_status == 200) {
-        refused = leaves.generate();
+        refused = leavingEntry.generate();
     }
-    INFO("the refusal: " << refused.m_body);
+    INFO("refusal: " << refused.m_body);
     REQUIRE(refused.m_status == 503);
     REQUIRE(refused.code() == "not-run");
-    REQUIRE(refused.m_body.find(stays.member().m_callers.toString()) != std::string::npos);
-    waitUntil([&stays, &leaves] { return stays.addresses().find(leaves.member().m_callers.toString()) == std::string::npos; });
+    REQUIRE(refused.m_body.find(stayingEntry.member().m_callers.toString()) != std::string::npos);
+    waitUntil([&stayingEntry, &leavingEntry] { return stayingEntry.addresses().find(leavingEntry.member().m_callers.toString()) == std::string::npos; });
 
-    agent.answer(asked.get_future().get(), responder);
+    agent.answer(receivedRequest.get_future().get(), responder);
     REQUIRE(running.get().isComplete());
     REQUIRE(drained.get());
 }
 
-TEST_CASE("a leaving entry names the others whatever it refuses a request for")
+TEST_CASE("a leaving entry returns other entries' addresses with every refusal, whatever its reason")
 {
-    // Guards against callers that return to an entry which has lost sight of the engines and is leaving.
-    LeavingSite site;
-    FakeAgent &agent = site.m_agent;
-    TestEntry &stays = site.m_stays;
-    TestEntry &leaves = site.m_leaves;
-    waitUntil([&leaves] { return leaves.generate().isComplete(); });
-    waitUntil([&leaves, &stays] { return leaves.addresses().find(stays.member().m_callers.toString()) != std::string::npos; });
+    // Guards against callers that return to a leaving entry that has no available engines any more.
+    LeavingCluster cluster;
+    FakeAgent &agent = cluster.m_agent;
+    TestEntry &stayingEntry = cluster.m_stayingEntry;
+    TestEntry &leavingEntry = cluster.m_leavingEntry;
+    waitUntil([&leavingEntry] { return leavingEntry.generate().isComplete(); });
+    waitUntil([&leavingEntry, &stayingEntry] { return leavingEntry.addresses().find(stayingEntry.member().m_callers.toString()) != std::string::npos; });
 
-    leaves.entry().startLeaving();
+    leavingEntry.entry().startLeaving();
     agent.changeReport([](Protocol::AgentReport &report) { report.m_attestations.clear(); });
-    HttpReply refused = leaves.generate();
+    HttpReply refused = leavingEntry.generate();
     while (refused.m_status == 200) {
-        refused = leaves.generate();
+        refused = leavingEntry.generate();
     }
-    INFO("the refusal: " << refused.m_body);
+    INFO("refusal: " << refused.m_body);
     REQUIRE(refused.m_status == 503);
     REQUIRE(refused.code() == "not-run");
-    REQUIRE(refused.m_body.find(stays.member().m_callers.toString()) != std::string::npos);
+    REQUIRE(refused.m_body.find(stayingEntry.member().m_callers.toString()) != std::string::npos);
 }
