--- a/Tests/Support/Explorer.h
+++ b/Tests/Support/Explorer.h
@@ -1,4 +1,4 @@
-/// @file A small model checker: tries every order of steps up to a depth and checks an invariant after each.
+/// @file Model checker that tries every order of steps up to a depth and checks an invariant after each step.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,16 @@
 
 namespace Support {
 
-/// What an exploration found.
+/// Result of an exploration.
 struct Exploration
 {
-    std::size_t m_states = 0; ///< Different states that were visited.
-    std::size_t m_steps = 0; ///< Steps that were tried.
-    std::string m_violation; ///< What was wrong; empty if the invariants held everywhere.
+    std::size_t m_states = 0; ///< Distinct states visited.
+    std::size_t m_steps = 0; ///< Possible steps taken.
+    std::string m_violation; ///< Description of the violated invariant; empty if it held in every state.
     std::vector<std::string> m_trace; ///< Steps that lead from the initial state to the violation.
 };
 
-/// One step that a model can take: its name and what it does. A step that is not possible returns false and leaves the state as it is.
+/// One kind of step of a model. A step that is not possible in a state returns false and leaves the state unchanged.
 template <typename State>
 struct Step
 {
@@ -27,9 +27,9 @@
 };
 
 /**
- * A model: steps, an invariant that tells what is wrong (or nothing), and a key by which equal states are told.
+ * A model: its steps, an invariant that returns a description of the violation (or an empty text), and a key that is equal for equal states.
  *
- * States that were visited with at least as many steps left are not explored again, so the number of states, and not of orders, counts.
+ * A state that was visited before is not explored again, so the cost depends on the number of states and not on the number of orders.
  */
 template <typename State>
 struct Model
@@ -48,14 +48,14 @@
     {
     }
 
-    /// Breadth first, so that the trace of a violation is a shortest one.
+    /// Explores breadth first, so that the trace of a violation has the fewest steps possible.
     Exploration explore(const State &initial, int depth)
     {
         Exploration found;
         std::vector<Visited> level = {Visited{initial, {}}};
         std::unordered_set<std::string> seen = {m_model.m_key(initial)};
         found.m_states = 1;
-        for (int turn = 0; turn < depth && !level.empty(); ++turn) {
+        for (int round = 0; round < depth && !level.empty(); ++round) {
             std::vector<Visited> next;
             for (const Visited &visited : level) {
                 if (!expand(visited, seen, next, found)) {
@@ -78,7 +78,7 @@
     {
         for (const Step<State> &step : m_model.m_steps) {
             State state = visited.m_state;
-            if (!step.m_take(state)) {
+            if (!step.m_apply(state)) {
                 continue;
             }
             ++found.m_steps;
--- a/Tests/Support/LoopbackPeer.h
+++ b/Tests/Support/LoopbackPeer.h
@@ -1,4 +1,4 @@
-/// @file The other end of a connection, scripted: for tests that need a peer which breaks the rules.
+/// @file Scripted clients and servers, for tests that need a peer which violates the protocol.
 #pragma once
 
 #include "LibHttp/EventLoop.h"
@@ -17,7 +17,7 @@
     return boost::asio::ip::tcp::endpoint(boost::asio::ip::address_v4::loopback(), port);
 }
 
-/// Runs the loop until @p done is true, or too much time has passed; then fails by returning false.
+/// Runs the loop until @p done returns true. Returns false if this takes longer than @p limit.
 inline bool runUntil(Http::EventLoop &loop, const std::function<bool()> &done, std::chrono::milliseconds limit = std::chrono::seconds(10))
 {
     const std::chrono::steady_clock::time_point end = std::chrono::steady_clock::now() + limit;
@@ -32,7 +32,7 @@
     return true;
 }
 
-/// A caller that sends bytes as they are and collects what comes back.
+/// A client that sends raw bytes and collects the bytes that it receives.
 class RawCaller
 {
 public:
@@ -94,7 +94,7 @@
     {
     }
 
-    /// The request as it came, head and body.
+    /// The request as received, head and body.
     const std::string &request() const
     {
         return m_request;
@@ -102,7 +102,7 @@
 
     void send(const std::string &bytes)
     {
-        boost::system::error_code ignored; // The peer may have gone, which the test sees at its own end.
+        boost::system::error_code ignored; // The peer may have disconnected, which the test detects at its own end.
         boost::asio::write(m_socket, boost::asio::buffer(bytes), ignored);
     }
 
@@ -111,7 +111,7 @@
         m_socket.close();
     }
 
-    /// Closes so that the peer sees a reset.
+    /// Closes the connection with a TCP reset.
     void reset()
     {
         m_socket.set_option(boost::asio::socket_base::linger(true, 0));
@@ -126,18 +126,18 @@
     void readRequest(std::function<void()> onRequest)
     {
         m_socket.async_read_some(boost::asio::buffer(m_buffer),
-                                 [self = shared_from_this(), then = std::move(onRequest)](const boost::system::error_code &error, std::size_t size) {
+                                 [self = shared_from_this(), onRequest = std::move(onRequest)](const boost::system::error_code &error, std::size_t size) {
                                      if (error) {
                                          self->m_isDisconnected = true;
                                          return;
                                      }
                                      self->m_request.append(self->m_buffer.data(), size);
-                                     const bool isWhole = !self->m_requestDelivered && self->m_request.find("\r\n\r\n") != std::string::npos;
-                                     if (isWhole) {
+                                     const bool isHeadComplete = !self->m_requestDelivered && self->m_request.find("\r\n\r\n") != std::string::npos;
+                                     if (isHeadComplete) {
                                          self->m_requestDelivered = true;
-                                         then();
+                                         onRequest();
                                      }
-                                     self->readRequest(then);
+                                     self->readRequest(onRequest);
                                  });
     }
 
@@ -149,7 +149,7 @@
     bool m_isDisconnected = false;
 };
 
-/// Accepts connections and hands each one over once the head of its request has come.
+/// Accepts connections and passes each to the script once the head of its request has been received.
 class ScriptedServer
 {
 public:
