--- a/Libraries/LibEntry/Frontend.cpp
+++ b/Libraries/LibEntry/Frontend.cpp
@@ -1,4 +1,4 @@
-/// @file Refusals and addresses.
+/// @file Refusals of requests and addresses of entries.
 
 #include "LibEntry/Frontend.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Core::Duration ShortRetry{1000};
+constexpr Core::Duration DefaultRetryAfter{1000};
 
 }
 
@@ -39,7 +39,7 @@
     CallerError error;
     error.m_code = CallerCode::NotRun;
     error.m_error = Core::makeError(Core::ErrorCode::Unavailable, "accept request", frontend.m_settings->m_instance.m_member.m_id, "this entry is leaving");
-    error.m_retryAfter = ShortRetry;
+    error.m_retryAfter = DefaultRetryAfter;
     return withOtherEntries(frontend, std::move(error));
 }
 
@@ -60,7 +60,7 @@
     error.m_code = CallerCode::NotRun;
     error.m_error = Core::makeError(
         Core::ErrorCode::Unavailable, "accept request", frontend.m_settings->m_instance.m_member.m_id, "no accepted configuration is known yet");
-    error.m_retryAfter = ShortRetry;
+    error.m_retryAfter = DefaultRetryAfter;
     return error;
 }
 
