--- a/Libraries/LibHttp/AdminPages.h
+++ b/Libraries/LibHttp/AdminPages.h
@@ -1,4 +1,4 @@
-/// @file Serves a process's administrative pages on its event loop.
+/// @file Serves the administrative pages of a process on its event loop.
 #pragma once
 
 #include "LibHttp/ServerConnection.h"
@@ -6,6 +6,7 @@
 
 namespace Http {
 
+/// Answers @p request on @p connection with the matching page.
 void answerAdminRequest(const Telemetry::AdminServer &pages, ServerConnection &connection, const ServerRequest &request);
 
 }
--- a/Libraries/LibHttp/ClientCall.cpp
+++ b/Libraries/LibHttp/ClientCall.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the client's side of HTTP/1.1, on Boost.Asio with Boost.Beast's parser.
+/// @file Implementation of the client side of HTTP/1.1, on Boost.Asio with Boost.Beast's parser.
 
 #include "LibHttp/ClientCall.h"
 
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr std::uint32_t MaximumAnswerHead = 16 << 10; ///< Far above the few hundred bytes of an endpoint's answer.
-constexpr std::size_t ReadSize = 8 << 10; ///< One read; several events of a stream.
-constexpr std::uint64_t AnyLength = std::numeric_limits<std::int64_t>::max(); ///< Beast 1.74 refuses answers with a length if no limit is given.
+constexpr std::uint32_t MaximumAnswerHeadBytes = 16 << 10; ///< The head of an endpoint's answer has a few hundred bytes.
+constexpr std::size_t ReadBytes = 8 << 10; ///< Size of one read; holds several events of a stream.
+constexpr std::uint64_t UnlimitedBodyBytes = std::numeric_limits<std::int64_t>::max(); ///< Beast 1.74 rejects answers with a length if no limit is set.
 
 std::string encodeHead(const ClientRequest &request)
 {
@@ -43,16 +43,16 @@
         : m_socket(loop)
         , m_timer(loop)
     {
-        m_parser.body_limit(AnyLength);
-        m_parser.header_limit(MaximumAnswerHead);
+        m_parser.body_limit(UnlimitedBodyBytes);
+        m_parser.header_limit(MaximumAnswerHeadBytes);
     }
 
     Socket m_socket;
     Timer m_timer;
     Beast::flat_buffer m_buffer;
     Beast::http::response_parser<Beast::http::buffer_body> m_parser;
-    std::array<char, ReadSize> m_chunk;
-    std::string m_outgoing; ///< Lives until the write has ended.
+    std::array<char, ReadBytes> m_chunk;
+    std::string m_outgoing; ///< Must stay valid until the write has ended.
 };
 
 ClientCall::ClientCall(EventLoop &loop, Core::Address peer, ClientCallLimits limits, ClientCallEvents events)
@@ -88,7 +88,7 @@
     }
     m_hasEnded = true;
     m_events = {};
-    boost::system::error_code ignored; // The connection is given up either way.
+    boost::system::error_code ignored; // The connection is closed in any case.
     m_state->m_timer.cancel(ignored);
     m_state->m_socket.close(ignored);
 }
@@ -130,7 +130,7 @@
     setStreamOptions(m_state->m_socket);
     m_wasSent = true;
     Asio::async_write(m_state->m_socket, Asio::buffer(m_state->m_outgoing), [self = shared_from_this()](const boost::system::error_code &, std::size_t) {
-        // A failed write shows at the reading side too, where an early answer may still be waiting.
+        // A failed write also fails the read, and an answer that the peer sent early can still be read.
     });
     startTimer(m_limits.m_headTimeout, "await answer");
     readHead();
@@ -171,7 +171,7 @@
         return;
     }
     const std::shared_ptr<ClientCall> self = shared_from_this();
-    // Called through a copy, since the callee may cancel this call, which drops its callbacks.
+    // Called through a copy because the callback may cancel this call, which clears its callbacks.
     const std::function<void(const AnswerHead &)> onHead = m_events.m_onHead;
     if (onHead) {
         onHead(head);
@@ -189,7 +189,7 @@
     }
     if (m_isPaused) {
         m_awaitsResume = true;
-        boost::system::error_code ignored; // While the reader is held up, silence says nothing about the peer.
+        boost::system::error_code ignored; // While reading is paused, a lack of data does not mean that the peer has stalled.
         m_state->m_timer.cancel(ignored);
         return;
     }
@@ -222,7 +222,7 @@
     readBody();
 }
 
-void ClientCall::end(bool isWhole, Core::ErrorCode code, const std::string &step, const std::string &detail)
+void ClientCall::end(bool isComplete, Core::ErrorCode code, const std::string &step, const std::string &detail)
 {
     if (m_hasEnded) {
         return;
@@ -230,8 +230,8 @@
     const std::shared_ptr<ClientCall> self = shared_from_this();
     ClientCallEvents events = std::move(m_events);
     cancel();
-    ClientCallEnd result{isWhole, m_wasSent, {}};
-    if (!isWhole) {
+    ClientCallEnd result{isComplete, m_wasSent, {}};
+    if (!isComplete) {
         result.m_error = Core::makeError(code, step, m_peer.toString(), detail);
     }
     if (events.m_onEnd) {
@@ -241,8 +241,8 @@
 
 namespace {
 
-/// What a fetch has gathered so far.
-struct Gathering
+/// The part of the answer that fetch() has received, and its callback.
+struct FetchState
 {
     CompleteAnswer m_answer;
     std::size_t m_maximumBytes = 0;
@@ -250,21 +250,21 @@
     std::function<void(Core::Result<CompleteAnswer>)> m_done;
 };
 
-void finishFetch(Gathering &gathering, const std::string &peer, const ClientCallEnd &end)
+void finishFetch(FetchState &state, const std::string &peer, const ClientCallEnd &end)
 {
-    if (gathering.m_isTooLarge) {
-        gathering.m_done(Core::makeError(Core::ErrorCode::Corrupt, "read answer", peer, "the answer is longer than allowed"));
+    if (state.m_isTooLarge) {
+        state.m_done(Core::makeError(Core::ErrorCode::Corrupt, "read answer", peer, "the answer is longer than allowed"));
         return;
     }
     if (end.m_isComplete) {
-        gathering.m_done(std::move(gathering.m_answer));
+        state.m_done(std::move(state.m_answer));
         return;
     }
     Core::Error error = end.m_error;
     if (error.m_code != Core::ErrorCode::Corrupt) {
         error.m_code = end.m_wasSent ? Core::ErrorCode::Ambiguous : Core::ErrorCode::Unavailable;
     }
-    gathering.m_done(std::move(error));
+    state.m_done(std::move(error));
 }
 
 }
@@ -276,18 +276,18 @@
                                   std::size_t maximumBytes,
                                   std::function<void(Core::Result<CompleteAnswer>)> done)
 {
-    const std::shared_ptr<Gathering> gathering = std::make_shared<Gathering>();
-    gathering->m_maximumBytes = maximumBytes;
-    gathering->m_done = std::move(done);
+    const std::shared_ptr<FetchState> state = std::make_shared<FetchState>();
+    state->m_maximumBytes = maximumBytes;
+    state->m_done = std::move(done);
     ClientCallEvents events;
-    events.m_onHead = [gathering](const AnswerHead &head) { gathering->m_answer.m_head = head; };
-    events.m_onData = [gathering](std::string_view bytes) {
-        gathering->m_isTooLarge = gathering->m_isTooLarge || gathering->m_answer.m_body.size() + bytes.size() > gathering->m_maximumBytes;
-        if (!gathering->m_isTooLarge) {
-            gathering->m_answer.m_body.append(bytes);
+    events.m_onHead = [state](const AnswerHead &head) { state->m_answer.m_head = head; };
+    events.m_onData = [state](std::string_view bytes) {
+        state->m_isTooLarge = state->m_isTooLarge || state->m_answer.m_body.size() + bytes.size() > state->m_maximumBytes;
+        if (!state->m_isTooLarge) {
+            state->m_answer.m_body.append(bytes);
         }
     };
-    events.m_onEnd = [gathering, name = peer.toString()](const ClientCallEnd &end) { finishFetch(*gathering, name, end); };
+    events.m_onEnd = [state, name = peer.toString()](const ClientCallEnd &end) { finishFetch(*state, name, end); };
     const std::shared_ptr<ClientCall> call = std::make_shared<ClientCall>(loop, peer, limits, std::move(events));
     call->start(request);
     return call;
--- a/Libraries/LibHttp/ClientCall.h
+++ b/Libraries/LibHttp/ClientCall.h
@@ -1,4 +1,4 @@
-/// @file One HTTP/1.1 request to one peer on a connection of its own, whose answer is passed on as it comes.
+/// @file Sends one HTTP/1.1 request on a connection of its own and passes the answer on as it arrives.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -32,12 +32,12 @@
 /// How a call ended.
 struct ClientCallEnd
 {
-    bool m_isComplete = false; ///< The answer came whole, as its framing tells.
-    bool m_wasSent = false; ///< Some of the request may have reached the peer. False means that it surely has not run.
-    Core::Error m_error; ///< Why the answer is not whole.
+    bool m_isComplete = false; ///< The answer is complete according to its framing.
+    bool m_wasSent = false; ///< Some of the request may have reached the peer. False guarantees that the request has not run.
+    Core::Error m_error; ///< Why the answer is incomplete.
 };
 
-/// What the caller of a ClientCall is told. m_onEnd comes exactly once and last, and not at all after cancel().
+/// Callbacks of a ClientCall. m_onEnd is called exactly once and last, and not at all after cancel().
 struct ClientCallEvents
 {
     std::function<void(const AnswerHead &head)> m_onHead;
@@ -45,19 +45,19 @@
     std::function<void(const ClientCallEnd &end)> m_onEnd;
 };
 
-/// Bounds on one call.
+/// Time limits of one call.
 struct ClientCallLimits
 {
-    Core::Duration m_connectTimeout{500}; ///< Until the connection stands. A dark peer answers nothing at all, so this is the only sign.
-    Core::Duration m_headTimeout{10000}; ///< From the connection to the head of the answer.
-    Core::Duration m_idleTimeout{10000}; ///< Longest pause within the body of the answer.
+    Core::Duration m_connectTimeout{500}; ///< Until the connection is established. A peer without power sends no reply at all, so only this limit detects it.
+    Core::Duration m_headTimeout{10000}; ///< From the established connection to the complete head of the answer.
+    Core::Duration m_idleTimeout{10000}; ///< Maximum pause within the body of the answer.
 };
 
 /**
  * A request on a new connection, which is closed afterwards.
  *
- * Connections are not kept: on a kept one a request can cross the peer's close, and then nobody can say whether it ran; and an answer that
- * comes twice or late would meet the next request. Both are impossible here, for the price of one round trip.
+ * Connections are not reused. On a reused connection a request can cross the peer's close, and whether it ran is then unknown; a duplicate or
+ * late answer would be taken for the answer to the next request. A new connection rules out both, at the cost of one round trip.
  */
 class ClientCall : public std::enable_shared_from_this<ClientCall>
 {
@@ -68,10 +68,11 @@
     ClientCall(const ClientCall &) = delete;
     ClientCall &operator=(const ClientCall &) = delete;
 
+    /// Connects and sends the request.
     void start(const ClientRequest &request);
-    /// Ends the call without a further event; an open connection is cut.
+    /// Ends the call without further callbacks and closes its connection.
     void cancel();
-    /// Stops reading from the peer, so that its sender is held up, until resume().
+    /// Stops reading from the peer until resume(), so that TCP flow control stops the sender.
     void pause();
     void resume();
 
@@ -84,19 +85,19 @@
     void readBody();
     void onBodyRead(const boost::system::error_code &error, std::size_t size);
     void startTimer(Core::Duration limit, const char *step);
-    void end(bool isWhole, Core::ErrorCode code, const std::string &step, const std::string &detail);
+    void end(bool isComplete, Core::ErrorCode code, const std::string &step, const std::string &detail);
 
     const Core::Address m_peer;
     const ClientCallLimits m_limits;
     ClientCallEvents m_events;
     std::unique_ptr<State> m_state;
     bool m_isPaused = false;
-    bool m_awaitsResume = false; ///< The body stands still until resume().
+    bool m_awaitsResume = false; ///< Reading of the body continues at resume().
     bool m_wasSent = false;
-    bool m_hasEnded = false; ///< Once true, no event is sent any more.
+    bool m_hasEnded = false; ///< Once true, no callback is called any more.
 };
 
-/// An answer that was read whole.
+/// An answer with its complete body.
 struct CompleteAnswer
 {
     AnswerHead m_head;
@@ -104,8 +105,8 @@
 };
 
 /**
- * Makes a call and reads its answer whole, at most @p maximumBytes of body. A call whose request may have reached the peer fails with Ambiguous,
- * one that surely has not with Unavailable.
+ * Makes a call and reads the complete answer, with at most @p maximumBytes of body. Fails with Ambiguous if the request may have reached the
+ * peer, with Unavailable if it has not, and with Corrupt if the answer is malformed or too long.
  */
 std::shared_ptr<ClientCall> fetch(EventLoop &loop,
                                   const Core::Address &peer,
--- a/Libraries/LibHttp/EventLoop.h
+++ b/Libraries/LibHttp/EventLoop.h
@@ -1,4 +1,4 @@
-/// @file The event loop on which a process's HTTP connections live.
+/// @file The event loop that runs the HTTP connections of a process.
 #pragma once
 
 #include <utility> // Boost 1.74's awaitable.hpp uses std::exchange without including it.
--- a/Libraries/LibHttp/Listener.cpp
+++ b/Libraries/LibHttp/Listener.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Core::Duration AcceptRetry{50}; ///< After a failed accept, such as one for want of descriptors.
-constexpr std::size_t SweepEvery = 64; ///< Closed connections are swept when this many more have been accepted.
+constexpr Core::Duration AcceptRetryDelay{50}; ///< After a failed accept, for example when no descriptors are left.
+constexpr std::size_t RemovalInterval = 64; ///< Closed connections are removed whenever the list's length is a multiple of this.
 
 }
 
@@ -46,7 +46,7 @@
 
 void Listener::stop()
 {
-    boost::system::error_code ignored; // Closing a listener that is closed does nothing.
+    boost::system::error_code ignored; // Closing a closed listener has no effect.
     m_acceptor.close(ignored);
 }
 
@@ -57,7 +57,7 @@
             return;
         }
         if (error) {
-            const std::shared_ptr<Timer> timer = std::make_shared<Timer>(m_acceptor.get_executor(), AcceptRetry);
+            const std::shared_ptr<Timer> timer = std::make_shared<Timer>(m_acceptor.get_executor(), AcceptRetryDelay);
             timer->async_wait([this, alive, timer](const boost::system::error_code &) {
                 if (*alive && m_acceptor.is_open()) {
                     accept();
@@ -65,7 +65,7 @@
             });
             return;
         }
-        if (m_connections.size() % SweepEvery == 0) {
+        if (m_connections.size() % RemovalInterval == 0) {
             removeClosed();
         }
         if (m_connections.size() < m_maximumConnections) {
--- a/Libraries/LibHttp/Listener.h
+++ b/Libraries/LibHttp/Listener.h
@@ -14,20 +14,22 @@
 class Listener
 {
 public:
-    /// @p maximumConnections: further ones are closed at once, so that descriptors remain for endpoints.
+    /// Connections beyond @p maximumConnections are closed at once, so that descriptors remain for endpoints.
     Listener(EventLoop &loop, Core::Address address, std::shared_ptr<ServerContext> context, std::size_t maximumConnections);
     ~Listener();
 
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
+    /// Binds the address and starts accepting. Fails with Unavailable.
     Core::Result<void> start();
-    /// Takes no further connections.
+    /// Stops accepting connections.
     void stop();
-    /// Closes the connections that carry no request.
+    /// Closes the connections on which no request is being read or answered.
     void closeIdle();
+    /// Returns the number of open connections.
     std::size_t connectionCount();
-    /// The port that was bound, which the system chose if the address named port 0.
+    /// Returns the bound port; the system chooses it if the address has port 0.
     std::uint16_t port() const;
 
 private:
@@ -38,8 +40,8 @@
     const std::shared_ptr<ServerContext> m_context;
     const std::size_t m_maximumConnections;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    std::vector<std::weak_ptr<ServerConnection>> m_connections; ///< May name some that have closed.
-    std::shared_ptr<bool> m_isAlive; ///< False once the listener is gone; its callbacks can outlive it.
+    std::vector<std::weak_ptr<ServerConnection>> m_connections; ///< May contain closed connections.
+    std::shared_ptr<bool> m_isAlive; ///< False once the listener is destroyed; its callbacks can outlive it.
 };
 
 }
--- a/Libraries/LibHttp/ServerConnection.cpp
+++ b/Libraries/LibHttp/ServerConnection.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the server's side of HTTP/1.1, on Boost.Asio with Boost.Beast's parser.
+/// @file Implementation of the server side of HTTP/1.1, on Boost.Asio with Boost.Beast's parser.
 
 #include "LibHttp/ServerConnection.h"
 
@@ -22,7 +22,7 @@
 
 using RequestParser = Beast::http::request_parser<Beast::http::string_body>;
 
-constexpr unsigned Version11 = 11; ///< HTTP/1.1 as the parser tells it.
+constexpr unsigned HttpVersion11 = 11; ///< HTTP/1.1 as the parser encodes it.
 
 std::string encodeAnswerHead(int status, const std::string &reason, const HeaderFields &fields)
 {
@@ -33,7 +33,7 @@
     return head;
 }
 
-std::string reasonOf(int status)
+std::string reasonPhrase(int status)
 {
     return std::string(Beast::http::obsolete_reason(static_cast<Beast::http::status>(status)));
 }
@@ -48,10 +48,10 @@
 }
 
 /**
- * Whether a head's framing can be read in one way only. The parser refuses lengths that differ and a length beside chunks; a coding other than
- * chunks it would take for a request without a body, whose bytes would then be read as the next request.
+ * Returns whether the framing of a head is unambiguous. The parser itself rejects differing lengths and a length together with chunks. A request
+ * with a coding other than chunks it would treat as one without a body, and the bytes of the body would then be read as the next request.
  */
-bool hasPlainFraming(const HeaderFields &fields)
+bool hasUnambiguousFraming(const HeaderFields &fields)
 {
     std::size_t codings = 0;
     for (const HeaderField &field : fields) {
@@ -66,7 +66,7 @@
     return codings < 2;
 }
 
-std::size_t countHosts(const HeaderFields &fields)
+std::size_t countHostFields(const HeaderFields &fields)
 {
     return static_cast<std::size_t>(std::count_if(fields.begin(), fields.end(), [](const HeaderField &field) { return isSameName(field.m_name, "Host"); }));
 }
@@ -85,7 +85,7 @@
     Timer m_timer;
     Beast::flat_buffer m_buffer;
     std::optional<RequestParser> m_parser; ///< One for each request.
-    HeaderFields m_fields; ///< Of the request under way.
+    HeaderFields m_fields; ///< Of the current request.
     std::string m_peer;
     std::deque<std::string> m_outgoing; ///< The first is being written.
     std::size_t m_pendingBytes = 0; ///< Sum of the sizes of m_outgoing.
@@ -188,11 +188,11 @@
     for (const Beast::http::fields::value_type &field : m_state->m_parser->get()) {
         m_state->m_fields.push_back(HeaderField{std::string(field.name_string()), std::string(field.value())});
     }
-    if (!hasPlainFraming(m_state->m_fields)) {
+    if (!hasUnambiguousFraming(m_state->m_fields)) {
         reject(400, "the body's framing is not supported");
         return;
     }
-    if (countHosts(m_state->m_fields) != 1) {
+    if (countHostFields(m_state->m_fields) != 1) {
         reject(400, "one Host field is needed");
         return;
     }
@@ -242,7 +242,7 @@
 
 void ServerConnection::dispatchRequest()
 {
-    boost::system::error_code ignored; // A timer that has already expired finds the connection answering.
+    boost::system::error_code ignored; // The handler of a timer that has already expired may still run.
     m_state->m_timer.cancel(ignored);
     m_isAnswering = true;
     m_isReading = false;
@@ -275,7 +275,7 @@
     char byte = 0;
     const ssize_t peeked = recv(m_state->m_socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (peeked > 0) {
-        return; // The next request is there already; it waits its turn.
+        return; // The next request has arrived; it is read after this answer.
     }
     if (peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
         watchForPeerClose();
@@ -316,7 +316,7 @@
 
 void ServerConnection::answer(int status, HeaderFields fields, std::string body)
 {
-    beginAnswer(status, reasonOf(status), std::move(fields), AnswerFraming{body.size()});
+    beginAnswer(status, reasonPhrase(status), std::move(fields), AnswerFraming{body.size()});
     sendBody(body);
     finish();
 }
@@ -326,9 +326,9 @@
     if (m_isClosed) {
         return;
     }
-    const bool isOldCaller = m_state->m_parser && m_state->m_parser->is_header_done() && m_state->m_parser->get().version() < Version11;
-    m_isChunked = !framing.m_length && !isOldCaller;
-    m_closeAfterAnswer = m_closeAfterAnswer || m_context->m_isClosing || (!framing.m_length && isOldCaller);
+    const bool isHttp10Caller = m_state->m_parser && m_state->m_parser->is_header_done() && m_state->m_parser->get().version() < HttpVersion11;
+    m_isChunked = !framing.m_length && !isHttp10Caller;
+    m_closeAfterAnswer = m_closeAfterAnswer || m_context->m_isClosing || (!framing.m_length && isHttp10Caller);
     const bool hasNoBody = status == 204 || status == 304;
     if (framing.m_length && !hasNoBody) {
         fields.push_back(HeaderField{"Content-Length", std::to_string(*framing.m_length)});
@@ -374,14 +374,14 @@
 void ServerConnection::write(std::string bytes)
 {
     m_state->m_pendingBytes += bytes.size();
-    // Small pieces that wait behind the one being written travel together.
+    // Data queued behind the current write is merged into one buffer.
     if (m_state->m_outgoing.size() > 1) {
         m_state->m_outgoing.back() += bytes;
         return;
     }
     m_state->m_outgoing.push_back(std::move(bytes));
     if (m_state->m_outgoing.size() == 1) {
-        // Posted, so that a head and the body handed over with it leave in one write.
+        // Posted, so that a head and the body that follows it at once are sent in one write.
         Asio::post(m_state->m_socket.get_executor(), [self = shared_from_this()] { self->writeNext(); });
     }
 }
@@ -433,7 +433,7 @@
         awaitRequest();
         return;
     }
-    // Closing at once could reset the connection over unread bytes, and the caller would lose the answer.
+    // Closing at once with unread bytes could reset the connection, and the caller would lose the answer.
     boost::system::error_code ignored;
     m_state->m_socket.shutdown(Socket::shutdown_send, ignored);
     constexpr Core::Duration linger{200}; // Longer than a round trip to any caller.
@@ -454,7 +454,7 @@
         return;
     }
     m_isClosed = true;
-    boost::system::error_code ignored; // The connection is given up either way.
+    boost::system::error_code ignored; // The connection is closed in any case.
     m_state->m_timer.cancel(ignored);
     m_state->m_socket.close(ignored);
 }
--- a/Libraries/LibHttp/ServerConnection.h
+++ b/Libraries/LibHttp/ServerConnection.h
@@ -1,4 +1,4 @@
-/// @file One accepted HTTP/1.1 connection: reads requests one after the other and sends each one's answer as it is made.
+/// @file One accepted HTTP/1.1 connection: reads requests one after the other and sends each answer as it is produced.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,7 +11,7 @@
 
 namespace Http {
 
-/// A request that was read whole.
+/// A complete request.
 struct ServerRequest
 {
     std::string m_method;
@@ -21,7 +21,7 @@
     std::string m_peer; ///< Address of the other end.
 };
 
-/// Bounds on what the other end may send, and how slowly. They may change while connections are open.
+/// Limits on the size and the duration of what the other end sends. They may change while connections are open.
 struct ServerLimits
 {
     std::uint32_t m_maximumHeaderBytes = 16384;
@@ -35,26 +35,26 @@
 
 class ServerConnection;
 
-/// What all connections of a listener share. Used on the loop's thread only.
+/// Settings and callbacks that all connections of a listener share. Used on the loop's thread only.
 struct ServerContext
 {
     ServerLimits m_limits;
-    bool m_isClosing = false; ///< Every answer from now on asks the caller to close, and idle connections are closed.
+    bool m_isClosing = false; ///< If true, every answer asks the caller to close the connection, and connections close instead of waiting for a request.
     std::function<void(const std::shared_ptr<ServerConnection> &connection, ServerRequest request)> m_onRequest;
-    std::function<void(int status, const std::string &peer, const std::string &reason)> m_onRejected; ///< A request that was not read whole.
+    std::function<void(int status, const std::string &peer, const std::string &reason)> m_onRejected; ///< Called for rejected requests.
 };
 
-/// How an answer's body is delimited.
+/// How the body of an answer is delimited.
 struct AnswerFraming
 {
-    std::optional<std::uint64_t> m_length; ///< Empty means chunks, or the end of the connection for callers of HTTP/1.0.
+    std::optional<std::uint64_t> m_length; ///< If empty, the body is sent in chunks, or for HTTP/1.0 callers until the connection closes.
 };
 
 /**
- * One connection. The handler of a request keeps the connection alive by holding the pointer that it is given.
+ * One accepted connection. The handler of a request keeps the connection alive by holding the pointer that it receives.
  *
- * Exactly one answer is sent for each request. An answer whose source breaks off ends with abort(), which cuts the connection so that the
- * caller cannot take what it has for the whole.
+ * Exactly one answer is sent for each request. If the source of an answer fails, abort() closes the connection, so that the caller cannot mistake
+ * the part that it has received for a complete answer.
  */
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
@@ -67,20 +67,20 @@
 
     void start();
 
-    /// Sends a whole answer.
+    /// Sends a complete answer.
     void answer(int status, HeaderFields fields, std::string body);
-    /// Begins an answer whose body follows by sendBody() and ends with finish().
+    /// Begins an answer; its body is sent with sendBody() and ended with finish().
     void beginAnswer(int status, const std::string &reason, HeaderFields fields, AnswerFraming framing);
     void sendBody(std::string_view bytes);
     void finish();
-    /// Cuts the connection.
+    /// Closes the connection without finishing the answer.
     void abort();
 
-    /// Called once if the other end goes away before its answer has ended.
+    /// Sets a callback that is called once if the other end closes the connection before the answer has ended.
     void onPeerClosed(std::function<void()> callback);
-    /// Called each time that everything handed over has been written.
+    /// Sets a callback that is called whenever all pending bytes of the answer have been written.
     void onDrained(std::function<void()> callback);
-    /// Bytes that were handed over and are not written yet.
+    /// Returns the number of bytes that are queued and not yet written.
     std::size_t pendingBytes() const;
 
     /// Closes the connection if no request is being read or answered.
@@ -112,10 +112,10 @@
     std::unique_ptr<State> m_state;
     std::function<void()> m_onPeerClosed;
     std::function<void()> m_onDrained;
-    bool m_isAnswering = false; ///< A request was handed over and its answer has not ended.
-    bool m_isChunked = false; ///< Framing of the answer under way.
-    bool m_isReading = false; ///< Some of a request has come.
-    bool m_isRejected = false; ///< A refusal was sent before the request was read whole; what still comes of it is ignored.
+    bool m_isAnswering = false; ///< A request was passed to the handler or rejected, and its answer has not ended.
+    bool m_isChunked = false; ///< Framing of the current answer.
+    bool m_isReading = false; ///< A request is being read.
+    bool m_isRejected = false; ///< An error was sent before the request was complete; the rest of the request is ignored.
     bool m_closeAfterAnswer = false;
     bool m_isClosed = false; ///< Once true, nothing is read or written any more.
 };
--- a/Libraries/LibHttp/SocketOptions.cpp
+++ b/Libraries/LibHttp/SocketOptions.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the options of connections.
+/// @file Implementation of the socket options.
 
 #include "LibHttp/SocketOptions.h"
 
@@ -9,13 +9,13 @@
 
 namespace {
 
-constexpr int UserTimeoutMilliseconds = 3000; ///< Unacknowledged data for so long: three times a slow link's round trip with its queue.
+constexpr int UserTimeoutMilliseconds = 3000; ///< Maximum age of unacknowledged data; three times the round trip of a slow link with a full queue.
 
 }
 
 void setStreamOptions(Socket &socket)
 {
-    boost::system::error_code ignored; // An option that cannot be set costs latency, not correctness.
+    boost::system::error_code ignored; // If the option cannot be set, latency suffers but not correctness.
     socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &UserTimeoutMilliseconds, sizeof(UserTimeoutMilliseconds));
 }
--- a/Libraries/LibHttp/SocketOptions.h
+++ b/Libraries/LibHttp/SocketOptions.h
@@ -1,4 +1,4 @@
-/// @file Options of every TCP connection that a process makes or accepts.
+/// @file Options of every TCP connection that a process opens or accepts.
 #pragma once
 
 #include "LibHttp/EventLoop.h"
@@ -6,10 +6,10 @@
 namespace Http {
 
 /**
- * Sends small writes at once and gives up on peers that acknowledge nothing.
+ * Sends small writes without delay and fails connections whose peer acknowledges nothing.
  *
- * A peer that has lost its power or its path answers nothing, and the system would go on sending for minutes. The user timeout turns that
- * silence into an error.
+ * If a peer loses its power or its network path, the operating system retransmits for minutes before it reports an error. The user timeout
+ * reports the error within a few seconds.
  */
 void setStreamOptions(Socket &socket);
 
--- a/Tests/LibHttp/TestClientCall.cpp
+++ b/Tests/LibHttp/TestClientCall.cpp
@@ -1,4 +1,4 @@
-/// @file When an answer counts as whole, and what is known of a request whose answer is not.
+/// @file Tests when an answer counts as complete, and what a call reports about its request otherwise.
 
 #include "../Support/LoopbackPeer.h"
 #include "LibHttp/ClientCall.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Makes a call to a server with the script and waits for its end.
+/// Makes a call to a server that runs the script and waits for the end of the call.
 struct Outcome
 {
     std::optional<Http::AnswerHead> m_head;
@@ -35,7 +35,7 @@
 
 }
 
-TEST_CASE("an answer is whole at its length, at its last chunk, or at a clean close")
+TEST_CASE("An answer is complete at its length, at its last chunk, or at a clean close")
 {
     const std::string answer = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfull",
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n0\r\n\r\n",
@@ -48,9 +48,9 @@
     CHECK(outcome.m_body == "full");
 }
 
-TEST_CASE("an answer that breaks off is not whole")
+TEST_CASE("A truncated answer is not complete")
 {
-    // An engine crashes in the middle. Taken for whole, half a draft would reach the analyst as a finished one.
+    // An engine crashes while it sends its answer. If the part counted as complete, the caller would take it for the full answer.
     const std::string answer = GENERATE("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nfull",
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfull\r\n",
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nfull");
@@ -62,7 +62,7 @@
     CHECK(outcome.m_end->m_wasSent);
 }
 
-TEST_CASE("an answer without a length that ends in a reset is not whole")
+TEST_CASE("An answer without a length that ends in a reset is not complete")
 {
     const Outcome outcome([](const std::shared_ptr<ScriptedConnection> &connection) {
         connection->send("HTTP/1.1 200 OK\r\n\r\nfull");
@@ -71,7 +71,7 @@
     CHECK_FALSE(outcome.m_end->m_isComplete);
 }
 
-TEST_CASE("bytes that are no answer are told apart from a connection that broke")
+TEST_CASE("Bytes that are not an HTTP answer are reported as Corrupt, and a closed connection as Ambiguous")
 {
     const Outcome garbage([](const std::shared_ptr<ScriptedConnection> &connection) { connection->send("\x01\x02garbage\r\n\r\n"); });
     CHECK(garbage.m_end->m_error.m_code == Core::ErrorCode::Corrupt);
@@ -80,7 +80,7 @@
     CHECK(broken.m_end->m_wasSent);
 }
 
-TEST_CASE("a peer that accepts and then says nothing is given up")
+TEST_CASE("A call to a peer that accepts the connection and sends nothing times out")
 {
     Http::ClientCallLimits limits;
     limits.m_headTimeout = Core::Duration(40);
@@ -89,7 +89,7 @@
     CHECK(outcome.m_end->m_wasSent);
 }
 
-TEST_CASE("a request to a port where nobody listens has surely not run")
+TEST_CASE("A request to a port without a listener fails with Unavailable")
 {
     Http::EventLoop loop;
     std::uint16_t port = 0;
--- a/Tests/LibHttp/TestHeaderFields.cpp
+++ b/Tests/LibHttp/TestHeaderFields.cpp
@@ -1,10 +1,10 @@
-/// @file Header fields and targets.
+/// @file Tests header fields and request targets.
 
 #include "LibHttp/HeaderFields.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("fields of one connection are not passed on")
+TEST_CASE("Fields of one connection are not passed on")
 {
     const Http::HeaderFields fields{{"Host", "a"},
                                     {"Connection", "close, X-Private"},
@@ -17,13 +17,13 @@
     CHECK(Http::endToEndFields(fields) == kept);
 }
 
-TEST_CASE("hosts are compared without case and port")
+TEST_CASE("Host names are reduced to lower case without a port")
 {
     CHECK(Http::hostName("Plans.Example:8080") == "plans.example");
     CHECK(Http::hostName(" plans.example ") == "plans.example");
 }
 
-TEST_CASE("queries are decoded, and bad ones are empty")
+TEST_CASE("Query values are decoded, and absent or invalid values are empty")
 {
     CHECK(Http::queryValue("/r?name=a%20b&zone=x", "name") == "a b");
     CHECK(Http::queryValue("/r?name=a&zone=x", "zone") == "x");
@@ -32,7 +32,7 @@
     CHECK(Http::pathOf("/a/b?c=/d/") == "/a/b");
 }
 
-TEST_CASE("numbers are whole and plain")
+TEST_CASE("Only decimal digits that fit into 64 bits are parsed as a number")
 {
     CHECK(Http::parseNumber("17") == 17);
     CHECK_FALSE(Http::parseNumber(""));
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -1,4 +1,4 @@
-/// @file What a server makes of requests that are slow, too large, ambiguous or malformed.
+/// @file Tests how the server handles requests that are slow, too large, ambiguous or malformed.
 
 #include "../Support/LoopbackPeer.h"
 #include "LibHttp/Listener.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A server that answers every request with its body, and remembers what came.
+/// A server that answers every request with its body and keeps the requests.
 struct EchoServer
 {
     Http::EventLoop m_loop;
@@ -41,7 +41,7 @@
 
 }
 
-TEST_CASE("requests on one connection are answered in order, also when they are sent together")
+TEST_CASE("Pipelined requests on one connection are handled in order")
 {
     EchoServer server;
     RawCaller caller(server.m_loop, server.m_listener->port());
@@ -51,7 +51,7 @@
     CHECK(server.m_requests[1].m_target == "/2");
 }
 
-TEST_CASE("a body in chunks comes whole, and nothing of it is taken for a request")
+TEST_CASE("A chunked body is read completely, and none of it is read as a request")
 {
     EchoServer server;
     RawCaller caller(server.m_loop, server.m_listener->port());
@@ -61,10 +61,10 @@
     CHECK(server.m_requests.size() == 1);
 }
 
-TEST_CASE("a request whose end can be read in two ways is refused and the connection closed")
+TEST_CASE("A request with ambiguous framing is rejected and none of its bytes are read as a request")
 {
-    // One server reads the length, the next one the chunks, and the rest of the body becomes a request that nobody sent: it would run under another
-    // caller's name.
+    // Guards against request smuggling: if one server uses the length and the next one the chunks, the rest of the body becomes a request that no
+    // caller sent, and it would run in the name of another caller.
     const std::string smuggled = GENERATE("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                                           "Content-Length: 4\r\nContent-Length: 5\r\n",
                                           "Transfer-Encoding: gzip\r\n",
@@ -79,7 +79,7 @@
     CHECK(server.m_requests.empty());
 }
 
-TEST_CASE("a request without one host, or with bare line feeds, is refused")
+TEST_CASE("A request without exactly one Host field, or with bare line feeds, is rejected")
 {
     EchoServer server;
     CHECK(server.statusOf("GET / HTTP/1.1\r\n\r\n") == "400");
@@ -88,7 +88,7 @@
     CHECK(server.m_requests.empty());
 }
 
-TEST_CASE("what is too large or too slow is refused with its own status")
+TEST_CASE("Requests that are too large or too slow are rejected with the matching status")
 {
     EchoServer server;
     server.m_context->m_limits.m_maximumHeaderBytes = 512;
@@ -99,7 +99,7 @@
     CHECK(server.statusOf("GET / HTTP/1.1\r\nHost:") == "408");
 }
 
-TEST_CASE("an answer whose source breaks off does not look complete")
+TEST_CASE("An aborted answer does not end like a complete one")
 {
     Http::EventLoop loop;
     const std::shared_ptr<Http::ServerContext> context = std::make_shared<Http::ServerContext>();
@@ -117,7 +117,7 @@
     CHECK(caller.received().find("0\r\n\r\n") == std::string::npos);
 }
 
-TEST_CASE("a caller that leaves before its answer is noticed")
+TEST_CASE("The server detects a caller that closes its connection before the answer")
 {
     Http::EventLoop loop;
     bool isGone = false;
