--- a/Libraries/LibWire/Call.h
+++ b/Libraries/LibWire/Call.h
@@ -1,4 +1,4 @@
-/// @file What callers and handlers of calls between processes see.
+/// @file Types for the callers and handlers of calls between processes.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -12,14 +12,14 @@
 
 namespace Wire {
 
-/// How far a call's request got. Only NotSent proves that the peer cannot have acted upon it.
+/// How far the request of a call got. Only NotSent guarantees that the peer has not acted on it.
 enum class Delivery {
-    NotSent, ///< No byte of the request was handed to the network.
-    Sent, ///< The request may have been acted upon.
-    Answered, ///< The peer ended the call itself, well or with an error.
+    NotSent, ///< No byte of the request was passed to the network.
+    Sent, ///< The peer may have acted on the request.
+    Answered, ///< The peer ended the call itself, with success or with an error.
 };
 
-/// The end of a call; every call has exactly one.
+/// How a call ended; every call ends exactly once.
 struct CallEnd
 {
     bool m_succeeded = false;
@@ -31,11 +31,11 @@
 
 struct CallOptions
 {
-    /// Time until the call ends with Timeout; carried to the peer. Zero means no limit (subscriptions).
+    /// Time until the call ends with Timeout; sent to the peer. Zero means no limit (subscriptions).
     Core::Duration m_timeout{5000};
 };
 
-/// Run on the node's thread: they must not block, and hand work to another duty through a ring.
+/// Callbacks of a call. They run on the node's thread and must not block; longer work is passed to another worker through a ring.
 struct CallEvents
 {
     std::function<void(std::string frame)> m_onFrame;
@@ -47,44 +47,44 @@
 class StreamOutput;
 
 /**
- * A handler's handle on the answer of one incoming call. Thread-safe and copyable; the answer may be sent from any thread.
+ * Sends the answer of one incoming call. Thread-safe and copyable; the answer may be sent from any thread.
  *
- * A call whose last handle goes away unfinished ends with an Internal error at the caller, so that no caller waits for good.
+ * If the last copy is destroyed before the answer is finished, the call ends with an Internal error at the caller, so that no caller waits forever.
  */
 class Responder
 {
 public:
     explicit Responder(std::shared_ptr<StreamOutput> output);
 
-    /// Queues one frame. False if the caller is gone or too far behind; nothing was queued then.
+    /// Queues one frame. Returns false and queues nothing if the call has ended or its backlog is full.
     bool send(std::string frame) const;
-    /// Ends the answer well.
+    /// Ends the answer with success.
     void finish() const;
-    /// Ends the answer with an error, which the caller sees as its own.
+    /// Ends the answer with an error, which becomes the error of the call at the caller.
     void fail(const Core::Error &error) const;
-    /// Sends the only frame and finishes.
+    /// Sends a single frame and finishes the answer.
     void reply(std::string frame) const;
 
-    /// True once the caller cancelled or its connection was lost.
+    /// Returns true once the caller has cancelled the call or its connection is lost.
     bool isCancelled() const;
-    /// Bytes queued and not yet handed to the network.
+    /// Returns the number of bytes that are queued and not yet passed to the network.
     std::size_t backlog() const;
 
 private:
     std::shared_ptr<StreamOutput> m_output;
 };
 
-/// A call as a handler receives it.
+/// An incoming call as passed to its handler.
 struct IncomingCall
 {
     std::string m_method;
     std::string m_body;
     std::string m_peer; ///< Address of the connection's other end, for errors and logs.
-    Core::Duration m_timeout{0}; ///< What was left of the caller's time when it sent the call; zero means no limit.
+    Core::Duration m_timeout{0}; ///< Time that the caller allowed when it sent the call; zero means no limit.
     Responder m_responder;
 };
 
-/// Runs on the node's thread; must not block.
+/// Handles an incoming call. Runs on the node's thread and must not block.
 using Handler = std::function<void(IncomingCall call)>;
 
 }
--- a/Libraries/LibWire/Connection.cpp
+++ b/Libraries/LibWire/Connection.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t ReadBytes = 64 << 10;
-constexpr int ReadsPerTurn = 4;
+constexpr int ReadsPerEvent = 4;
 constexpr std::int32_t StreamWindow = 1 << 20;
 constexpr std::int32_t ConnectionWindow = 16 << 20;
 constexpr std::size_t FrameHeaderBytes = 9;
@@ -39,7 +39,7 @@
     return Core::Duration(std::stol(text));
 }
 
-Core::Error lost(const std::string &peer, const std::string &detail)
+Core::Error makeLostError(const std::string &peer, const std::string &detail)
 {
     return Core::makeError(Core::ErrorCode::Ambiguous, "await answer", peer, detail);
 }
@@ -235,15 +235,15 @@
 void Connection::onReadable()
 {
     std::array<char, ReadBytes> buffer;
-    for (int turn = 0; turn < ReadsPerTurn && !m_dead; ++turn) {
+    for (int reads = 0; reads < ReadsPerEvent && !m_dead; ++reads) {
         const ssize_t bytes = ::recv(descriptor(), buffer.data(), buffer.size(), MSG_DONTWAIT);
         if (bytes < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR)) {
             break;
         }
         if (bytes <= 0) {
             const std::string detail = bytes == 0 ? "the peer closed the connection" : std::generic_category().message(errno);
-            const bool neverOpen = m_state != State::Open;
-            shutDown(neverOpen ? Core::makeError(Core::ErrorCode::Unavailable, "connect", m_peerName, detail) : lost(m_peerName, detail));
+            const bool wasNeverOpen = m_state != State::Open;
+            shutDown(wasNeverOpen ? Core::makeError(Core::ErrorCode::Unavailable, "connect", m_peerName, detail) : makeLostError(m_peerName, detail));
             return;
         }
         m_lastReceived = Core::Clock::now();
@@ -315,13 +315,13 @@
             return;
         }
         if (sent < 0) {
-            shutDown(lost(m_peerName, std::generic_category().message(errno)));
+            shutDown(makeLostError(m_peerName, std::generic_category().message(errno)));
             return;
         }
         m_unsent.erase(0, static_cast<std::size_t>(sent));
     }
     if (m_session && !nghttp2_session_want_read(m_session) && !nghttp2_session_want_write(m_session)) {
-        shutDown(lost(m_peerName, "the HTTP/2 session ended"));
+        shutDown(makeLostError(m_peerName, "the HTTP/2 session ended"));
     }
 }
 
@@ -350,7 +350,7 @@
         return;
     }
     if (now - m_lastReceived > m_host.m_limits.m_silenceTimeout && m_lastPing > m_lastReceived) {
-        shutDown(lost(m_peerName, "the connection went silent"));
+        shutDown(makeLostError(m_peerName, "the connection went silent"));
         return;
     }
     if (now - m_lastReceived >= m_host.m_limits.m_heartbeatInterval && now - m_lastPing >= m_host.m_limits.m_heartbeatInterval) {
@@ -471,9 +471,9 @@
     const Core::Result<void> fed = found->second.m_decoder.feed(std::string_view(reinterpret_cast<const char *>(data), length), frames);
     self.onFrames(streamId, frames);
     if (!fed) {
-        const std::unordered_map<std::int32_t, Stream>::iterator still = self.m_streams.find(streamId);
-        if (still != self.m_streams.end()) {
-            self.endCall(still->second, CallEnd{false, Delivery::Sent, fed.error()});
+        const std::unordered_map<std::int32_t, Stream>::iterator remaining = self.m_streams.find(streamId);
+        if (remaining != self.m_streams.end()) {
+            self.endCall(remaining->second, CallEnd{false, Delivery::Sent, fed.error()});
         }
         nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, streamId, NGHTTP2_PROTOCOL_ERROR);
     }
@@ -510,7 +510,7 @@
     }
     const bool refused = code == NGHTTP2_REFUSED_STREAM;
     const Core::Error error = refused ? Core::makeError(Core::ErrorCode::Overloaded, "start call", self.m_peerName, "the peer has too many calls")
-                                      : lost(self.m_peerName, "the stream closed before its end: " + std::string(nghttp2_http2_strerror(code)));
+                                      : makeLostError(self.m_peerName, "the stream closed before its end: " + std::string(nghttp2_http2_strerror(code)));
     self.endCall(found->second, CallEnd{false, refused ? Delivery::Answered : Delivery::Sent, error});
     self.m_streams.erase(streamId);
     return 0;
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -1,4 +1,4 @@
-/// @file One HTTP/2 connection between two processes. Belongs to a node and is used on the node's thread only.
+/// @file One HTTP/2 connection between two processes. Owned by a node and used on the node's thread only.
 #pragma once
 
 #include "LibNetwork/Dialer.h"
@@ -19,26 +19,26 @@
 
 namespace Wire {
 
-/// Bounds on what a connection accepts and keeps.
+/// Limits on the sizes and times of a connection.
 struct ConnectionLimits
 {
-    std::size_t m_maximumMessageBytes = 8 << 20; ///< Bytes of one message.
-    std::size_t m_maximumBacklogBytes = 16 << 20; ///< Bytes waiting to go out on one stream.
-    std::uint32_t m_maximumStreams = 4096; ///< Concurrent incoming calls.
-    Core::Duration m_dialTimeout{2000};
-    Core::Duration m_heartbeatInterval{1000}; ///< A ping goes out when nothing arrived for this long.
-    Core::Duration m_silenceTimeout{3500}; ///< A connection on which nothing arrived for this long is dead.
+    std::size_t m_maximumMessageBytes = 8 << 20; ///< Maximum size of one message in bytes.
+    std::size_t m_maximumBacklogBytes = 16 << 20; ///< Maximum number of bytes queued on one stream.
+    std::uint32_t m_maximumStreams = 4096; ///< Maximum number of concurrent incoming calls.
+    Core::Duration m_dialTimeout{2000}; ///< Until the connection is open, including the gateway's answer.
+    Core::Duration m_heartbeatInterval{1000}; ///< A ping is sent when nothing has arrived for this long.
+    Core::Duration m_silenceTimeout{3500}; ///< A connection on which nothing has arrived for this long is dead.
 };
 
 using ConnectionId = std::uint64_t;
 
-/// What a connection needs from its node.
+/// Limits, counters and callbacks that a connection gets from its node.
 struct ConnectionHost
 {
     ConnectionLimits m_limits;
     Traffic *m_traffic = nullptr;
     std::function<const Handler *(const std::string &method)> m_findHandler;
-    /// Marks a stream as having something to send; callable from any thread.
+    /// Marks a stream as having data to send; may be called from any thread.
     std::function<void(ConnectionId connection, std::int32_t stream)> m_markDirty;
     std::function<void(CallId call)> m_onCallEnded;
 };
@@ -46,24 +46,24 @@
 /**
  * HTTP/2 session, streams and heartbeat of one socket.
  *
- * A connection can go silent for good while new ones work, because something between the ends has lost track of it.
- * The socket then stays open and reports nothing, so the only sign is that no byte arrives. Therefore every connection
- * with open streams is pinged, and counts as dead when nothing at all arrived for the silence limit; its calls then end
- * with Ambiguous, and the next call dials anew.
+ * A device between the two ends can lose the state of a connection. No data passes on it any more, although new connections work and the socket
+ * stays open without an error. Therefore every connection with open streams is pinged, and it is dead when nothing has arrived within the silence
+ * timeout. Its calls then end with Ambiguous, and the next call opens a new connection.
  */
 class Connection
 {
 public:
-    /// An outgoing connection whose dialing has begun.
+    /// Creates an outgoing connection whose dialing has begun.
     static std::unique_ptr<Connection>
     createOutgoing(ConnectionId id, Poco::Net::StreamSocket socket, const Core::Address &peer, bool throughGateway, ConnectionHost &host);
-    /// An accepted connection.
+    /// Creates the server side of an accepted connection.
     static std::unique_ptr<Connection> createAccepted(ConnectionId id, Poco::Net::StreamSocket socket, ConnectionHost &host);
     ~Connection();
 
     Connection(const Connection &) = delete;
     Connection &operator=(const Connection &) = delete;
 
+    /// An outgoing call.
     struct NewCall
     {
         CallId m_id = 0;
@@ -72,22 +72,22 @@
         CallOptions m_options;
         CallEvents m_events;
     };
-    /// Starts a call, or keeps it until the connection is open.
+    /// Starts a call, or queues it until the connection is open.
     void startCall(NewCall call);
-    /// Ends a call before its answer is complete.
+    /// Ends a call with @p reason before its answer is complete.
     void abandonCall(CallId call, const Core::Error &reason);
-    /// Continues a stream whose output was empty.
+    /// Continues sending on a stream whose output was empty.
     void resumeStream(std::int32_t stream);
 
-    /// The socket is readable or writable.
+    /// Handles a socket that has become readable or writable.
     void onReadable();
     void onWritable();
-    /// Looks after the heartbeat and the dial timeout.
+    /// Checks the dial timeout and the silence timeout and sends due pings. Called periodically.
     void onTick(Core::Instant now);
-    /// Hands pending bytes to the socket.
+    /// Writes pending bytes to the socket.
     void flush();
 
-    /// Ends every call and stream with the given error.
+    /// Closes the connection and ends every call and stream with the given error.
     void shutDown(const Core::Error &reason);
 
     bool isDead() const
@@ -121,7 +121,7 @@
         std::string m_method;
         Core::Duration m_timeout{0};
         std::optional<NewCall> m_call; ///< Set on the calling side, until the call has ended.
-        bool m_dispatched = false; ///< On the answering side: the handler has been called.
+        bool m_dispatched = false; ///< On the answering side: whether the handler has been called.
     };
 
     Connection(ConnectionId id, Poco::Net::StreamSocket socket, Core::Address peer, State state, bool throughGateway, ConnectionHost &host);
@@ -154,8 +154,8 @@
     nghttp2_session *m_session = nullptr; ///< Null until the connection is open.
     std::unordered_map<std::int32_t, Stream> m_streams;
     std::unordered_map<CallId, std::int32_t> m_callStreams; ///< Streams whose m_call is set.
-    std::vector<NewCall> m_waiting; ///< Calls that were made before the connection opened.
-    std::string m_unsent; ///< Bytes that the socket did not take.
+    std::vector<NewCall> m_waiting; ///< Calls that were started before the connection opened.
+    std::string m_unsent; ///< Bytes that the socket has not accepted yet.
     std::string m_gatewayAnswer;
     Core::Instant m_created;
     Core::Instant m_lastReceived;
--- a/Libraries/LibWire/Frame.h
+++ b/Libraries/LibWire/Frame.h
@@ -1,4 +1,4 @@
-/// @file Frames inside a stream: a kind, a length and a payload. The end of an answer is a frame of its own, so that a cut never looks like an end.
+/// @file Frames in a stream: a kind, a length and a payload. An end frame marks a complete answer, so that a truncated one is detected.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -24,26 +24,26 @@
     bool operator==(const Frame &) const = default;
 };
 
-/// Kind (1 byte), payload length (4 bytes, big endian), payload.
+/// Encodes a frame: kind (1 byte), payload length (4 bytes, big endian), payload.
 std::string encodeFrame(FrameKind kind, std::string_view payload);
 
-/// Cuts a stream of bytes into frames.
+/// Splits a stream of bytes into frames.
 class FrameDecoder
 {
 public:
     explicit FrameDecoder(std::size_t maximumPayload);
 
-    /// Appends the frames that @p bytes complete. Fails with Corrupt on an unknown kind or a payload over the limit.
+    /// Appends the frames that @p bytes complete to @p frames. Fails with Corrupt on an unknown kind or a payload over the limit.
     Core::Result<void> feed(std::string_view bytes, std::vector<Frame> &frames);
 
 private:
     std::size_t m_maximumPayload;
-    std::string m_partial; ///< Start of a frame that is not complete yet.
+    std::string m_partial; ///< The received part of an incomplete frame.
 };
 
-/// MessagePack form of an error in an Error frame.
+/// Encodes an error as MessagePack for an Error frame.
 std::string encodeError(const Core::Error &error);
-/// The error that the peer sent; a malformed one is reported as Corrupt.
+/// Decodes the error that the peer sent; a malformed one becomes a Corrupt error.
 Core::Error decodeError(std::string_view payload, const std::string &peer);
 
 }
--- a/Libraries/LibWire/Node.cpp
+++ b/Libraries/LibWire/Node.cpp
@@ -16,12 +16,12 @@
 constexpr ConnectionId ListenerId = 0;
 constexpr ConnectionId WakeId = 1;
 constexpr ConnectionId FirstConnectionId = 2;
-constexpr int EventsPerTurn = 256;
-constexpr int AcceptsPerTurn = 64;
+constexpr int EventsPerIteration = 256;
+constexpr int AcceptsPerIteration = 64;
 constexpr int ListenBacklog = 512;
 constexpr Core::Duration TickInterval{100};
 
-Core::Error stopped()
+Core::Error makeStoppingError()
 {
     return Core::makeError(Core::ErrorCode::Cancelled, "call", "", "the node is stopping");
 }
@@ -114,8 +114,9 @@
     Command command{peer, Connection::NewCall{id, std::move(method), std::move(body), options, std::move(events)}, 0};
     if (!m_commands.tryPush(std::move(command))) {
         m_callsRefused.add();
-        const Core::Error error =
-            m_commands.isClosed() ? stopped() : Core::makeError(Core::ErrorCode::Overloaded, "start call", peer.toString(), "too many calls are waiting");
+        const Core::Error error = m_commands.isClosed()
+            ? makeStoppingError()
+            : Core::makeError(Core::ErrorCode::Overloaded, "start call", peer.toString(), "too many calls are waiting");
         onEnd(CallEnd{false, Delivery::NotSent, error});
         return id;
     }
@@ -127,7 +128,7 @@
 {
     Command command;
     command.m_cancelled = call;
-    // A refused cancellation does no harm: the call's own deadline ends it later.
+    // If the ring is full, the cancellation is dropped and the call ends at its own deadline.
     if (m_commands.tryPush(std::move(command))) {
         wake();
     }
@@ -155,11 +156,11 @@
 
 void Node::run()
 {
-    std::array<epoll_event, EventsPerTurn> events;
+    std::array<epoll_event, EventsPerIteration> events;
     m_nextTick = Core::Clock::now() + TickInterval;
     while (m_running) {
         const std::int64_t wait = std::chrono::ceil<Core::Duration>(m_nextTick - Core::Clock::now()).count();
-        const int count = ::epoll_wait(m_epoll, events.data(), EventsPerTurn, static_cast<int>(std::max<std::int64_t>(wait, 0)));
+        const int count = ::epoll_wait(m_epoll, events.data(), EventsPerIteration, static_cast<int>(std::max<std::int64_t>(wait, 0)));
         for (int index = 0; index < count; ++index) {
             const epoll_event &event = events.at(static_cast<std::size_t>(index));
             if (event.data.u64 == ListenerId) {
@@ -243,8 +244,8 @@
             continue;
         }
         found->second->resumeStream(dirty[index].second);
-        const bool lastOfConnection = index + 1 == dirty.size() || dirty[index + 1].first != dirty[index].first;
-        if (lastOfConnection) {
+        const bool isLastOfConnection = index + 1 == dirty.size() || dirty[index + 1].first != dirty[index].first;
+        if (isLastOfConnection) {
             found->second->flush();
             updateWriteInterest(*found->second);
         }
@@ -253,7 +254,7 @@
 
 void Node::acceptConnections()
 {
-    for (int turn = 0; turn < AcceptsPerTurn; ++turn) {
+    for (int accepts = 0; accepts < AcceptsPerIteration; ++accepts) {
         try {
             Poco::Net::StreamSocket socket = m_listener->acceptConnection();
             if (m_connections.size() >= m_settings.m_maximumConnections) {
@@ -269,7 +270,7 @@
             added.flush();
             updateWriteInterest(added);
         } catch (const Poco::Exception &) {
-            // Nothing more to accept, or the connection died while it waited.
+            // No more connections are waiting, or the connection closed before it was accepted.
             return;
         }
     }
@@ -389,11 +390,11 @@
 {
     while (std::optional<Command> command = m_commands.pop(Core::Duration(0))) {
         if (command->m_peer) {
-            command->m_call.m_events.m_onEnd(CallEnd{false, Delivery::NotSent, stopped()});
+            command->m_call.m_events.m_onEnd(CallEnd{false, Delivery::NotSent, makeStoppingError()});
         }
     }
     for (std::pair<const ConnectionId, std::unique_ptr<Connection>> &entry : m_connections) {
-        entry.second->shutDown(stopped());
+        entry.second->shutDown(makeStoppingError());
     }
     m_connections.clear();
 }
--- a/Libraries/LibWire/Node.h
+++ b/Libraries/LibWire/Node.h
@@ -1,4 +1,4 @@
-/// @file A process's end of all its connections to other processes of the system.
+/// @file Manages all connections of a process to other processes of the system.
 #pragma once
 
 #include "LibCore/Ring.h"
@@ -18,12 +18,12 @@
 
 struct NodeSettings
 {
-    std::optional<Core::Address> m_listen; ///< Absent for a process that only calls.
+    std::optional<Core::Address> m_listen; ///< Absent for a process that only makes calls.
     Network::NetworkSettings m_network;
     ConnectionLimits m_limits;
     std::size_t m_maximumConnections = 4096;
-    std::size_t m_commandCapacity = 1 << 16; ///< Calls and cancellations waiting for the node's thread.
-    Core::Duration m_idleTimeout{60000}; ///< An outgoing connection without calls is closed after this.
+    std::size_t m_commandCapacity = 1 << 16; ///< Maximum number of calls and cancellations that wait for the node's thread.
+    Core::Duration m_idleTimeout{60000}; ///< A connection without calls is closed after this time.
 };
 
 /**
@@ -48,20 +48,20 @@
     /// Ends every call with Cancelled, closes every connection and joins the thread.
     void stop();
 
-    /// Starts a call; every call gets exactly one m_onEnd, which may come on this thread if the node is overloaded or stopped.
+    /// Starts a call. m_onEnd is called exactly once for every call, on the calling thread if the node is overloaded or stopped.
     CallId call(const Core::Address &peer, std::string method, std::string body, CallOptions options, CallEvents events);
     /// Ends a call early: its m_onEnd reports Cancelled, and the peer's responder sees the cancellation.
     void cancel(CallId call);
 
-    /// Makes a call whose answer is one frame and waits for it. Not from the node's thread.
+    /// Makes a call with a single answer frame and waits for it. Must not be called on the node's thread.
     Core::Result<std::string> request(const Core::Address &peer, std::string method, std::string body, Core::Duration timeout);
 
 private:
     struct Command
     {
-        std::optional<Core::Address> m_peer; ///< Set for a new call.
+        std::optional<Core::Address> m_peer; ///< Set if the command starts a call.
         Connection::NewCall m_call;
-        CallId m_cancelled = 0;
+        CallId m_cancelled = 0; ///< The call to cancel; 0 if the command starts a call.
     };
 
     struct OpenCall
@@ -98,9 +98,9 @@
     std::atomic<bool> m_wakeRequested = false;
 
     std::mutex m_dirtyMutex;
-    std::vector<std::pair<ConnectionId, std::int32_t>> m_dirty; ///< Streams with new output; bounded by the open streams' pushes between two turns.
+    std::vector<std::pair<ConnectionId, std::int32_t>> m_dirty; ///< Streams with new output; bounded by the pushes between two iterations of the loop.
 
-    // From here on, used by the node's thread only.
+    // The members below are used by the node's thread only.
     int m_epoll = -1;
     int m_wakeDescriptor = -1;
     std::optional<Poco::Net::ServerSocket> m_listener;
@@ -109,7 +109,7 @@
     std::unordered_map<ConnectionId, bool> m_writeInterest;
     std::map<Core::Address, ConnectionId> m_outgoing; ///< The connection that new calls to a peer use.
     std::unordered_map<CallId, OpenCall> m_calls;
-    std::multimap<Core::Instant, CallId> m_deadlines; ///< May name calls that have ended.
+    std::multimap<Core::Instant, CallId> m_deadlines; ///< May contain calls that have ended.
     std::unordered_map<ConnectionId, Core::Instant> m_idleSince;
     Core::Instant m_nextTick;
     std::thread m_thread;
--- a/Libraries/LibWire/Pack.h
+++ b/Libraries/LibWire/Pack.h
@@ -9,7 +9,7 @@
 
 namespace Wire {
 
-/// Bounds on a message from another process, checked before memory is taken for it.
+/// Limits on a message from another process, checked before memory is allocated for it.
 inline constexpr std::size_t MaximumNesting = 16;
 inline constexpr std::size_t MaximumItems = 1 << 18;
 
@@ -22,7 +22,7 @@
     return std::string(buffer.data(), buffer.size());
 }
 
-/// Decodes; unknown fields are skipped and missing ones keep their defaults. Fails with Corrupt.
+/// Decodes a value. Unknown fields are skipped, and missing fields keep their defaults. Fails with Corrupt.
 template <typename T>
 Core::Result<T> unpack(std::string_view bytes, const std::string &peer)
 {
--- a/Libraries/LibWire/StreamOutput.cpp
+++ b/Libraries/LibWire/StreamOutput.cpp
@@ -97,8 +97,8 @@
 
 namespace {
 
-/// Ends a stream that its handler let go of without an answer.
-std::shared_ptr<StreamOutput> guarded(std::shared_ptr<StreamOutput> output)
+/// Wraps an output so that it ends with an error if the last reference is dropped before it is finished.
+std::shared_ptr<StreamOutput> withFinishGuard(std::shared_ptr<StreamOutput> output)
 {
     StreamOutput *raw = output.get();
     return std::shared_ptr<StreamOutput>(raw, [output](StreamOutput *) {
@@ -111,7 +111,7 @@
 }
 
 Responder::Responder(std::shared_ptr<StreamOutput> output)
-    : m_output(guarded(std::move(output)))
+    : m_output(withFinishGuard(std::move(output)))
 {
 }
 
--- a/Libraries/LibWire/StreamOutput.h
+++ b/Libraries/LibWire/StreamOutput.h
@@ -1,4 +1,4 @@
-/// @file The bytes that wait to go out on one stream, shared between the threads that answer and the node's thread.
+/// @file The queue of outgoing bytes of one stream, shared between the answering threads and the node's thread.
 #pragma once
 
 #include "LibWire/Frame.h"
@@ -11,18 +11,18 @@
 
 namespace Wire {
 
-/// Outgoing side of one HTTP/2 stream. Thread-safe.
+/// Outgoing queue of one HTTP/2 stream. Thread-safe.
 class StreamOutput
 {
 public:
-    /// @p wake is called, on any thread, whenever there is something new to send.
+    /// @p wake is called on the pushing thread whenever there is new data to send.
     StreamOutput(std::size_t maximumBacklog, std::function<void()> wake);
 
-    /// False if the stream is closed or finished, or its backlog would exceed the limit.
+    /// Queues a frame. Returns false if the stream is closed or finished, or if the backlog would exceed its limit.
     bool push(FrameKind kind, std::string_view payload);
-    /// Queues the last frame, regardless of the backlog; later frames are refused.
+    /// Queues the last frame regardless of the backlog; later frames are rejected.
     void finish(FrameKind kind, std::string_view payload);
-    /// Drops what is queued; called when the stream has ended.
+    /// Drops the queued frames. Called when the stream has ended.
     void close();
 
     bool isClosed() const;
@@ -33,9 +33,9 @@
     struct TakeResult
     {
         std::size_t m_bytes = 0;
-        bool m_isLast = false; ///< Everything up to the end frame has been taken.
+        bool m_isLast = false; ///< All data including the last frame has been taken.
     };
-    /// Moves up to @p length bytes into @p buffer.
+    /// Moves up to @p length bytes from the queue into @p buffer.
     TakeResult take(char *buffer, std::size_t length);
 
 private:
@@ -43,10 +43,10 @@
     const std::function<void()> m_wake;
     mutable std::mutex m_mutex;
     std::deque<std::string> m_frames;
-    std::size_t m_firstFrameOffset = 0; ///< Bytes of the first frame that were taken; less than its size.
+    std::size_t m_firstFrameOffset = 0; ///< Bytes of the first frame that have been taken; less than its size.
     std::size_t m_backlog = 0; ///< Sum of the frames' sizes less m_headOffset.
-    bool m_finished = false; ///< The end frame is queued or taken.
-    bool m_closed = false; ///< The stream is gone; m_frames is empty.
+    bool m_finished = false; ///< The last frame is queued or taken.
+    bool m_closed = false; ///< The stream has ended; m_frames is empty.
 };
 
 }
--- a/Libraries/LibWire/Traffic.cpp
+++ b/Libraries/LibWire/Traffic.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of traffic accounting.
+/// @file Implementation of the traffic counters.
 
 #include "LibWire/Traffic.h"
 
--- a/Libraries/LibWire/Traffic.h
+++ b/Libraries/LibWire/Traffic.h
@@ -1,4 +1,4 @@
-/// @file Counting of bytes and messages by what they are for.
+/// @file Counters of bytes and HTTP/2 frames by purpose.
 #pragma once
 
 #include "LibTelemetry/Metrics.h"
@@ -8,11 +8,11 @@
 
 namespace Wire {
 
-/// What a call is for; taken from the part of its method before the first dot.
+/// The purpose of a call, derived from the part of its method before the first dot.
 enum class Purpose {
-    Control, ///< Configuration, membership, reports, claims; also what the connection itself needs.
+    Control, ///< Configuration, membership, reports and claims; also the frames of the connection itself.
     Transfer, ///< Weights between instances.
-    Live, ///< Callers' requests and answers.
+    Live, ///< Requests of callers and their answers.
 };
 
 inline constexpr std::size_t PurposeCount = 3;
@@ -20,7 +20,7 @@
 Purpose purposeOf(std::string_view method);
 std::string_view purposeName(Purpose purpose);
 
-/// Counters of one node, kept in the process's metrics.
+/// Traffic counters of one node, registered in the metrics of the process.
 class Traffic
 {
 public:
--- a/Tests/LibWire/TestNode.cpp
+++ b/Tests/LibWire/TestNode.cpp
@@ -1,4 +1,4 @@
-/// @file Calls between two nodes: answers, errors, cancellation, loss and silence.
+/// @file Tests calls between two nodes: answers, errors, cancellation, and lost or silent connections.
 
 #include "LibNetwork/Listener.h"
 #include "LibWire/Node.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-struct Pair
+/// A server node and a client node.
+struct NodePair
 {
     Telemetry::Metrics m_serverMetrics;
     Telemetry::Metrics m_clientMetrics;
@@ -17,7 +18,7 @@
     std::unique_ptr<Wire::Node> m_server;
     std::unique_ptr<Wire::Node> m_client;
 
-    Pair()
+    NodePair()
     {
         Wire::NodeSettings serverSettings;
         serverSettings.m_listen = m_address;
@@ -41,9 +42,9 @@
 
 }
 
-TEST_CASE("a call is answered, and large bodies arrive whole")
+TEST_CASE("A call is answered, and large bodies arrive complete")
 {
-    Pair pair;
+    NodePair pair;
     pair.m_server->handle("live.echo", [](const Wire::IncomingCall &call) { call.m_responder.reply(call.m_body + "!"); });
     REQUIRE(pair.m_server->start());
     const std::string body(3 << 20, 'x');
@@ -53,33 +54,33 @@
     REQUIRE(pair.m_clientMetrics.counter("wire_bytes_sent_total{purpose=\"live\"}").value() > body.size());
 }
 
-TEST_CASE("an error names the step and the peer, and a missing method is an error")
+TEST_CASE("An error contains the step and the peer, and a missing method or a missing answer is an error")
 {
-    Pair pair;
+    NodePair pair;
     pair.m_server->handle(
         "control.no", [](const Wire::IncomingCall &call) { call.m_responder.fail(Core::makeError(Core::ErrorCode::Conflict, "accept change", "", "stale")); });
-    pair.m_server->handle("control.forgetful", [](const Wire::IncomingCall &) {});
+    pair.m_server->handle("control.unanswered", [](const Wire::IncomingCall &) {});
     REQUIRE(pair.m_server->start());
     const Core::Result<std::string> conflict = pair.m_client->request(pair.m_address, "control.no", "", Core::Duration(5000));
     REQUIRE_FALSE(conflict);
     REQUIRE(conflict.error() == Core::makeError(Core::ErrorCode::Conflict, "accept change", pair.m_address.toString(), "stale"));
     REQUIRE(pair.m_client->request(pair.m_address, "control.none", "", Core::Duration(5000)).error().m_code == Core::ErrorCode::NotFound);
-    REQUIRE(pair.m_client->request(pair.m_address, "control.forgetful", "", Core::Duration(5000)).error().m_code == Core::ErrorCode::Internal);
+    REQUIRE(pair.m_client->request(pair.m_address, "control.unanswered", "", Core::Duration(5000)).error().m_code == Core::ErrorCode::Internal);
 }
 
-TEST_CASE("a call to nobody ends as not sent")
+TEST_CASE("A call to an address without a listener ends as not sent")
 {
-    // The peer's instance is gone and its address refuses connections. The caller may try elsewhere without doubt.
-    Pair pair;
+    // The peer's instance no longer exists and its address refuses connections. The request cannot have run, so the caller may safely try another peer.
+    NodePair pair;
     const Wire::CallEnd end = callAndWait(*pair.m_client, Network::freeLoopbackAddress(), "live.echo", Core::Duration(5000));
     REQUIRE_FALSE(end.m_succeeded);
     REQUIRE(end.m_delivery == Wire::Delivery::NotSent);
     REQUIRE(end.m_error.m_code == Core::ErrorCode::Unavailable);
 }
 
-TEST_CASE("a call that times out reaches the handler as cancelled")
+TEST_CASE("A call that times out is cancelled at its handler")
 {
-    Pair pair;
+    NodePair pair;
     std::promise<Wire::Responder> received;
     pair.m_server->handle("live.slow", [&received](const Wire::IncomingCall &call) { received.set_value(call.m_responder); });
     REQUIRE(pair.m_server->start());
@@ -93,11 +94,11 @@
     REQUIRE_FALSE(responder.send("late"));
 }
 
-TEST_CASE("a silent connection is given up although its socket stays open")
+TEST_CASE("A call on a silent connection ends although the socket stays open")
 {
-    // Something between the two ends has lost track of the connection: the socket is established and nothing ever comes back.
-    // Without the heartbeat a caller without a deadline would wait for good.
-    Pair pair;
+    // A device between the two ends has lost the state of the connection: the socket is established, and no data ever arrives.
+    // Without the heartbeat a call without a deadline would wait forever.
+    NodePair pair;
     Poco::Net::ServerSocket silent(Poco::Net::SocketAddress("127.0.0.1", 0));
     const Core::Address address{"127.0.0.1", silent.address().port()};
     const Wire::CallEnd end = callAndWait(*pair.m_client, address, "control.state", Core::Duration(0));
@@ -106,9 +107,9 @@
     REQUIRE(end.m_error.m_detail == "the connection went silent");
 }
 
-TEST_CASE("every call in flight ends when the peer stops")
+TEST_CASE("A call in flight ends when the peer stops")
 {
-    Pair pair;
+    NodePair pair;
     std::promise<Wire::Responder> received;
     pair.m_server->handle("live.slow", [&received](const Wire::IncomingCall &call) { received.set_value(call.m_responder); });
     REQUIRE(pair.m_server->start());
