--- a/Libraries/LibLoad/AnswerCheck.cpp
+++ b/Libraries/LibLoad/AnswerCheck.cpp
@@ -21,7 +21,7 @@
 
 }
 
-Outcome outcomeOfCode(const std::string &code)
+Outcome outcomeFromErrorCode(const std::string &code)
 {
     if (code == "not-run") {
         return Outcome::NotRun;
@@ -53,7 +53,7 @@
     const Poco::JSON::Object &object = *parsed.value();
     if (object.has("error")) {
         const std::string code = errorField(object, "code");
-        fail(outcomeOfCode(code), code, errorField(object, "detail"));
+        fail(outcomeFromErrorCode(code), code, errorField(object, "detail"));
         return false;
     }
     if (!m_hasHead) {
@@ -144,7 +144,7 @@
     if (observation.m_code.empty()) {
         observation.m_code = "status-" + std::to_string(status);
     }
-    observation.m_outcome = outcomeOfCode(observation.m_code);
+    observation.m_outcome = outcomeFromErrorCode(observation.m_code);
     const bool saysNotRun = status == StatusTooMany || status == StatusUnavailable;
     if (observation.m_outcome == Outcome::NotRun && !saysNotRun) {
         observation.m_outcome = Outcome::Wrong;
@@ -156,10 +156,10 @@
     }
 }
 
-bool VersionWitness::agrees(const std::string &digest, const std::string &weights)
+bool VersionConsistencyChecker::recordAndCheck(const std::string &digest, const std::string &weights)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_weightsOf.emplace(digest, weights).first->second == weights;
+    return m_weightsByDigest.emplace(digest, weights).first->second == weights;
 }
 
 }
--- a/Libraries/LibLoad/AnswerCheck.h
+++ b/Libraries/LibLoad/AnswerCheck.h
@@ -52,18 +52,18 @@
 void readErrorAnswer(int status, const std::string &body, Observation &observation);
 
 /// Outcome that a caller draws from an error code.
-Outcome outcomeOfCode(const std::string &code);
+Outcome outcomeFromErrorCode(const std::string &code);
 
 /// Remembers which weights made the answers of each version: two kinds of weights under one digest mean a mixed version. Thread-safe.
-class VersionWitness
+class VersionConsistencyChecker
 {
 public:
     /// False if the digest was seen with other weights before.
-    bool agrees(const std::string &digest, const std::string &weights);
+    bool recordAndCheck(const std::string &digest, const std::string &weights);
 
 private:
     std::mutex m_mutex;
-    std::map<std::string, std::string> m_weightsOf;
+    std::map<std::string, std::string> m_weightsByDigest;
 };
 
 }
--- a/Libraries/LibLoad/Caller.h
+++ b/Libraries/LibLoad/Caller.h
@@ -1,8 +1,8 @@
 /// @file One caller: keeps the addresses of entries and performs requests at them, one after another.
 #pragma once
 
-#include "LibLoad/AddressBook.h"
 #include "LibLoad/AnswerCheck.h"
+#include "LibLoad/EntryAddressCache.h"
 #include "LibLoad/Request.h"
 #include "LibNetwork/NetworkSettings.h"
 
@@ -30,14 +30,14 @@
 class Caller
 {
 public:
-    Caller(CallerSettings settings, std::uint64_t seed, VersionWitness &witness);
+    Caller(CallerSettings settings, std::uint64_t seed, VersionConsistencyChecker &versionChecker);
 
     /// Performs the request, which arrived at @p arrival; ends at its deadline plus a grace for the entry's own answer.
     Observation perform(const Request &request, Core::Instant arrival);
 
 private:
     /// How a try ended, as far as another may follow.
-    enum class TryEnd {
+    enum class AttemptEnd {
         Final,
         NotSent, ///< Nothing reached the entry.
         Refused, ///< The entry says that it did not run.
@@ -50,20 +50,20 @@
         Core::Instant m_deadline;
     };
 
-    TryEnd tryOnce(const Request &request, const Timing &timing, Observation &observation);
-    TryEnd exchange(const Request &request, const Timing &timing, const Core::Address &entry, Observation &observation);
-    TryEnd readAnswer(const Request &request, const Timing &timing, const Poco::Net::HTTPResponse &response, std::istream &body, Observation &observation);
+    AttemptEnd performAttempt(const Request &request, const Timing &timing, Observation &observation);
+    AttemptEnd exchange(const Request &request, const Timing &timing, const Core::Address &entry, Observation &observation);
+    AttemptEnd readAnswer(const Request &request, const Timing &timing, const Poco::Net::HTTPResponse &response, std::istream &body, Observation &observation);
     static void readLines(const Request &request, const Timing &timing, std::istream &body, Observation &observation);
-    bool mayTryAgain(const Request &request, const Timing &timing, TryEnd end, const Observation &observation) const;
-    static void pauseBeforeRetry(TryEnd end, const Timing &timing, const Observation &observation);
+    bool mayRetry(const Request &request, const Timing &timing, AttemptEnd end, const Observation &observation) const;
+    static void pauseBeforeRetry(AttemptEnd end, const Timing &timing, const Observation &observation);
     Core::Result<Core::Address> chooseEntry(const Timing &timing);
     void refreshAddresses(const Timing &timing);
     std::string nextKey(const Request &request, std::uint32_t attempt);
 
     CallerSettings m_settings;
-    VersionWitness &m_witness;
+    VersionConsistencyChecker &m_versionChecker;
     std::mutex m_mutex;
-    AddressBook m_book;
+    EntryAddressCache m_addressCache;
     Core::Random m_random;
 };
 
--- a/Libraries/LibLoad/AddressBook.h
+++ b/Libraries/LibLoad/EntryAddressCache.h
@@ -26,13 +26,13 @@
 Core::Result<AddressAnswer> parseAddressAnswer(const std::string &body, const std::string &peer);
 
 /// Keeps addresses for their lifetime, as callers do. Not thread-safe.
-class AddressBook
+class EntryAddressCache
 {
 public:
     /// An address that failed is left out for so long, unless all have failed.
-    static constexpr Core::Duration FailurePause{1000};
+    static constexpr Core::Duration FailureBackoff{1000};
 
-    explicit AddressBook(std::vector<Core::Address> seeds)
+    explicit EntryAddressCache(std::vector<Core::Address> seeds)
         : m_seeds(std::move(seeds))
     {
     }
@@ -45,7 +45,7 @@
 
     /// One of the addresses; empty if none is known.
     std::optional<Core::Address> pick(Core::Random &random, Core::Instant now) const;
-    void noteFailure(const Core::Address &address, Core::Instant now);
+    void recordFailure(const Core::Address &address, Core::Instant now);
 
     const std::string &keyEpoch() const
     {
@@ -55,7 +55,7 @@
 private:
     std::vector<Core::Address> m_seeds;
     AddressAnswer m_answer;
-    Core::Instant m_expires{};
+    Core::Instant m_expiresAt{};
     std::map<Core::Address, Core::Instant> m_failedUntil;
 };
 
--- a/Libraries/LibLoad/LoadRun.cpp
+++ b/Libraries/LibLoad/LoadRun.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Core::Duration RingPatience{100};
+constexpr Core::Duration RingPopTimeout{100};
 constexpr Core::Duration FullRingPause{1};
 constexpr double MillisecondsPerSecond = 1000;
 
@@ -21,7 +21,7 @@
 };
 
 /// The workers' shared parts.
-struct Shared
+struct SharedState
 {
     Core::Ring<Arrival> m_arrivals;
     std::vector<std::unique_ptr<Caller>> m_callers;
@@ -30,15 +30,15 @@
     Report &m_report;
     std::mutex m_observationMutex;
     const OnObservation &m_onObservation;
-    std::atomic<bool> m_isOver = false; ///< No further arrivals will come.
+    std::atomic<bool> m_hasQueuedAll = false; ///< No further arrivals will come.
 };
 
-void work(Shared &shared)
+void runWorker(SharedState &shared)
 {
     for (;;) {
-        const std::optional<Arrival> arrival = shared.m_arrivals.pop(RingPatience);
+        const std::optional<Arrival> arrival = shared.m_arrivals.pop(RingPopTimeout);
         if (!arrival) {
-            if (shared.m_isOver) {
+            if (shared.m_hasQueuedAll) {
                 return;
             }
             continue;
@@ -55,7 +55,7 @@
 }
 
 /// Hands out arrivals at their times.
-void arrive(Shared &shared, const NextRequest &next)
+void queueArrivals(SharedState &shared, const NextRequest &next)
 {
     while (std::optional<Request> request = next()) {
         const Core::Instant due = shared.m_start + request->m_at;
@@ -72,17 +72,17 @@
 
 void performLoad(const LoadRunSettings &settings, const NextRequest &next, Report &report, const OnObservation &onObservation)
 {
-    VersionWitness witness;
-    Shared shared{Core::Ring<Arrival>(settings.m_concurrency), {}, Core::Clock::now(), settings.m_isClosedLoop, report, {}, onObservation};
+    VersionConsistencyChecker versionChecker;
+    SharedState shared{Core::Ring<Arrival>(settings.m_concurrency), {}, Core::Clock::now(), settings.m_isClosedLoop, report, {}, onObservation};
     for (std::uint32_t index = 0; index < std::max<std::uint32_t>(settings.m_callerCount, 1); ++index) {
-        shared.m_callers.push_back(std::make_unique<Caller>(settings.m_callers, settings.m_seed + index, witness));
+        shared.m_callers.push_back(std::make_unique<Caller>(settings.m_callers, settings.m_seed + index, versionChecker));
     }
     std::vector<std::thread> workers;
     for (std::uint32_t index = 0; index < settings.m_concurrency; ++index) {
-        workers.emplace_back([&shared] { work(shared); });
+        workers.emplace_back([&shared] { runWorker(shared); });
     }
-    arrive(shared, next);
-    shared.m_isOver = true;
+    queueArrivals(shared, next);
+    shared.m_hasQueuedAll = true;
     shared.m_arrivals.close();
     for (std::thread &worker : workers) {
         worker.join();
--- a/Libraries/LibLoad/Report.cpp
+++ b/Libraries/LibLoad/Report.cpp
@@ -85,12 +85,12 @@
     const bool expected = isExpected(request, observation);
     m_unexpected += expected ? 0 : 1;
     if (!expected || observation.m_outcome == Outcome::Wrong || observation.m_outcome == Outcome::Failed) {
-        noteProblem(request, observation);
+        recordProblem(request, observation);
     }
 }
 
 /// Called with m_mutex held.
-void Report::noteProblem(const Request &request, const Observation &observation)
+void Report::recordProblem(const Request &request, const Observation &observation)
 {
     if (m_problems.size() == MaximumProblems) {
         return;
--- a/Libraries/LibLoad/Report.h
+++ b/Libraries/LibLoad/Report.h
@@ -36,7 +36,7 @@
 
     static constexpr std::size_t MaximumProblems = 10;
 
-    void noteProblem(const Request &request, const Observation &observation);
+    void recordProblem(const Request &request, const Observation &observation);
 
     mutable std::mutex m_mutex;
     std::uint64_t m_sent = 0;
--- a/Libraries/LibLoad/RequestSource.h
+++ b/Libraries/LibLoad/RequestSource.h
@@ -20,7 +20,7 @@
 };
 
 /// What a run consists of.
-struct Mix
+struct Workload
 {
     std::string m_template; ///< Empty: no generations.
     std::string m_service; ///< Empty: no calls.
@@ -30,7 +30,7 @@
     double m_rate = 0; ///< Requests a second; 0 is a closed loop.
     bool m_isPoisson = true; ///< Exponential gaps, else equal ones.
     std::uint64_t m_count = 0; ///< Requests at most; 0 is no limit.
-    Core::Duration m_length{0}; ///< Arrivals at most so long; 0 is no limit.
+    Core::Duration m_duration{0}; ///< Arrivals at most so long; 0 is no limit.
     std::uint32_t m_maximumTokens = 8;
     std::uint32_t m_prefixes = 0; ///< Different prompt prefixes of each account; 0: every prompt starts anew.
     std::uint32_t m_promptBytes = 0; ///< Prompts are filled up to this length.
@@ -40,14 +40,14 @@
     std::uint64_t m_seed = 1;
     std::string m_marker; ///< Unique to the run; part of each prompt.
 
-    bool operator==(const Mix &) const = default;
+    bool operator==(const Workload &) const = default;
 };
 
 /// The same mix gives the same requests. Not thread-safe.
 class RequestSource
 {
 public:
-    explicit RequestSource(Mix mix);
+    explicit RequestSource(Workload mix);
 
     /// Empty once the count or the length is reached.
     std::optional<Request> next();
@@ -57,10 +57,10 @@
     Core::Clock::duration nextGap();
     std::string makePrompt(const std::string &account);
 
-    Mix m_mix;
+    Workload m_workload;
     Core::Random m_random;
     double m_totalWeight = 0;
-    std::uint64_t m_made = 0;
+    std::uint64_t m_generatedCount = 0;
     Core::Clock::duration m_at{0}; ///< Arrival of the latest request.
 };
 
--- a/Libraries/LibLoad/Trace.cpp
+++ b/Libraries/LibLoad/Trace.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double LongestMs = 86400000;
+constexpr double MaximumMilliseconds = 86400000;
 constexpr double MaximumTokens = 100000;
 constexpr double PriorityBound = 1000000;
 
@@ -31,7 +31,7 @@
     return object.has(field) ? Json::textOf(object, field) : Core::Result<std::string>(fallback);
 }
 
-Core::Result<std::string> expectedOf(const Poco::JSON::Object &object)
+Core::Result<std::string> parseExpectedOutcome(const Poco::JSON::Object &object)
 {
     const std::string expected = BOOST_OUTCOME_TRYX(textOr(object, "expect", ""));
     const std::vector<std::string> known{"", "any", "ok", "not-run", "unknown", "failed", "wrong"};
@@ -89,7 +89,7 @@
     Request request;
     request.m_index = index;
     request.m_kind = kind == "call" ? RequestKind::Call : RequestKind::Generate;
-    request.m_at = Core::Duration(static_cast<std::int64_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "at_ms", 0, LongestMs, 0))));
+    request.m_at = Core::Duration(static_cast<std::int64_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "at_ms", 0, MaximumMilliseconds, 0))));
     request.m_account = BOOST_OUTCOME_TRYX(Json::textOf(*object, "account"));
     request.m_name = BOOST_OUTCOME_TRYX(Json::textOf(*object, "name"));
     request.m_path = BOOST_OUTCOME_TRYX(textOr(*object, "path", ""));
@@ -97,8 +97,9 @@
     request.m_prompt = BOOST_OUTCOME_TRYX(Json::textOf(*object, "prompt"));
     request.m_maximumTokens = static_cast<std::uint32_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "max_tokens", 0, MaximumTokens, 0)));
     request.m_priority = static_cast<std::int32_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "priority", -PriorityBound, PriorityBound, 0)));
-    request.m_timeout = Core::Duration(static_cast<std::int64_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "timeout_ms", 1, LongestMs, defaultTimeoutMs))));
-    request.m_expected = BOOST_OUTCOME_TRYX(expectedOf(*object));
+    request.m_timeout =
+        Core::Duration(static_cast<std::int64_t>(BOOST_OUTCOME_TRYX(numberWithin(*object, "timeout_ms", 1, MaximumMilliseconds, defaultTimeoutMs))));
+    request.m_expected = BOOST_OUTCOME_TRYX(parseExpectedOutcome(*object));
     return request;
 }
 
--- a/Tests/LibLoad/TestAnswerCheck.cpp
+++ b/Tests/LibLoad/TestAnswerCheck.cpp
@@ -25,7 +25,7 @@
 }
 
 /// "outcome code" after all lines.
-std::string judge(const std::vector<std::string> &lines)
+std::string checkLines(const std::vector<std::string> &lines)
 {
     const Load::Request request = makeRequest();
     Load::AnswerCheck check(request);
@@ -39,7 +39,7 @@
     return std::string(Load::outcomeName(observation.m_outcome)) + " " + observation.m_code;
 }
 
-std::string judgeError(int status, const std::string &body)
+std::string checkError(int status, const std::string &body)
 {
     Load::Observation observation;
     Load::readErrorAnswer(status, body, observation);
@@ -50,55 +50,55 @@
 
 TEST_CASE("a whole answer of one's own is right")
 {
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 1), End}) == "ok ");
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 1), End}) == "ok ");
 }
 
 TEST_CASE("an answer that was cut is not whole, wherever it was cut")
 {
-    REQUIRE(judge({}) == "failed cut");
-    REQUIRE(judge({Head}) == "failed cut");
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 1)}) == "failed cut");
+    REQUIRE(checkLines({}) == "failed cut");
+    REQUIRE(checkLines({Head}) == "failed cut");
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 1)}) == "failed cut");
 }
 
 TEST_CASE("tokens of another request, lost ones and doubled ones are wrong")
 {
     // Two answers cross on a shared connection. Each looks whole, and a buyer reads somebody else's draft.
-    REQUIRE(judge({Head, token("frames", 0), token("frames", 1), End}) == "wrong crossed");
-    REQUIRE(judge({Head, token("fabrics", 1), End}) == "wrong crossed");
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 0), End}) == "wrong crossed");
-    REQUIRE(judge({Head, token("fabrics", 0), End}) == "wrong incomplete");
-    REQUIRE(judge({Head, token("fabrics", 0), R"({"end":true,"tokens":1,"digest":"m1"})"}) == "wrong incomplete");
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 1), End, token("fabrics", 2)}) == "wrong bytes-after-end");
+    REQUIRE(checkLines({Head, token("frames", 0), token("frames", 1), End}) == "wrong crossed");
+    REQUIRE(checkLines({Head, token("fabrics", 1), End}) == "wrong crossed");
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 0), End}) == "wrong crossed");
+    REQUIRE(checkLines({Head, token("fabrics", 0), End}) == "wrong incomplete");
+    REQUIRE(checkLines({Head, token("fabrics", 0), R"({"end":true,"tokens":1,"digest":"m1"})"}) == "wrong incomplete");
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 1), End, token("fabrics", 2)}) == "wrong bytes-after-end");
 }
 
 TEST_CASE("an answer of two versions is wrong")
 {
     // An attempt moved to another engine in the middle. The first half is from the old weights, the second from the new.
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 1, "c2"), End}) == "wrong mixed-weights");
-    REQUIRE(judge({Head, token("fabrics", 0), token("fabrics", 1), R"({"end":true,"tokens":2,"digest":"m2"})"}) == "wrong mixed-version");
-    REQUIRE(judge({R"({"version":"7"})", token("fabrics", 0)}) == "wrong no-version");
-    Load::VersionWitness witness;
-    REQUIRE(witness.agrees("m1", "c1"));
-    REQUIRE(witness.agrees("m2", "c2"));
-    REQUIRE_FALSE(witness.agrees("m1", "c2"));
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 1, "c2"), End}) == "wrong mixed-weights");
+    REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 1), R"({"end":true,"tokens":2,"digest":"m2"})"}) == "wrong mixed-version");
+    REQUIRE(checkLines({R"({"version":"7"})", token("fabrics", 0)}) == "wrong no-version");
+    Load::VersionConsistencyChecker versionChecker;
+    REQUIRE(versionChecker.recordAndCheck("m1", "c1"));
+    REQUIRE(versionChecker.recordAndCheck("m2", "c2"));
+    REQUIRE_FALSE(versionChecker.recordAndCheck("m1", "c2"));
 }
 
 TEST_CASE("an error line in the middle is an honest failure")
 {
-    REQUIRE(judge({Head, token("fabrics", 0), R"({"error":{"code":"outcome-unknown","step":"s","peer":"p","detail":"d"}})"}) == "unknown outcome-unknown");
-    REQUIRE(judge({R"({"error":{"code":"timeout"}})"}) == "failed timeout");
-    REQUIRE(judge({"not JSON"}) == "failed malformed-line");
+    REQUIRE(checkLines({Head, token("fabrics", 0), R"({"error":{"code":"outcome-unknown","step":"s","peer":"p","detail":"d"}})"}) == "unknown outcome-unknown");
+    REQUIRE(checkLines({R"({"error":{"code":"timeout"}})"}) == "failed timeout");
+    REQUIRE(checkLines({"not JSON"}) == "failed malformed-line");
 }
 
 TEST_CASE("error answers are read by code, and a code under the wrong status is wrong")
 {
-    REQUIRE(judgeError(503, R"({"error":{"code":"not-run"}})") == "not-run not-run");
-    REQUIRE(judgeError(429, R"({"error":{"code":"not-run"}})") == "not-run not-run");
-    REQUIRE(judgeError(502, R"({"error":{"code":"outcome-unknown"}})") == "unknown outcome-unknown");
-    REQUIRE(judgeError(504, R"({"error":{"code":"timeout"}})") == "failed timeout");
-    REQUIRE(judgeError(503, "Service Unavailable") == "failed status-503");
-    REQUIRE(judgeError(500, R"({"error":{"code":"not-run"}})") == "wrong not-run");
-    REQUIRE(judgeError(504, R"({"error":{"code":"outcome-unknown"}})") == "wrong outcome-unknown");
+    REQUIRE(checkError(503, R"({"error":{"code":"not-run"}})") == "not-run not-run");
+    REQUIRE(checkError(429, R"({"error":{"code":"not-run"}})") == "not-run not-run");
+    REQUIRE(checkError(502, R"({"error":{"code":"outcome-unknown"}})") == "unknown outcome-unknown");
+    REQUIRE(checkError(504, R"({"error":{"code":"timeout"}})") == "failed timeout");
+    REQUIRE(checkError(503, "Service Unavailable") == "failed status-503");
+    REQUIRE(checkError(500, R"({"error":{"code":"not-run"}})") == "wrong not-run");
+    REQUIRE(checkError(504, R"({"error":{"code":"outcome-unknown"}})") == "wrong outcome-unknown");
 }
 
 TEST_CASE("a service's answer must echo the request")
--- a/Tests/LibLoad/TestCaller.cpp
+++ b/Tests/LibLoad/TestCaller.cpp
@@ -19,8 +19,8 @@
 class FakeEntry
 {
 public:
-    std::function<void(HttpRequest &, HttpResponse &)> m_onWork;
-    std::atomic<int> m_work = 0; ///< Requests for work that arrived.
+    std::function<void(HttpRequest &, HttpResponse &)> m_onRequest;
+    std::atomic<int> m_requestCount = 0; ///< Requests for work that arrived.
     std::vector<std::string> m_keys; ///< Of all requests for work; read after they have ended.
     std::mutex m_mutex;
 
@@ -29,22 +29,22 @@
         m_address = Network::freeLoopbackAddress();
     }
 
-    void start(const std::vector<Core::Address> &named)
+    void start(const std::vector<Core::Address> &listed)
     {
-        REQUIRE(m_server.listen(m_address, [this, named](HttpRequest &request, HttpResponse &response) {
+        REQUIRE(m_server.listen(m_address, [this, listed](HttpRequest &request, HttpResponse &response) {
             if (request.getURI() == "/v1/addresses") {
                 std::string list;
-                for (const Core::Address &address : named) {
+                for (const Core::Address &address : listed) {
                     list += (list.empty() ? "\"" : ",\"") + address.toString() + "\"";
                 }
                 return StandIn::sendAnswer(response, 200, "application/json", R"({"addresses":[)" + list + R"(],"lifetime_ms":60000,"key_epoch":"9"})");
             }
-            ++m_work;
+            ++m_requestCount;
             {
                 const std::lock_guard<std::mutex> lock(m_mutex);
                 m_keys.push_back(request.get("Idempotency-Key", ""));
             }
-            m_onWork(request, response);
+            m_onRequest(request, response);
         }));
     }
 
@@ -54,7 +54,7 @@
     StandIn::HttpServer m_server{8};
 };
 
-void answerWhole(HttpRequest &request, HttpResponse &response)
+void sendCompleteAnswer(HttpRequest &request, HttpResponse &response)
 {
     const Poco::JSON::Object::Ptr asked = Json::parseObject(StandIn::readBody(request, 100000).value()).value();
     std::string body = R"({"version":"1","digest":"m"})"
@@ -65,13 +65,13 @@
     StandIn::sendAnswer(response, 200, "application/x-ndjson", body + R"({"end":true,"tokens":2,"digest":"m"})" + "\n");
 }
 
-void drop(HttpRequest &request, HttpResponse &)
+void dropRequest(HttpRequest &request, HttpResponse &)
 {
     StandIn::discardBody(request);
     StandIn::dropConnection(request);
 }
 
-void refuse(HttpRequest &request, HttpResponse &response)
+void refuseRequest(HttpRequest &request, HttpResponse &response)
 {
     StandIn::discardBody(request);
     response.set("Retry-After", "0");
@@ -98,8 +98,8 @@
     settings.m_entries = entries;
     settings.m_marker = "run";
     settings.m_honoursRetryAfter = honoursRetryAfter;
-    Load::VersionWitness witness;
-    Load::Caller caller(settings, seed, witness);
+    Load::VersionConsistencyChecker versionChecker;
+    Load::Caller caller(settings, seed, versionChecker);
     return caller.perform(request, Core::Clock::now());
 }
 
@@ -109,60 +109,60 @@
 {
     // An entry dies with an answer under way. The buyer's program asks another entry and gets the whole draft.
     FakeEntry broken;
-    FakeEntry well;
-    broken.m_onWork = drop;
-    well.m_onWork = answerWhole;
-    broken.start({broken.m_address, well.m_address});
-    well.start({broken.m_address, well.m_address});
+    FakeEntry healthy;
+    broken.m_onRequest = dropRequest;
+    healthy.m_onRequest = sendCompleteAnswer;
+    broken.start({broken.m_address, healthy.m_address});
+    healthy.start({broken.m_address, healthy.m_address});
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         const Load::Observation observation = perform({broken.m_address}, makeRequest(Load::RequestKind::Generate, false), false, seed);
         REQUIRE(observation.m_outcome == Load::Outcome::Ok);
-        REQUIRE(observation.m_entry == well.m_address.toString());
+        REQUIRE(observation.m_entry == healthy.m_address.toString());
         REQUIRE(observation.m_brokenTries == observation.m_retries);
         REQUIRE(observation.m_retries <= 1);
     }
-    REQUIRE(well.m_work == 10);
+    REQUIRE(healthy.m_requestCount == 10);
 }
 
 TEST_CASE("a call that may not be repeated is never sent twice, and its loss is no claim that it did not run")
 {
     // The answer to a booking is lost. A caller that sends it again books twice; one that reports "not run" lets a person book again.
     FakeEntry broken;
-    broken.m_onWork = drop;
+    broken.m_onRequest = dropRequest;
     broken.start({broken.m_address});
     const Load::Observation observation = perform({broken.m_address}, makeRequest(Load::RequestKind::Call, true));
     REQUIRE(observation.m_outcome == Load::Outcome::Unknown);
-    REQUIRE(broken.m_work == 1);
+    REQUIRE(broken.m_requestCount == 1);
     REQUIRE(broken.m_keys == std::vector<std::string>{"9.run-0-0"});
 }
 
 TEST_CASE("an entry that cannot be reached is passed over, also by a call that may not be repeated")
 {
-    FakeEntry gone;
-    FakeEntry well;
-    well.m_onWork = [](HttpRequest &request, HttpResponse &response) {
+    FakeEntry unreachable;
+    FakeEntry healthy;
+    healthy.m_onRequest = [](HttpRequest &request, HttpResponse &response) {
         StandIn::sendAnswer(response, 200, "application/json", R"({"effect":1,"echo":")" + StandIn::readBody(request, 1000).value() + "\"}");
     };
-    well.start({gone.m_address, well.m_address});
-    for (int turn = 0; turn < 5; ++turn) {
-        REQUIRE(perform({gone.m_address, well.m_address}, makeRequest(Load::RequestKind::Call, true)).m_outcome == Load::Outcome::Ok);
+    healthy.start({unreachable.m_address, healthy.m_address});
+    for (int attempt = 0; attempt < 5; ++attempt) {
+        REQUIRE(perform({unreachable.m_address, healthy.m_address}, makeRequest(Load::RequestKind::Call, true)).m_outcome == Load::Outcome::Ok);
     }
-    REQUIRE(well.m_work == 5);
+    REQUIRE(healthy.m_requestCount == 5);
 }
 
 TEST_CASE("a refusal is taken as told, or waited out with a key of its own for each try")
 {
     FakeEntry entry;
-    entry.m_onWork = [&entry](HttpRequest &request, HttpResponse &response) {
-        if (entry.m_work < 3) {
-            return refuse(request, response);
+    entry.m_onRequest = [&entry](HttpRequest &request, HttpResponse &response) {
+        if (entry.m_requestCount < 3) {
+            return refuseRequest(request, response);
         }
         StandIn::sendAnswer(response, 200, "application/json", R"({"effect":1,"echo":")" + StandIn::readBody(request, 1000).value() + "\"}");
     };
     entry.start({entry.m_address});
     const Load::Observation refused = perform({entry.m_address}, makeRequest(Load::RequestKind::Call, true));
     REQUIRE(refused.m_outcome == Load::Outcome::NotRun);
-    REQUIRE(entry.m_work == 1);
+    REQUIRE(entry.m_requestCount == 1);
     const Load::Observation waited = perform({entry.m_address}, makeRequest(Load::RequestKind::Call, true), true);
     REQUIRE(waited.m_outcome == Load::Outcome::Ok);
     REQUIRE(entry.m_keys == std::vector<std::string>{"9.run-0-0", "9.run-0-0", "9.run-0-1"});
@@ -171,7 +171,7 @@
 TEST_CASE("a run performs every request once and reports each")
 {
     FakeEntry entry;
-    entry.m_onWork = answerWhole;
+    entry.m_onRequest = sendCompleteAnswer;
     entry.start({entry.m_address});
     Load::LoadRunSettings settings;
     settings.m_callers.m_entries = {entry.m_address};
@@ -195,6 +195,6 @@
         [&ended](const Load::Request &request, const Load::Observation &) { ended.insert(request.m_index); });
     REQUIRE(ended.size() == 40);
     REQUIRE(report.count(Load::Outcome::Ok) == 40);
-    REQUIRE(entry.m_work == 40);
+    REQUIRE(entry.m_requestCount == 40);
     REQUIRE(report.json().find(R"("ok":40)") != std::string::npos);
 }
--- a/Tests/LibLoad/TestRequests.cpp
+++ b/Tests/LibLoad/TestRequests.cpp
@@ -1,6 +1,6 @@
 /// @file The load is the same for the same seed, traces come back as they were, and addresses are kept for their lifetime.
 
-#include "LibLoad/AddressBook.h"
+#include "LibLoad/EntryAddressCache.h"
 #include "LibLoad/Report.h"
 #include "LibLoad/RequestSource.h"
 #include "LibLoad/Trace.h"
@@ -10,9 +10,9 @@
 
 namespace {
 
-Load::Mix makeMix()
+Load::Workload makeWorkload()
 {
-    Load::Mix mix;
+    Load::Workload mix;
     mix.m_template = "drafts";
     mix.m_service = "bookings";
     mix.m_serviceShare = 0.25;
@@ -25,7 +25,7 @@
     return mix;
 }
 
-std::vector<Load::Request> allOf(const Load::Mix &mix)
+std::vector<Load::Request> allRequests(const Load::Workload &mix)
 {
     Load::RequestSource source(mix);
     std::vector<Load::Request> requests;
@@ -42,9 +42,9 @@
 
 TEST_CASE("a mix gives its rate, shares and unique prompts, and the same ones for the same seed")
 {
-    const std::vector<Load::Request> requests = allOf(makeMix());
+    const std::vector<Load::Request> requests = allRequests(makeWorkload());
     REQUIRE(requests.size() == 4000);
-    REQUIRE(requests == allOf(makeMix()));
+    REQUIRE(requests == allRequests(makeWorkload()));
     REQUIRE(requests.back().m_at.count() == Approx(40000).epsilon(0.06));
     std::set<std::string> prompts;
     std::set<std::string> prefixes;
@@ -65,16 +65,16 @@
 
 TEST_CASE("a run ends by time as well as by count")
 {
-    Load::Mix mix = makeMix();
-    mix.m_length = Core::Duration(1000);
-    const std::vector<Load::Request> requests = allOf(mix);
+    Load::Workload mix = makeWorkload();
+    mix.m_duration = Core::Duration(1000);
+    const std::vector<Load::Request> requests = allRequests(mix);
     REQUIRE(requests.size() > 50);
-    REQUIRE(requests.back().m_at <= mix.m_length);
+    REQUIRE(requests.back().m_at <= mix.m_duration);
 }
 
 TEST_CASE("a recorded request is replayed as it was, with its outcome stated")
 {
-    Load::Request request = allOf(makeMix()).at(7);
+    Load::Request request = allRequests(makeWorkload()).at(7);
     Load::Observation observation;
     observation.m_outcome = Load::Outcome::NotRun;
     const Core::Result<Load::Request> read = Load::parseTraceLine(Load::traceLine(request, observation), request.m_index);
@@ -104,23 +104,23 @@
 {
     const Core::Instant start{};
     Core::Random random(3);
-    Load::AddressBook book({One});
-    REQUIRE(book.needsRefresh(start));
-    REQUIRE_FALSE(book.pick(random, start));
-    REQUIRE(book.refreshCandidates(random) == std::vector<Core::Address>{One});
+    Load::EntryAddressCache cache({One});
+    REQUIRE(cache.needsRefresh(start));
+    REQUIRE_FALSE(cache.pick(random, start));
+    REQUIRE(cache.refreshCandidates(random) == std::vector<Core::Address>{One});
     const std::string body = R"({"addresses":["127.0.0.1:1","127.0.0.1:2"],"lifetime_ms":5000,"key_epoch":"41"})";
-    book.update(Load::parseAddressAnswer(body, "entry").value(), start);
-    REQUIRE(book.keyEpoch() == "41");
-    REQUIRE_FALSE(book.needsRefresh(start + Core::Duration(4999)));
-    REQUIRE(book.needsRefresh(start + Core::Duration(5000)));
-    book.noteFailure(One, start);
-    for (int turn = 0; turn < 20; ++turn) {
-        REQUIRE(book.pick(random, start) == Two);
+    cache.update(Load::parseAddressAnswer(body, "entry").value(), start);
+    REQUIRE(cache.keyEpoch() == "41");
+    REQUIRE_FALSE(cache.needsRefresh(start + Core::Duration(4999)));
+    REQUIRE(cache.needsRefresh(start + Core::Duration(5000)));
+    cache.recordFailure(One, start);
+    for (int attempt = 0; attempt < 20; ++attempt) {
+        REQUIRE(cache.pick(random, start) == Two);
     }
-    book.noteFailure(Two, start);
-    REQUIRE(book.needsRefresh(start));
-    REQUIRE(book.pick(random, start));
-    REQUIRE_FALSE(book.needsRefresh(start + Load::AddressBook::FailurePause));
+    cache.recordFailure(Two, start);
+    REQUIRE(cache.needsRefresh(start));
+    REQUIRE(cache.pick(random, start));
+    REQUIRE_FALSE(cache.needsRefresh(start + Load::EntryAddressCache::FailureBackoff));
     REQUIRE_FALSE(Load::parseAddressAnswer(R"({"addresses":["somewhere"],"lifetime_ms":1})", "entry"));
     REQUIRE_FALSE(Load::parseAddressAnswer("{}", "entry"));
 }
--- a/Utilities/oriolerail-load/Arguments.cpp
+++ b/Utilities/oriolerail-load/Arguments.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t DefaultConcurrency = 256;
 constexpr std::uint32_t MaximumConcurrency = 8192;
 constexpr std::uint64_t MaximumCount = 100000000;
-constexpr double LongestSeconds = 86400;
+constexpr double MaximumSeconds = 86400;
 
 Core::Error usage(const std::string &detail)
 {
@@ -98,7 +98,7 @@
 
 Core::Result<void> checkBounds(const Arguments &arguments)
 {
-    const Load::Mix &mix = arguments.m_mix;
+    const Load::Workload &mix = arguments.m_workload;
     if (arguments.m_run.m_concurrency == 0 || arguments.m_run.m_concurrency > MaximumConcurrency) {
         return usage("--concurrency: expected 1 to " + std::to_string(MaximumConcurrency));
     }
@@ -111,7 +111,7 @@
     if (mix.m_template.empty() && mix.m_service.empty()) {
         return usage("--template or --service must be given");
     }
-    if (mix.m_count == 0 && mix.m_length.count() == 0) {
+    if (mix.m_count == 0 && mix.m_duration.count() == 0) {
         return usage("--count or --seconds must be given");
     }
     if (mix.m_rate == 0 && mix.m_count == 0) {
@@ -135,9 +135,9 @@
     return callers;
 }
 
-Core::Result<Load::Mix> readMix(const cxxopts::ParseResult &parsed, const std::string &marker)
+Core::Result<Load::Workload> readWorkload(const cxxopts::ParseResult &parsed, const std::string &marker)
 {
-    Load::Mix mix;
+    Load::Workload mix;
     mix.m_template = parsed["template"].as<std::string>();
     mix.m_service = parsed["service"].as<std::string>();
     mix.m_serviceShare = parsed["service-share"].as<double>();
@@ -147,10 +147,10 @@
     mix.m_isPoisson = parsed.count("even") == 0;
     mix.m_count = parsed["count"].as<std::uint64_t>();
     const double seconds = parsed["seconds"].as<double>();
-    if (!(seconds >= 0 && seconds <= LongestSeconds)) {
+    if (!(seconds >= 0 && seconds <= MaximumSeconds)) {
         return usage("--seconds is out of range");
     }
-    mix.m_length = std::chrono::duration_cast<Core::Duration>(std::chrono::duration<double>(seconds));
+    mix.m_duration = std::chrono::duration_cast<Core::Duration>(std::chrono::duration<double>(seconds));
     mix.m_maximumTokens = parsed["max-tokens"].as<std::uint32_t>();
     mix.m_prefixes = parsed["prefixes"].as<std::uint32_t>();
     mix.m_promptBytes = parsed["prompt-bytes"].as<std::uint32_t>();
@@ -167,10 +167,10 @@
     constexpr std::size_t markerDigits = 16;
     const std::string marker = Core::randomIdentifier().substr(0, markerDigits);
     Arguments arguments;
-    arguments.m_mix = BOOST_OUTCOME_TRYX(readMix(parsed, marker));
+    arguments.m_workload = BOOST_OUTCOME_TRYX(readWorkload(parsed, marker));
     arguments.m_run.m_callers = BOOST_OUTCOME_TRYX(readCallers(parsed, marker));
     arguments.m_run.m_callerCount = parsed["callers"].as<std::uint32_t>();
-    arguments.m_run.m_seed = arguments.m_mix.m_seed;
+    arguments.m_run.m_seed = arguments.m_workload.m_seed;
     const std::string output = parsed["output"].as<std::string>();
     if (output != "json" && output != "text") {
         return usage("--output: expected text or json");
@@ -180,7 +180,7 @@
     arguments.m_recordFile = parsed["record"].as<std::string>();
     arguments.m_replayFile = parsed["replay"].as<std::string>();
     arguments.m_allowedFailures = parsed["allow-failed"].as<std::uint64_t>();
-    arguments.m_run.m_isClosedLoop = arguments.m_replayFile.empty() && arguments.m_mix.m_rate == 0;
+    arguments.m_run.m_isClosedLoop = arguments.m_replayFile.empty() && arguments.m_workload.m_rate == 0;
     arguments.m_run.m_concurrency = parsed.count("concurrency") > 0 ? parsed["concurrency"].as<std::uint32_t>() : DefaultConcurrency;
     BOOST_OUTCOME_TRYV(checkBounds(arguments));
     return arguments;
--- a/Utilities/oriolerail-load/Arguments.h
+++ b/Utilities/oriolerail-load/Arguments.h
@@ -10,11 +10,11 @@
 struct Arguments
 {
     Load::LoadRunSettings m_run;
-    Load::Mix m_mix;
+    Load::Workload m_workload;
     bool m_printsJson = false;
     std::string m_csvFile; ///< Empty: none.
     std::string m_recordFile; ///< Empty: none.
-    std::string m_replayFile; ///< Empty: requests are made from m_mix.
+    std::string m_replayFile; ///< Empty: requests are made from m_workload.
     std::uint64_t m_allowedFailures = 0; ///< Failed requests that do not fail the run.
     bool m_printsHelp = false;
     std::string m_help;
--- a/Utilities/oriolerail-load/Main.cpp
+++ b/Utilities/oriolerail-load/Main.cpp
@@ -54,7 +54,7 @@
 Core::Result<Load::NextRequest> makeSource(const Arguments &arguments)
 {
     if (arguments.m_replayFile.empty()) {
-        const std::shared_ptr<Load::RequestSource> source = std::make_shared<Load::RequestSource>(arguments.m_mix);
+        const std::shared_ptr<Load::RequestSource> source = std::make_shared<Load::RequestSource>(arguments.m_workload);
         return Load::NextRequest([source] { return source->next(); });
     }
     const std::shared_ptr<std::vector<Load::Request>> trace =
@@ -68,7 +68,7 @@
     });
 }
 
-bool isWell(const Arguments &arguments, const Load::Report &report)
+bool hasPassed(const Arguments &arguments, const Load::Report &report)
 {
     const bool replays = !arguments.m_replayFile.empty();
     const bool failed = report.count(Load::Outcome::Failed) > arguments.m_allowedFailures;
@@ -100,5 +100,5 @@
         recorder.value()->add(request, observation);
     });
     std::cout << (arguments.value().m_printsJson ? report.json() : report.text());
-    return isWell(arguments.value(), report) ? StandIn::ExitOk : StandIn::ExitFailed;
+    return hasPassed(arguments.value(), report) ? StandIn::ExitOk : StandIn::ExitFailed;
 }
