--- a/Libraries/LibLoad/Caller.cpp
+++ b/Libraries/LibLoad/Caller.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of a caller on POCO's HTTP client.
+/// @file Implementation of a caller with the HTTP client of POCO.
 
 #include "LibLoad/Caller.h"
 
@@ -16,7 +16,7 @@
 
 constexpr Core::Duration DialTimeout{2000};
 constexpr Core::Duration AddressTimeout{2000};
-/// The entry answers at the deadline itself; its answer needs time to arrive.
+/// The entry answers at the deadline at the latest; its answer needs time to arrive.
 constexpr Core::Duration DeadlineGrace{1500};
 constexpr Core::Duration RetryPause{50};
 constexpr std::size_t MaximumAddressBytes = 65536;
@@ -130,7 +130,7 @@
     if (end == AttemptEnd::Refused) {
         return m_settings.m_honoursRetryAfter && Core::Clock::now() + observation.m_retryAfter < timing.m_deadline;
     }
-    // A call that may not be repeated is tried again only if nothing of it was sent.
+    // A call that is not repeatable is retried only if no part of it was sent.
     const bool isSafe = end == AttemptEnd::NotSent || !request.m_isKeyed;
     return isSafe && observation.m_retries < m_settings.m_retries;
 }
@@ -206,7 +206,7 @@
                 return;
             }
         } catch (const Poco::Exception &) {
-            // The next candidate is asked; if none answers, the request fails as "no-entry".
+            // Ask the next candidate. If none answers, the request fails with "no-entry".
             continue;
         }
     }
@@ -235,7 +235,7 @@
     }
     Poco::Net::HTTPClientSession &session = *dialed.value();
     const Poco::Timespan waitLimit((remaining + DeadlineGrace).count() * MillisecondsPerSecond);
-    // A key is used for one try only: a refused one may have been claimed.
+    // Each attempt uses a new key, since the key of a refused attempt may have been claimed.
     observation.m_key = request.m_isKeyed ? nextKey(request, observation.m_retries) : "";
     try {
         session.setTimeout(waitLimit, waitLimit, waitLimit);
--- a/Libraries/LibLoad/Caller.h
+++ b/Libraries/LibLoad/Caller.h
@@ -1,4 +1,4 @@
-/// @file One caller: keeps the addresses of entries and performs requests at them, one after another.
+/// @file A caller: caches the addresses of entries and sends requests to them.
 #pragma once
 
 #include "LibLoad/AnswerCheck.h"
@@ -13,35 +13,35 @@
 
 namespace Load {
 
-/// How callers behave.
+/// Settings of a caller.
 struct CallerSettings
 {
-    std::vector<Core::Address> m_entries; ///< Whom to ask for addresses at first.
+    std::vector<Core::Address> m_entries; ///< Entries that are asked for addresses first.
     Network::NetworkSettings m_network;
-    std::uint32_t m_retries = 2; ///< Further tries of a repeatable request that got no whole answer, and of any that was not sent.
-    bool m_honoursRetryAfter = false; ///< A refused request is tried again when the refusal says, within its deadline.
-    std::string m_marker; ///< Unique to the run; part of each idempotency key.
+    std::uint32_t m_retries = 2; ///< Retries of a repeatable request that got no complete answer, and of any request that was not sent.
+    bool m_honoursRetryAfter = false; ///< Retry a refused request after the delay requested by the refusal, within its deadline.
+    std::string m_marker; ///< Unique to the run; included in each idempotency key.
 
     bool operator==(const CallerSettings &) const = default;
 };
 
-/// Thread-safe: several requests of one caller may run at once and share its addresses.
-/// FIXME: each try opens a connection of its own; callers that keep connections would also meet ones that have gone silent.
+/// Sends requests. Thread-safe: requests of one caller may run concurrently and share its cached addresses.
+/// FIXME: Each attempt opens a new connection, so reused connections that have become unresponsive are not covered.
 class Caller
 {
 public:
     Caller(CallerSettings settings, std::uint64_t seed, VersionConsistencyChecker &versionChecker);
 
-    /// Performs the request, which arrived at @p arrival; ends at its deadline plus a grace for the entry's own answer.
+    /// Performs a request that arrived at @p arrival. Returns at the latest at its deadline plus a grace period for the answer of the entry.
     Observation perform(const Request &request, Core::Instant arrival);
 
 private:
-    /// How a try ended, as far as another may follow.
+    /// How an attempt ended; decides whether a retry is allowed.
     enum class AttemptEnd {
-        Final,
-        NotSent, ///< Nothing reached the entry.
-        Refused, ///< The entry says that it did not run.
-        Broken, ///< The answer is not whole.
+        Final, ///< No retry is allowed.
+        NotSent, ///< No part of the request reached the entry.
+        Refused, ///< The entry guarantees that the request did not run.
+        Broken, ///< The answer is not complete.
     };
 
     struct Timing
--- a/Libraries/LibLoad/EntryAddressCache.cpp
+++ b/Libraries/LibLoad/EntryAddressCache.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the address book.
+/// @file Implementation of the entry address cache.
 
 #include "LibLoad/EntryAddressCache.h"
 
--- a/Libraries/LibLoad/EntryAddressCache.h
+++ b/Libraries/LibLoad/EntryAddressCache.h
@@ -1,4 +1,4 @@
-/// @file The entries that one caller may use: decision logic without clocks and sockets.
+/// @file Cache of the entry addresses known to a caller. Pure logic without clocks and sockets.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -12,7 +12,7 @@
 
 namespace Load {
 
-/// The answer of GET /v1/addresses.
+/// The answer to GET /v1/addresses.
 struct AddressAnswer
 {
     std::vector<Core::Address> m_addresses;
@@ -22,14 +22,14 @@
     bool operator==(const AddressAnswer &) const = default;
 };
 
-/// Reads the answer; fails with Corrupt.
+/// Parses the body of an answer from @p peer. Fails with Corrupt, or with InvalidInput for a malformed address.
 Core::Result<AddressAnswer> parseAddressAnswer(const std::string &body, const std::string &peer);
 
-/// Keeps addresses for their lifetime, as callers do. Not thread-safe.
+/// Caches entry addresses for the lifetime given by the entry that sent them. Not thread-safe.
 class EntryAddressCache
 {
 public:
-    /// An address that failed is left out for so long, unless all have failed.
+    /// An address that failed is not picked for this time, unless all addresses have failed.
     static constexpr Core::Duration FailureBackoff{1000};
 
     explicit EntryAddressCache(std::vector<Core::Address> seeds)
@@ -37,14 +37,16 @@
     {
     }
 
-    /// True if addresses must be asked for before the next request.
+    /// Returns true if the addresses must be refreshed before the next request: they have expired, there are none, or all of them failed recently.
     bool needsRefresh(Core::Instant now) const;
-    /// Whom to ask for addresses: known entries first, then seeds, each in random order.
+    /// Returns the entries to ask for addresses: the cached ones first, then the seeds, each group in random order.
     std::vector<Core::Address> refreshCandidates(Core::Random &random) const;
+    /// Replaces the addresses and discards expired failures.
     void update(const AddressAnswer &answer, Core::Instant now);
 
-    /// One of the addresses; empty if none is known.
+    /// Returns a random usable address, or nothing if none is known.
     std::optional<Core::Address> pick(Core::Random &random, Core::Instant now) const;
+    /// Excludes the address from picks for FailureBackoff.
     void recordFailure(const Core::Address &address, Core::Instant now);
 
     const std::string &keyEpoch() const
--- a/Libraries/LibLoad/LoadRun.cpp
+++ b/Libraries/LibLoad/LoadRun.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of a run.
+/// @file Implementation of a load run.
 
 #include "LibLoad/LoadRun.h"
 
@@ -20,7 +20,7 @@
     Core::Instant m_time;
 };
 
-/// The workers' shared parts.
+/// State shared by the scheduling thread and the workers.
 struct SharedState
 {
     Core::Ring<Arrival> m_arrivals;
@@ -30,7 +30,7 @@
     Report &m_report;
     std::mutex m_observationMutex;
     const OnObservation &m_onObservation;
-    std::atomic<bool> m_hasQueuedAll = false; ///< No further arrivals will come.
+    std::atomic<bool> m_hasQueuedAll = false; ///< Set once all arrivals have been queued.
 };
 
 void runWorker(SharedState &shared)
@@ -54,7 +54,7 @@
     }
 }
 
-/// Hands out arrivals at their times.
+/// Queues each request for the workers at its arrival time.
 void queueArrivals(SharedState &shared, const NextRequest &next)
 {
     while (std::optional<Request> request = next()) {
--- a/Libraries/LibLoad/Report.cpp
+++ b/Libraries/LibLoad/Report.cpp
@@ -36,7 +36,7 @@
     return text.str();
 }
 
-/// Field names of the JSON report, with underscores so that each can stand in an expression.
+/// Returns the field name of an outcome in the JSON report. Underscores replace dashes, so that the name can be used in expressions.
 std::string fieldName(Outcome outcome)
 {
     std::string name(outcomeName(outcome));
@@ -89,7 +89,7 @@
     }
 }
 
-/// Called with m_mutex held.
+/// Must be called with m_mutex held.
 void Report::recordProblem(const Request &request, const Observation &observation)
 {
     if (m_problems.size() == MaximumProblems) {
--- a/Libraries/LibLoad/Request.h
+++ b/Libraries/LibLoad/Request.h
@@ -1,4 +1,4 @@
-/// @file One request of the load and what became of it.
+/// @file A request of a load run and its result.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -14,57 +14,57 @@
     Call, ///< POST /v1/call/{service}/{path}
 };
 
-/// A request as it is to be sent.
+/// A request to be sent.
 struct Request
 {
-    std::uint64_t m_index = 0; ///< Counted from 0 in a run.
-    Core::Duration m_at{0}; ///< When it arrives, from the start of the run; 0 for all in a closed loop.
+    std::uint64_t m_index = 0; ///< Position in the run, starting at 0.
+    Core::Duration m_at{0}; ///< Arrival time since the start of the run; always 0 in a closed loop.
     RequestKind m_kind = RequestKind::Generate;
     std::string m_account;
-    std::string m_name; ///< Template or service.
-    std::string m_path; ///< Path at the service, without a leading slash.
-    std::string m_prompt; ///< Prompt, or body of a call; unique, so that an answer to another request is recognised.
+    std::string m_name; ///< Name of the template or service.
+    std::string m_path; ///< Path within the service, without a leading slash.
+    std::string m_prompt; ///< Prompt, or body of a call. Unique, so that an answer to another request is detected.
     std::uint32_t m_maximumTokens = 0;
     std::int32_t m_priority = 0;
-    bool m_isKeyed = false; ///< The call may not be repeated.
+    bool m_isKeyed = false; ///< The call is not repeatable and carries an idempotency key.
     Core::Duration m_timeout{30000};
-    std::string m_expected; ///< Outcome that a replayed trace states; empty if it states none.
+    std::string m_expected; ///< Expected outcome from a replayed trace; empty if the trace has none.
 
     bool operator==(const Request &) const = default;
 };
 
 enum class Outcome {
-    Ok, ///< A whole answer, and its own.
-    NotRun, ///< The system says that it did not run.
-    Unknown, ///< The system, or a lost connection, leaves open whether it ran.
+    Ok, ///< The answer is complete and belongs to the request.
+    NotRun, ///< The system guarantees that the request did not run.
+    Unknown, ///< The request may have run: the system reported so, or the connection was lost.
     Failed, ///< Any other error.
-    Wrong, ///< An answer that claims to be whole and is not, or is not this request's.
+    Wrong, ///< The answer violates a guarantee: it is reported as complete but is not, or it belongs to another request.
 };
 
-/// Stable name of an outcome in reports and traces.
+/// Returns the stable name of an outcome, as used in reports and traces.
 std::string_view outcomeName(Outcome outcome);
 
-/// What became of a request.
+/// The result of a request.
 struct Observation
 {
     Outcome m_outcome = Outcome::Failed;
-    std::string m_code; ///< Error code of the answer, or one of the caller's own; empty if Ok.
-    std::string m_detail; ///< What was wrong, for people.
-    int m_status = 0; ///< HTTP status of the last answer; 0 if there was none.
-    std::string m_key; ///< Idempotency key of the last try.
-    std::string m_entry; ///< Address of the last try.
-    std::string m_version; ///< Version that the answer names.
-    std::string m_digest; ///< Digest that the answer names.
-    std::string m_weights; ///< Part of the tokens that tells the weights.
+    std::string m_code; ///< Error code from the answer or from the caller itself; empty if Ok.
+    std::string m_detail; ///< Human-readable description of the problem.
+    int m_status = 0; ///< HTTP status of the last answer; 0 if there was no answer.
+    std::string m_key; ///< Idempotency key of the last attempt.
+    std::string m_entry; ///< Address of the entry used by the last attempt.
+    std::string m_version; ///< Version named in the answer.
+    std::string m_digest; ///< Digest named in the answer.
+    std::string m_weights; ///< Part of the tokens that identifies the weights.
     std::uint64_t m_tokens = 0;
-    std::uint32_t m_retries = 0; ///< Tries beyond the first.
-    std::uint32_t m_brokenTries = 0; ///< Tries that were sent and got no whole answer: each may have run.
-    Core::Duration m_retryAfter{0}; ///< What the last refusal asked for.
-    double m_startedMs = 0; ///< From the start of the run.
-    double m_waitedMs = 0; ///< From arrival to the first try; large if the load tool itself falls behind.
-    double m_firstTokenMs = 0; ///< From arrival; 0 if there was none.
-    double m_totalMs = 0; ///< From arrival.
-    double m_largestGapMs = 0; ///< Longest time between two tokens.
+    std::uint32_t m_retries = 0; ///< Attempts after the first one.
+    std::uint32_t m_brokenTries = 0; ///< Attempts that were sent but got no complete answer; each of them may have run.
+    Core::Duration m_retryAfter{0}; ///< Delay requested by the last refusal.
+    double m_startedMs = 0; ///< Start of the first attempt, since the start of the run.
+    double m_waitedMs = 0; ///< From arrival to the first attempt; large if the load tool cannot keep up.
+    double m_firstTokenMs = 0; ///< From arrival to the first token; 0 if there was none.
+    double m_totalMs = 0; ///< From arrival to the end of the last attempt.
+    double m_largestGapMs = 0; ///< Longest time between two consecutive tokens.
 
     bool operator==(const Observation &) const = default;
 };
--- a/Libraries/LibLoad/RequestSource.cpp
+++ b/Libraries/LibLoad/RequestSource.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t PrefixBytes = 96; ///< More than an engine looks at for its prefix cache.
+constexpr std::size_t PrefixBytes = 96; ///< Longer than the prefix that an engine compares for its prefix cache.
 
 std::string prefixText(const std::string &account, std::uint64_t number)
 {
--- a/Libraries/LibLoad/Trace.h
+++ b/Libraries/LibLoad/Trace.h
@@ -1,4 +1,4 @@
-/// @file Recorded requests with their outcomes, one JSON object a line (see docs/TESTING.md).
+/// @file Traces: recorded requests with their outcomes, one JSON object per line (see docs/TESTING.md).
 #pragma once
 
 #include "LibLoad/Request.h"
@@ -10,17 +10,17 @@
 
 namespace Load {
 
-/// Limits of a trace that is read.
+/// Limits of a trace file.
 inline constexpr std::size_t MaximumTraceRequests = 1000000;
 inline constexpr std::size_t MaximumTraceLineBytes = 1 << 20;
 
-/// One line of a trace, newline included. The observed outcome becomes the stated one, so that a recording can be replayed as it is.
+/// Returns one line of a trace, newline included. The observed outcome is written as the expected one, so that a recording can be replayed unchanged.
 std::string traceLine(const Request &request, const Observation &observation);
 
-/// Reads one line; fails with InvalidInput.
+/// Parses one line. Fails with InvalidInput.
 Core::Result<Request> parseTraceLine(const std::string &line, std::uint64_t index);
 
-/// Reads a file; fails with InvalidInput, naming the line, or NotFound.
+/// Reads a trace file. Fails with NotFound, or with InvalidInput and the line number.
 Core::Result<std::vector<Request>> readTrace(const std::string &path);
 
 }
--- a/Tests/LibLoad/TestCaller.cpp
+++ b/Tests/LibLoad/TestCaller.cpp
@@ -1,4 +1,4 @@
-/// @file A caller repeats what may be repeated, elsewhere, and never what may not.
+/// @file Tests that a caller retries repeatable requests at another entry, and never resends calls that are not repeatable.
 
 #include "LibJson/Json.h"
 #include "LibLoad/LoadRun.h"
@@ -15,13 +15,13 @@
 using HttpRequest = Poco::Net::HTTPServerRequest;
 using HttpResponse = Poco::Net::HTTPServerResponse;
 
-/// An entry that answers as a test tells it.
+/// An entry whose answers are set by the test.
 class FakeEntry
 {
 public:
     std::function<void(HttpRequest &, HttpResponse &)> m_onRequest;
-    std::atomic<int> m_requestCount = 0; ///< Requests for work that arrived.
-    std::vector<std::string> m_keys; ///< Of all requests for work; read after they have ended.
+    std::atomic<int> m_requestCount = 0; ///< Requests received, without those for addresses.
+    std::vector<std::string> m_keys; ///< Idempotency keys of these requests; read after they have ended.
     std::mutex m_mutex;
 
     FakeEntry()
@@ -105,9 +105,9 @@
 
 }
 
-TEST_CASE("a generation whose connection is lost is repeated at another entry")
+TEST_CASE("A generate request whose connection is lost is retried at another entry")
 {
-    // An entry dies with an answer under way. The buyer's program asks another entry and gets the whole draft.
+    // Guards against failed requests when an entry dies during an answer: the caller must get the complete answer from another entry.
     FakeEntry broken;
     FakeEntry healthy;
     broken.m_onRequest = dropRequest;
@@ -124,9 +124,9 @@
     REQUIRE(healthy.m_requestCount == 10);
 }
 
-TEST_CASE("a call that may not be repeated is never sent twice, and its loss is no claim that it did not run")
+TEST_CASE("A call that is not repeatable is sent only once, and its outcome is unknown if the answer is lost")
 {
-    // The answer to a booking is lost. A caller that sends it again books twice; one that reports "not run" lets a person book again.
+    // Guards against double bookings when an answer is lost: resending the call would book twice, and reporting it as not run would invite a second booking.
     FakeEntry broken;
     broken.m_onRequest = dropRequest;
     broken.start({broken.m_address});
@@ -136,7 +136,7 @@
     REQUIRE(broken.m_keys == std::vector<std::string>{"9.run-0-0"});
 }
 
-TEST_CASE("an entry that cannot be reached is passed over, also by a call that may not be repeated")
+TEST_CASE("A request to an unreachable entry is retried at another one, even if the call is not repeatable")
 {
     FakeEntry unreachable;
     FakeEntry healthy;
@@ -150,7 +150,7 @@
     REQUIRE(healthy.m_requestCount == 5);
 }
 
-TEST_CASE("a refusal is taken as told, or waited out with a key of its own for each try")
+TEST_CASE("A refused call ends as not run, or is retried with a new key for each attempt if the caller honours Retry-After")
 {
     FakeEntry entry;
     entry.m_onRequest = [&entry](HttpRequest &request, HttpResponse &response) {
@@ -168,7 +168,7 @@
     REQUIRE(entry.m_keys == std::vector<std::string>{"9.run-0-0", "9.run-0-0", "9.run-0-1"});
 }
 
-TEST_CASE("a run performs every request once and reports each")
+TEST_CASE("A run performs and reports each request once")
 {
     FakeEntry entry;
     entry.m_onRequest = sendCompleteAnswer;
--- a/Tests/LibLoad/TestRequests.cpp
+++ b/Tests/LibLoad/TestRequests.cpp
@@ -1,4 +1,4 @@
-/// @file The load is the same for the same seed, traces come back as they were, and addresses are kept for their lifetime.
+/// @file Tests of reproducible workloads, traces and the cache of entry addresses.
 
 #include "LibLoad/EntryAddressCache.h"
 #include "LibLoad/Report.h"
@@ -40,7 +40,7 @@
 
 }
 
-TEST_CASE("a mix gives its rate, shares and unique prompts, and the same ones for the same seed")
+TEST_CASE("A workload has the configured rate, shares and unique prompts, and equal seeds give equal requests")
 {
     const std::vector<Load::Request> requests = allRequests(makeWorkload());
     REQUIRE(requests.size() == 4000);
@@ -63,7 +63,7 @@
     REQUIRE(static_cast<double>(calls) == Approx(1000).epsilon(0.1));
 }
 
-TEST_CASE("a run ends by time as well as by count")
+TEST_CASE("A run ends at its maximum duration as well as at its maximum count")
 {
     Load::Workload mix = makeWorkload();
     mix.m_duration = Core::Duration(1000);
@@ -72,7 +72,7 @@
     REQUIRE(requests.back().m_at <= mix.m_duration);
 }
 
-TEST_CASE("a recorded request is replayed as it was, with its outcome stated")
+TEST_CASE("A recorded request is replayed unchanged, with its outcome as the expected one")
 {
     Load::Request request = allRequests(makeWorkload()).at(7);
     Load::Observation observation;
@@ -88,7 +88,7 @@
     REQUIRE(report.unexpected() == 1);
 }
 
-TEST_CASE("malformed traces are refused")
+TEST_CASE("Malformed traces are rejected")
 {
     const std::string good = R"({"kind":"generate","account":"a","name":"t","prompt":"p")";
     REQUIRE(Load::parseTraceLine(good + "}", 0));
@@ -100,7 +100,7 @@
     REQUIRE(Load::readTrace("/nowhere/trace").error().m_code == Core::ErrorCode::NotFound);
 }
 
-TEST_CASE("addresses are kept for their lifetime, and failed ones left out")
+TEST_CASE("Addresses are cached for their lifetime, and failed ones are not picked")
 {
     const Core::Instant start{};
     Core::Random random(3);
--- a/Utilities/oriolerail-load/Arguments.cpp
+++ b/Utilities/oriolerail-load/Arguments.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the command line on cxxopts.
+/// @file Implementation of the command line with cxxopts.
 
 #include "Arguments.h"
 
@@ -44,7 +44,7 @@
     return entries;
 }
 
-/// "name" or "name:weight", separated by commas.
+/// Parses a comma-separated list of NAME or NAME:WEIGHT.
 Core::Result<std::vector<Load::AccountWeight>> parseAccounts(const std::string &text)
 {
     std::vector<Load::AccountWeight> accounts;
--- a/Utilities/oriolerail-load/Main.cpp
+++ b/Utilities/oriolerail-load/Main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-load: callers with deadlines and keys that judge every answer.
+/// @file oriolerail-load: sends requests with deadlines and idempotency keys, and checks every answer.
 
 #include "Arguments.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Files that get a line for each request.
+/// Writes a line for each request to the CSV file and the trace, if they are configured.
 class Recorder
 {
 public:
