--- a/Libraries/LibScenario/FleetView.cpp
+++ b/Libraries/LibScenario/FleetView.cpp
@@ -57,13 +57,13 @@
 
 }
 
-std::uint64_t originBytes(const Bench::Fleet &fleet)
+std::uint64_t originBytesSent(const Bench::Fleet &fleet)
 {
     const Core::Result<Poco::JSON::Object::Ptr> journal = fleet.page("origin", "/journal");
     return journal ? journal.value()->optValue<Poco::UInt64>("data_bytes", 0) : 0;
 }
 
-Core::Result<std::uint64_t> controlRecords(const Bench::Fleet &fleet)
+Core::Result<std::uint64_t> nextControlOffset(const Bench::Fleet &fleet)
 {
     Platform::HttpLog log({}, fleet.layout().m_log);
     const Platform::LogPage page = BOOST_OUTCOME_TRYX(log.read("control", 1, Platform::ReadOptions{1, Core::Duration(0)}));
@@ -94,7 +94,7 @@
     return serving;
 }
 
-double counterOf(const Bench::Fleet &fleet, const std::string &process, const std::string &name)
+double counterValue(const Bench::Fleet &fleet, const std::string &process, const std::string &name)
 {
     const Core::Result<const Bench::ProcessSpec *> spec = fleet.find(process);
     if (!spec) {
@@ -118,7 +118,7 @@
                 continue;
             }
             ++answered;
-            if (counterOf(fleet, spec->m_name, AppliedGauge) < static_cast<double>(revision)) {
+            if (counterValue(fleet, spec->m_name, AppliedGauge) < static_cast<double>(revision)) {
                 return false;
             }
         }
@@ -129,9 +129,9 @@
     return true;
 }
 
-std::int64_t addressesNamed(const Bench::Fleet &fleet)
+std::int64_t countListedAddresses(const Bench::Fleet &fleet)
 {
-    std::int64_t most = 0;
+    std::int64_t maximum = 0;
     for (const Bench::ProcessSpec *entry : fleet.ofKind(Bench::ProcessKind::Entry)) {
         const Core::Result<std::string> body = Bench::httpGet(entry->m_callers, "/v1/addresses");
         if (!body) {
@@ -139,12 +139,12 @@
         }
         const Core::Result<Poco::JSON::Object::Ptr> answer = lastObject(body.value());
         const Poco::JSON::Array::Ptr addresses = answer ? answer.value()->getArray("addresses") : Poco::JSON::Array::Ptr();
-        most = std::max(most, addresses ? static_cast<std::int64_t>(addresses->size()) : 0);
+        maximum = std::max(maximum, addresses ? static_cast<std::int64_t>(addresses->size()) : 0);
     }
-    return most;
+    return maximum;
 }
 
-Core::Result<std::uint64_t> publishedRevision(const std::string &output)
+Core::Result<std::uint64_t> parsePublishedRevision(const std::string &output)
 {
     const Poco::JSON::Object::Ptr object = BOOST_OUTCOME_TRYX(lastObject(output));
     if (!object->has("revision")) {
@@ -168,8 +168,8 @@
         for (const Bench::ProcessSpec *spec : fleet.ofKind(kind)) {
             const std::string page = kind == Bench::ProcessKind::Engine ? "/status" : "/dump";
             const Core::Result<std::string> body = Bench::httpGet(spec->m_health, page);
-            constexpr std::size_t longest = 1500;
-            text << "    " << spec->m_name << ": " << (body ? body.value().substr(0, longest) : body.error().message()) << "\n";
+            constexpr std::size_t maximumBytes = 1500;
+            text << "    " << spec->m_name << ": " << (body ? body.value().substr(0, maximumBytes) : body.error().message()) << "\n";
         }
     }
     return text.str();
--- a/Libraries/LibScenario/FleetView.h
+++ b/Libraries/LibScenario/FleetView.h
@@ -10,10 +10,10 @@
 namespace Scenario {
 
 /// Bytes of weights that have left the origin, by its own journal; 0 if it cannot be asked.
-std::uint64_t originBytes(const Bench::Fleet &fleet);
+std::uint64_t originBytesSent(const Bench::Fleet &fleet);
 
 /// Offset that the log gives to the next record of the control stream.
-Core::Result<std::uint64_t> controlRecords(const Bench::Fleet &fleet);
+Core::Result<std::uint64_t> nextControlOffset(const Bench::Fleet &fleet);
 
 /// Content digests of the stored versions.
 struct StoredDigests
@@ -31,13 +31,13 @@
 bool isInForceEverywhere(const Bench::Fleet &fleet, std::uint64_t revision);
 
 /// Value of a counter of a process; 0 if the process or the counter is not there.
-double counterOf(const Bench::Fleet &fleet, const std::string &process, const std::string &name);
+double counterValue(const Bench::Fleet &fleet, const std::string &process, const std::string &name);
 
 /// How many addresses the entries name to callers; the largest answer counts.
-std::int64_t addressesNamed(const Bench::Fleet &fleet);
+std::int64_t countListedAddresses(const Bench::Fleet &fleet);
 
 /// Revision that the command line printed for an accepted publication.
-Core::Result<std::uint64_t> publishedRevision(const std::string &output);
+Core::Result<std::uint64_t> parsePublishedRevision(const std::string &output);
 
 /// Counts that the load tool printed as JSON; nested objects are joined with dots.
 Core::Result<std::map<std::string, double>> parseLoadResult(const std::string &output);
--- a/Libraries/LibScenario/Journals.cpp
+++ b/Libraries/LibScenario/Journals.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-Core::Error broken(const std::string &detail)
+Core::Error makeViolation(const std::string &detail)
 {
     return Core::makeError(Core::ErrorCode::Internal, "judge journals", "", detail);
 }
 
-std::set<std::string> knownDigests(const StoredDigests &stored)
+std::set<std::string> digestsOf(const StoredDigests &stored)
 {
     std::set<std::string> digests;
     for (const std::pair<const std::string, std::string> &entry : stored.m_byVersion) {
@@ -25,7 +25,7 @@
 }
 
 /// Objects of the named list in a process's journal. A process that was killed has lost its journal and is passed over.
-std::vector<Poco::JSON::Object::Ptr> journalOf(const Bench::Fleet &fleet, const std::string &process, const std::string &list)
+std::vector<Poco::JSON::Object::Ptr> journalEntries(const Bench::Fleet &fleet, const std::string &process, const std::string &list)
 {
     std::vector<Poco::JSON::Object::Ptr> items;
     const Core::Result<Poco::JSON::Object::Ptr> journal = fleet.page(process, "/journal");
@@ -36,31 +36,32 @@
     return items;
 }
 
-Core::Result<void> judgeEngines(const Bench::Fleet &fleet, const std::set<std::string> &known)
+Core::Result<void> checkEngineJournals(const Bench::Fleet &fleet, const std::set<std::string> &storedDigests)
 {
     for (const Bench::ProcessSpec *engine : fleet.ofKind(Bench::ProcessKind::Engine)) {
-        for (const Poco::JSON::Object::Ptr &run : journalOf(fleet, engine->m_name, "ran")) {
+        for (const Poco::JSON::Object::Ptr &run : journalEntries(fleet, engine->m_name, "ran")) {
             const std::string digest = run->optValue<std::string>("digest", "");
-            if (!known.contains(digest)) {
-                return broken(engine->m_name + " ran request " + run->optValue<std::string>("request", "?") + " on weights that no version has: " + digest);
+            if (!storedDigests.contains(digest)) {
+                return makeViolation(engine->m_name + " ran request " + run->optValue<std::string>("request", "?")
+                                     + " on weights that no version has: " + digest);
             }
         }
     }
     return Core::success();
 }
 
-Core::Result<void> judgeServices(const Bench::Fleet &fleet)
+Core::Result<void> checkServiceJournals(const Bench::Fleet &fleet)
 {
-    std::map<std::string, std::string> firstRun;
+    std::map<std::string, std::string> firstServiceByKey;
     for (const Bench::ProcessSpec *service : fleet.ofKind(Bench::ProcessKind::PlainService)) {
-        for (const Poco::JSON::Object::Ptr &effect : journalOf(fleet, service->m_name, "effects")) {
+        for (const Poco::JSON::Object::Ptr &effect : journalEntries(fleet, service->m_name, "effects")) {
             const std::string key = effect->optValue<std::string>("key", "");
             if (key.empty()) {
                 continue;
             }
-            const std::pair<std::map<std::string, std::string>::iterator, bool> added = firstRun.emplace(key, service->m_name);
+            const std::pair<std::map<std::string, std::string>::iterator, bool> added = firstServiceByKey.emplace(key, service->m_name);
             if (!added.second) {
-                return broken("key " + key + " had an effect at " + added.first->second + " and again at " + service->m_name);
+                return makeViolation("key " + key + " had an effect at " + added.first->second + " and again at " + service->m_name);
             }
         }
     }
@@ -69,10 +70,10 @@
 
 }
 
-Core::Result<void> judgeJournals(const Bench::Fleet &fleet, const StoredDigests &stored)
+Core::Result<void> checkJournals(const Bench::Fleet &fleet, const StoredDigests &stored)
 {
-    BOOST_OUTCOME_TRYV(judgeEngines(fleet, knownDigests(stored)));
-    return judgeServices(fleet);
+    BOOST_OUTCOME_TRYV(checkEngineJournals(fleet, digestsOf(stored)));
+    return checkServiceJournals(fleet);
 }
 
 }
--- a/Libraries/LibScenario/Journals.h
+++ b/Libraries/LibScenario/Journals.h
@@ -7,6 +7,6 @@
 namespace Scenario {
 
 /// Fails, naming the evidence, if an engine ran a request on weights that no stored version has, or a key had more than one effect.
-Core::Result<void> judgeJournals(const Bench::Fleet &fleet, const StoredDigests &stored);
+Core::Result<void> checkJournals(const Bench::Fleet &fleet, const StoredDigests &stored);
 
 }
--- a/Libraries/LibScenario/RandomScript.cpp
+++ b/Libraries/LibScenario/RandomScript.cpp
@@ -11,8 +11,8 @@
 
 constexpr int MinimumFaults = 4;
 constexpr int FaultSpread = 5;
-constexpr int MinimumHoldMs = 200;
-constexpr int HoldSpreadMs = 2500;
+constexpr int MinimumSleepMs = 200;
+constexpr int SleepSpreadMs = 2500;
 constexpr int Replicas = 4;
 constexpr int DraftCount = 300;
 constexpr int BookingCount = 120;
@@ -28,7 +28,7 @@
         : m_random(seed)
     {
         m_script.m_name = "soak-" + std::to_string(seed);
-        m_script.m_about = "Random faults while callers are served.";
+        m_script.m_description = "Random faults while callers are served.";
         m_script.m_topology = Bench::smallTopology();
     }
 
@@ -38,9 +38,9 @@
         const int faults = MinimumFaults + static_cast<int>(m_random.below(FaultSpread));
         for (int fault = 0; fault < faults; ++fault) {
             addFault();
-            add(Hold{Core::Duration(MinimumHoldMs + static_cast<int>(m_random.below(HoldSpreadMs)))}, "hold");
+            add(Sleep{Core::Duration(MinimumSleepMs + static_cast<int>(m_random.below(SleepSpreadMs)))}, "hold");
         }
-        addMending();
+        addRepairs();
         addEnd();
         return m_script;
     }
@@ -76,7 +76,7 @@
         load.m_rate = rate;
         load.m_keyed = keyed;
         load.m_background = background;
-        load.m_comesBack = !keyed;
+        load.m_honoursRetryAfter = !keyed;
         add(load, "load " + name);
     }
 
@@ -86,7 +86,7 @@
         wait.m_condition = condition;
         wait.m_name = m_version;
         wait.m_number = Replicas;
-        wait.m_patience = Core::Duration(60000);
+        wait.m_timeout = Core::Duration(60000);
         add(wait, condition == Condition::Serving ? "wait until version " + m_version + " serves" : "wait until in force");
     }
 
@@ -106,7 +106,7 @@
         addLoad("bookings", "call:booking-desk", BookingCount, BookingRate, true, true);
     }
 
-    std::string anyProcess()
+    std::string randomProcess()
     {
         const std::vector<std::string> processes = {
             "entry-1",
@@ -123,20 +123,20 @@
 
     void addKill()
     {
-        const std::string process = anyProcess();
+        const std::string process = randomProcess();
         if (m_frozen.contains(process) || !m_killed.insert(process).second) {
             return;
         }
-        add(Act{ProcessAction::Kill, process}, "kill " + process);
+        add(ControlProcess{ProcessAction::Kill, process}, "kill " + process);
     }
 
     void addFreeze()
     {
-        const std::string process = anyProcess();
+        const std::string process = randomProcess();
         if (m_killed.contains(process) || !m_frozen.insert(process).second) {
             return;
         }
-        add(Act{ProcessAction::Freeze, process}, "freeze " + process);
+        add(ControlProcess{ProcessAction::Freeze, process}, "freeze " + process);
     }
 
     void addNetworkFault(const std::string &kind)
@@ -169,16 +169,16 @@
         }
     }
 
-    void addMending()
+    void addRepairs()
     {
         add(Fault{"network", R"({"cut": [], "silent": []})"}, "network mended");
         add(Fault{"log", R"({"lose_answers": false, "list_down": false})"}, "log mended");
         add(Fault{"origin", R"({"corrupt_percent": 0})"}, "origin mended");
         for (const std::string &process : m_frozen) {
-            add(Act{ProcessAction::Resume, process}, "resume " + process);
+            add(ControlProcess{ProcessAction::Resume, process}, "resume " + process);
         }
         for (const std::string &process : m_killed) {
-            add(Act{ProcessAction::Replace, process}, "replace " + process);
+            add(ControlProcess{ProcessAction::Replace, process}, "replace " + process);
         }
     }
 
--- a/Libraries/LibScenario/Runner.cpp
+++ b/Libraries/LibScenario/Runner.cpp
@@ -16,12 +16,12 @@
 namespace {
 
 constexpr std::int64_t MillisecondsPerSecond = 1000;
-constexpr Core::Duration LoadPatience{180000};
+constexpr Core::Duration LoadTimeout{180000};
 
 /// Counts of a load that a report shows; a failed expectation shows all of them.
 constexpr std::array<std::string_view, 8> ReportedFields = {"sent", "ok", "not_run", "unknown", "failed", "wrong", "first_token_ms.p95", "total_ms.p95"};
 
-Core::Error notHeld(const std::string &step, const std::string &detail)
+Core::Error makeStepError(const std::string &step, const std::string &detail)
 {
     return Core::makeError(Core::ErrorCode::Internal, step, "", detail);
 }
@@ -39,7 +39,7 @@
     return "is";
 }
 
-bool compares(double value, Relation relation, double number)
+bool satisfies(double value, Relation relation, double number)
 {
     switch (relation) {
     case Relation::Equal:
@@ -68,19 +68,19 @@
     m_digests = BOOST_OUTCOME_TRYX(readStoredDigests(*m_fleet));
     for (const Step &step : m_script.m_steps) {
         const Core::Instant started = Core::Clock::now();
-        const Core::Result<void> done = runStep(step);
-        m_output << std::fixed << std::setprecision(2) << "  " << (done ? "ok    " : "FAILED") << " " << Core::secondsBetween(started, Core::Clock::now())
+        const Core::Result<void> result = runStep(step);
+        m_output << std::fixed << std::setprecision(2) << "  " << (result ? "ok    " : "FAILED") << " " << Core::secondsBetween(started, Core::Clock::now())
                  << " s  " << step.m_text << std::endl;
-        if (!done) {
+        if (!result) {
             m_fleet->keepDirectory();
             m_output << "  settings and logs of the processes are kept in " << m_fleet->directory() << std::endl;
-            return done;
+            return result;
         }
     }
     const std::vector<std::string> ended = m_fleet->unexpectedEnds();
     if (!ended.empty()) {
-        return notHeld("end of scenario",
-                       "process " + ended.front() + " ended by itself:\n" + Bench::readWholeFile(m_fleet->process(ended.front())->logFile()));
+        return makeStepError("end of scenario",
+                             "process " + ended.front() + " ended by itself:\n" + Bench::readWholeFile(m_fleet->process(ended.front())->logFile()));
     }
     return Core::success();
 }
@@ -103,9 +103,9 @@
     if (publish.m_basedOn >= 0) {
         publication.m_basedOn = static_cast<std::uint64_t>(publish.m_basedOn);
     }
-    m_originBytesBefore = originBytes(*m_fleet);
+    m_originBytesAtPublication = originBytesSent(*m_fleet);
     m_publishedAt = Core::Clock::now();
-    for (int time = 0; time < publish.m_times; ++time) {
+    for (int repetition = 0; repetition < publish.m_repetitions; ++repetition) {
         BOOST_OUTCOME_TRYV(publishOnce(publication, publish.m_refused));
     }
     return Core::success();
@@ -115,10 +115,10 @@
 {
     const Bench::ToolOutcome outcome = BOOST_OUTCOME_TRYX(Bench::publish(*m_fleet, m_programs, publication));
     if ((outcome.m_exitCode != 0) != refused) {
-        return notHeld("publish", "exit code " + std::to_string(outcome.m_exitCode) + ": " + outcome.m_output);
+        return makeStepError("publish", "exit code " + std::to_string(outcome.m_exitCode) + ": " + outcome.m_output);
     }
     if (!refused) {
-        m_lastRevision = BOOST_OUTCOME_TRYX(publishedRevision(outcome.m_output));
+        m_lastRevision = BOOST_OUTCOME_TRYX(parsePublishedRevision(outcome.m_output));
     }
     return Core::success();
 }
@@ -149,7 +149,7 @@
         "--output",
         "json",
     };
-    if (load.m_comesBack) {
+    if (load.m_honoursRetryAfter) {
         arguments.push_back("--honour-retry-after");
     }
     if (load.m_keyed) {
@@ -175,10 +175,10 @@
 {
     const std::map<std::string, Bench::Process>::iterator it = m_loads.find(name);
     if (it == m_loads.end()) {
-        return notHeld("join load", "no load " + name + " is running");
+        return makeStepError("join load", "no load " + name + " is running");
     }
-    if (!it->second.wait(LoadPatience)) {
-        return notHeld("join load", "load " + name + " did not end in time");
+    if (!it->second.wait(LoadTimeout)) {
+        return makeStepError("join load", "load " + name + " did not end in time");
     }
     const std::string output = Bench::readWholeFile(it->second.logFile());
     m_loads.erase(it);
@@ -186,19 +186,19 @@
     return Core::success();
 }
 
-Core::Result<void> Runner::perform(const Act &act)
+Core::Result<void> Runner::perform(const ControlProcess &control)
 {
-    switch (act.m_action) {
+    switch (control.m_action) {
     case ProcessAction::Kill:
-        return m_fleet->kill(act.m_process);
+        return m_fleet->kill(control.m_process);
     case ProcessAction::Terminate:
-        return m_fleet->terminate(act.m_process);
+        return m_fleet->terminate(control.m_process);
     case ProcessAction::Freeze:
-        return m_fleet->freeze(act.m_process);
+        return m_fleet->freeze(control.m_process);
     case ProcessAction::Resume:
-        return m_fleet->resume(act.m_process);
+        return m_fleet->resume(control.m_process);
     case ProcessAction::Replace:
-        return m_fleet->replace(act.m_process);
+        return m_fleet->replace(control.m_process);
     }
     return Core::success();
 }
@@ -208,7 +208,7 @@
     return m_fleet->setFaults(fault.m_process, fault.m_json);
 }
 
-bool Runner::holds(const Wait &wait)
+bool Runner::isMet(const Wait &wait)
 {
     switch (wait.m_condition) {
     case Condition::Serving:
@@ -220,31 +220,31 @@
         return process && process->poll() == static_cast<int>(wait.m_number);
     }
     case Condition::Counter:
-        return counterOf(*m_fleet, wait.m_process, wait.m_name) >= static_cast<double>(wait.m_number);
+        return counterValue(*m_fleet, wait.m_process, wait.m_name) >= static_cast<double>(wait.m_number);
     case Condition::Unlisted:
-        return addressesNamed(*m_fleet) <= wait.m_number;
+        return countListedAddresses(*m_fleet) <= wait.m_number;
     }
     return false;
 }
 
 Core::Result<void> Runner::perform(const Wait &wait)
 {
-    const bool held = Bench::waitUntil([this, &wait] { return holds(wait); }, wait.m_patience);
-    if (!held) {
-        return notHeld(
-            "wait", "the condition did not come within " + std::to_string(wait.m_patience.count() / MillisecondsPerSecond) + " s\n" + describeFleet(*m_fleet));
+    const bool met = Bench::waitUntil([this, &wait] { return isMet(wait); }, wait.m_timeout);
+    if (!met) {
+        return makeStepError(
+            "wait", "the condition did not come within " + std::to_string(wait.m_timeout.count() / MillisecondsPerSecond) + " s\n" + describeFleet(*m_fleet));
     }
     if (wait.m_condition == Condition::Serving) {
-        m_figures["seconds to " + std::to_string(wait.m_number) + " replicas of version " + wait.m_name] =
+        m_measurements["seconds to " + std::to_string(wait.m_number) + " replicas of version " + wait.m_name] =
             Core::secondsBetween(m_publishedAt, Core::Clock::now());
-        m_figures["origin copies for version " + wait.m_name] = originCopies();
+        m_measurements["origin copies for version " + wait.m_name] = originCopies();
     }
     return Core::success();
 }
 
-Core::Result<void> Runner::perform(const Hold &hold)
+Core::Result<void> Runner::perform(const Sleep &sleep)
 {
-    std::this_thread::sleep_for(hold.m_time);
+    std::this_thread::sleep_for(sleep.m_duration);
     return Core::success();
 }
 
@@ -252,40 +252,40 @@
 {
     const std::map<std::string, LoadResult>::const_iterator result = m_results.find(expect.m_load);
     if (result == m_results.end()) {
-        return notHeld("expect", "no load " + expect.m_load + " has ended");
+        return makeStepError("expect", "no load " + expect.m_load + " has ended");
     }
     const LoadResult::const_iterator value = result->second.find(expect.m_field);
     if (value == result->second.end()) {
-        return notHeld("expect", "load " + expect.m_load + " has no count " + expect.m_field);
+        return makeStepError("expect", "load " + expect.m_load + " has no count " + expect.m_field);
     }
-    if (!compares(value->second, expect.m_relation, expect.m_number)) {
+    if (!satisfies(value->second, expect.m_relation, expect.m_number)) {
         std::ostringstream detail;
         detail << expect.m_load << "." << expect.m_field << " = " << value->second << ", expected " << relationName(expect.m_relation) << " "
                << expect.m_number;
         for (const std::pair<const std::string, double> &count : result->second) {
             detail << "\n    " << count.first << " = " << count.second;
         }
-        return notHeld("expect", detail.str());
+        return makeStepError("expect", detail.str());
     }
     return Core::success();
 }
 
 Core::Result<void> Runner::perform(const ExpectJournals &)
 {
-    return judgeJournals(*m_fleet, m_digests);
+    return checkJournals(*m_fleet, m_digests);
 }
 
 double Runner::originCopies() const
 {
     const double weights = static_cast<double>(m_script.m_topology.m_versions.front().m_bytes);
-    return static_cast<double>(originBytes(*m_fleet) - m_originBytesBefore) / weights;
+    return static_cast<double>(originBytesSent(*m_fleet) - m_originBytesAtPublication) / weights;
 }
 
 Core::Result<void> Runner::perform(const ExpectOrigin &expect)
 {
     const double copies = originCopies();
     if (copies > expect.m_atMostCopies) {
-        return notHeld("expect origin", std::to_string(copies) + " copies left the origin, expected at most " + std::to_string(expect.m_atMostCopies));
+        return makeStepError("expect origin", std::to_string(copies) + " copies left the origin, expected at most " + std::to_string(expect.m_atMostCopies));
     }
     return Core::success();
 }
@@ -293,8 +293,8 @@
 Core::Result<void> Runner::perform(const Report &report)
 {
     m_output << "\n" << report.m_title << "\n" << std::fixed << std::setprecision(2);
-    for (const std::pair<const std::string, double> &figure : m_figures) {
-        m_output << "  " << std::left << std::setw(48) << figure.first << std::right << std::setw(10) << figure.second << "\n";
+    for (const std::pair<const std::string, double> &measurement : m_measurements) {
+        m_output << "  " << std::left << std::setw(48) << measurement.first << std::right << std::setw(10) << measurement.second << "\n";
     }
     for (const std::pair<const std::string, LoadResult> &load : m_results) {
         for (const std::string_view field : ReportedFields) {
--- a/Libraries/LibScenario/Runner.h
+++ b/Libraries/LibScenario/Runner.h
@@ -35,10 +35,10 @@
     Core::Result<void> perform(const Publish &publish);
     Core::Result<void> perform(const Load &load);
     Core::Result<void> perform(const Join &join);
-    Core::Result<void> perform(const Act &act);
+    Core::Result<void> perform(const ControlProcess &control);
     Core::Result<void> perform(const Fault &fault);
     Core::Result<void> perform(const Wait &wait);
-    Core::Result<void> perform(const Hold &hold);
+    Core::Result<void> perform(const Sleep &sleep);
     Core::Result<void> perform(const ExpectLoad &expect);
     Core::Result<void> perform(const ExpectJournals &expect);
     Core::Result<void> perform(const ExpectOrigin &expect);
@@ -47,7 +47,7 @@
     Core::Result<void> publishOnce(const Bench::Publication &publication, bool refused);
     std::vector<std::string> loadArguments(const Load &load) const;
     Core::Result<void> finishLoad(const std::string &name);
-    bool holds(const Wait &wait);
+    bool isMet(const Wait &wait);
     double originCopies() const;
 
     const Script m_script;
@@ -58,9 +58,9 @@
     std::map<std::string, Bench::Process> m_loads; ///< Loads that run in the background.
     std::map<std::string, LoadResult> m_results; ///< Loads that have ended.
     std::uint64_t m_lastRevision = 0; ///< Offset of the newest accepted publication.
-    std::uint64_t m_originBytesBefore = 0; ///< Origin journal at the newest publication.
+    std::uint64_t m_originBytesAtPublication = 0; ///< Origin journal at the newest publication.
     Core::Instant m_publishedAt;
-    std::map<std::string, double> m_figures; ///< What a report prints.
+    std::map<std::string, double> m_measurements; ///< What a report prints.
 };
 
 }
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t MaximumSteps = 200;
-constexpr std::int64_t MaximumPatienceSeconds = 120;
+constexpr std::int64_t MaximumWaitSeconds = 120;
 constexpr std::int64_t MaximumNumber = 1'000'000'000;
 
 Bench::Topology presetTopology(const std::string &preset)
@@ -59,7 +59,7 @@
     publish.m_operator = reader.text("operator", "technician");
     publish.m_basedOn = reader.integer("based_on", -1, MaximumNumber, -1);
     publish.m_refused = reader.flag("refused", false);
-    publish.m_times = static_cast<int>(reader.integer("times", 1, 1000, 1));
+    publish.m_repetitions = static_cast<int>(reader.integer("times", 1, 1000, 1));
     return publish;
 }
 
@@ -72,7 +72,7 @@
     load.m_rate = reader.number("rate", 0.1, 5000, 10);
     load.m_count = static_cast<int>(reader.integer("count", 1, 100000));
     load.m_keyed = reader.flag("keyed", false);
-    load.m_comesBack = reader.flag("comes_back", false);
+    load.m_honoursRetryAfter = reader.flag("comes_back", false);
     load.m_background = reader.flag("background", false);
     load.m_maximumTokens = static_cast<int>(reader.integer("tokens", 1, 10000, 8));
     load.m_timeoutMs = static_cast<int>(reader.integer("timeout_ms", 100, 120000, 20000));
@@ -82,7 +82,7 @@
 Wait readWait(Settings::Reader &reader)
 {
     Wait wait;
-    wait.m_patience = Core::Duration(1000 * reader.integer("within_s", 1, MaximumPatienceSeconds, 30));
+    wait.m_timeout = Core::Duration(1000 * reader.integer("within_s", 1, MaximumWaitSeconds, 30));
     const std::string condition = reader.choice("until", {"serving", "in_force", "ended", "counter", "unlisted"}, "serving");
     if (condition == "serving") {
         wait.m_condition = Condition::Serving;
@@ -126,9 +126,9 @@
     return expect;
 }
 
-Act readAct(Settings::Reader &reader, ProcessAction action)
+ControlProcess readControlProcess(Settings::Reader &reader, ProcessAction action)
 {
-    return Act{action, reader.text("process")};
+    return ControlProcess{action, reader.text("process")};
 }
 
 /// Reads the step's single verb, if it is @p name, into @p step.
@@ -143,11 +143,11 @@
     step.m_text = name;
 }
 
-void readActVerb(Settings::Reader &reader, const std::string &name, ProcessAction action, int &verbs, Step &step)
+void readControlProcessVerb(Settings::Reader &reader, const std::string &name, ProcessAction action, int &verbs, Step &step)
 {
-    readVerb(reader, name, verbs, step, [action](Settings::Reader &section) { return readAct(section, action); });
-    if (const Act *act = std::get_if<Act>(&step.m_verb); act != nullptr && step.m_text == name) {
-        step.m_text = name + " " + act->m_process;
+    readVerb(reader, name, verbs, step, [action](Settings::Reader &section) { return readControlProcess(section, action); });
+    if (const ControlProcess *control = std::get_if<ControlProcess>(&step.m_verb); control != nullptr && step.m_text == name) {
+        step.m_text = name + " " + control->m_process;
     }
 }
 
@@ -158,14 +158,14 @@
     readVerb(reader, "publish", verbs, step, readPublish);
     readVerb(reader, "load", verbs, step, readLoad);
     readVerb(reader, "join", verbs, step, [](Settings::Reader &section) { return Join{section.text("load")}; });
-    readActVerb(reader, "kill", ProcessAction::Kill, verbs, step);
-    readActVerb(reader, "terminate", ProcessAction::Terminate, verbs, step);
-    readActVerb(reader, "freeze", ProcessAction::Freeze, verbs, step);
-    readActVerb(reader, "resume", ProcessAction::Resume, verbs, step);
-    readActVerb(reader, "replace", ProcessAction::Replace, verbs, step);
+    readControlProcessVerb(reader, "kill", ProcessAction::Kill, verbs, step);
+    readControlProcessVerb(reader, "terminate", ProcessAction::Terminate, verbs, step);
+    readControlProcessVerb(reader, "freeze", ProcessAction::Freeze, verbs, step);
+    readControlProcessVerb(reader, "resume", ProcessAction::Resume, verbs, step);
+    readControlProcessVerb(reader, "replace", ProcessAction::Replace, verbs, step);
     readVerb(reader, "fault", verbs, step, [](Settings::Reader &section) { return Fault{section.text("process"), section.text("set")}; });
     readVerb(reader, "wait", verbs, step, readWait);
-    readVerb(reader, "hold", verbs, step, [](Settings::Reader &section) { return Hold{Core::Duration(section.integer("ms", 1, 60000))}; });
+    readVerb(reader, "hold", verbs, step, [](Settings::Reader &section) { return Sleep{Core::Duration(section.integer("ms", 1, 60000))}; });
     readVerb(reader, "expect", verbs, step, readExpectLoad);
     readVerb(reader, "expect_journals", verbs, step, [](Settings::Reader &section) { return ExpectJournals{section.flag("every_ok_ran", true)}; });
     readVerb(reader, "expect_origin", verbs, step, [](Settings::Reader &section) { return ExpectOrigin{section.number("at_most_copies", 0, 1000, 1)}; });
@@ -182,7 +182,7 @@
 {
     return Settings::readDocument(content, file, [&script](Settings::Reader &reader) {
         script.m_name = reader.text("name");
-        script.m_about = reader.text("about");
+        script.m_description = reader.text("about");
         reader.section("fleet", [&script](Settings::Reader &section) { script.m_topology = readTopology(section); });
         reader.list("steps", MaximumSteps, [&script](Settings::Reader &section) { script.m_steps.push_back(readStep(section)); });
         if (script.m_steps.empty()) {
--- a/Libraries/LibScenario/Script.h
+++ b/Libraries/LibScenario/Script.h
@@ -27,7 +27,7 @@
     std::string m_operator;
     std::int64_t m_basedOn = -1; ///< -1: whatever is in force.
     bool m_refused = false; ///< The step holds only if the publication is refused.
-    int m_times = 1; ///< Published so many times, one after another.
+    int m_repetitions = 1; ///< Published so many times, one after another.
 
     bool operator==(const Publish &) const = default;
 };
@@ -42,7 +42,7 @@
     int m_count = 0;
     bool m_keyed = false; ///< Calls that may not be repeated, each with a key of its own.
     bool m_background = false;
-    bool m_comesBack = false; ///< Callers that were refused as not run come back when the refusal says.
+    bool m_honoursRetryAfter = false; ///< Callers that were refused as not run come back when the refusal says.
     int m_maximumTokens = 8;
     int m_timeoutMs = 20000;
 
@@ -65,12 +65,12 @@
     Replace,
 };
 
-struct Act
+struct ControlProcess
 {
     ProcessAction m_action = ProcessAction::Kill;
     std::string m_process;
 
-    bool operator==(const Act &) const = default;
+    bool operator==(const ControlProcess &) const = default;
 };
 
 /// Sets fault switches of a stand-in.
@@ -97,17 +97,17 @@
     std::string m_process;
     std::string m_name; ///< Of a version or a counter.
     std::int64_t m_number = 0;
-    Core::Duration m_patience{30000};
+    Core::Duration m_timeout{30000};
 
     bool operator==(const Wait &) const = default;
 };
 
 /// Lets time pass, for faults that consist of time (a pause, an outage).
-struct Hold
+struct Sleep
 {
-    Core::Duration m_time{0};
+    Core::Duration m_duration{0};
 
-    bool operator==(const Hold &) const = default;
+    bool operator==(const Sleep &) const = default;
 };
 
 enum class Relation {
@@ -151,7 +151,7 @@
     bool operator==(const Report &) const = default;
 };
 
-using Verb = std::variant<Publish, Load, Join, Act, Fault, Wait, Hold, ExpectLoad, ExpectJournals, ExpectOrigin, Report>;
+using Verb = std::variant<Publish, Load, Join, ControlProcess, Fault, Wait, Sleep, ExpectLoad, ExpectJournals, ExpectOrigin, Report>;
 
 struct Step
 {
@@ -164,7 +164,7 @@
 struct Script
 {
     std::string m_name;
-    std::string m_about; ///< Plain sentences: how the failure comes about and what a user notices.
+    std::string m_description; ///< Plain sentences: how the failure comes about and what a user notices.
     Bench::Topology m_topology;
     std::vector<Step> m_steps;
 
--- a/Tests/LibScenario/TestRandomScript.cpp
+++ b/Tests/LibScenario/TestRandomScript.cpp
@@ -16,15 +16,15 @@
         INFO("seed " << seed);
         std::vector<std::string> broken;
         for (const Scenario::Step &step : Scenario::randomScript(seed).m_steps) {
-            const Scenario::Act *act = std::get_if<Scenario::Act>(&step.m_verb);
-            if (!act) {
+            const Scenario::ControlProcess *control = std::get_if<Scenario::ControlProcess>(&step.m_verb);
+            if (!control) {
                 continue;
             }
-            const bool breaks = act->m_action == Scenario::ProcessAction::Kill || act->m_action == Scenario::ProcessAction::Freeze;
+            const bool breaks = control->m_action == Scenario::ProcessAction::Kill || control->m_action == Scenario::ProcessAction::Freeze;
             if (breaks) {
-                broken.push_back(act->m_process);
+                broken.push_back(control->m_process);
             } else {
-                REQUIRE(std::erase(broken, act->m_process) == 1);
+                REQUIRE(std::erase(broken, control->m_process) == 1);
             }
         }
         REQUIRE(broken.empty());
--- a/Utilities/oriolerail-capacity/Trial.cpp
+++ b/Utilities/oriolerail-capacity/Trial.cpp
@@ -149,9 +149,9 @@
     }
     const std::vector<Bench::UsageSample> entriesBefore = sampleAll(*fleet, Bench::ProcessKind::Entry);
     const std::vector<Bench::UsageSample> agentsBefore = sampleAll(*fleet, Bench::ProcessKind::Agent);
-    const std::uint64_t recordsBefore = BOOST_OUTCOME_TRYX(Scenario::controlRecords(*fleet));
+    const std::uint64_t recordsBefore = BOOST_OUTCOME_TRYX(Scenario::nextControlOffset(*fleet));
     BOOST_OUTCOME_TRYV(passTime(*fleet, size, seconds, programs));
-    const std::uint64_t recordsAfter = BOOST_OUTCOME_TRYX(Scenario::controlRecords(*fleet));
+    const std::uint64_t recordsAfter = BOOST_OUTCOME_TRYX(Scenario::nextControlOffset(*fleet));
     TrialResult result;
     result.m_entry = meanRate(entriesBefore, sampleAll(*fleet, Bench::ProcessKind::Entry));
     result.m_agent = meanRate(agentsBefore, sampleAll(*fleet, Bench::ProcessKind::Agent));
--- a/Utilities/oriolerail-scenario/main.cpp
+++ b/Utilities/oriolerail-scenario/main.cpp
@@ -36,9 +36,9 @@
         return ExitOk;
     }
     Scenario::Runner runner(script, programs, std::cout);
-    const Core::Result<void> done = runner.run();
-    if (!done) {
-        std::cout << "scenario " << script.m_name << " FAILED: " << done.error() << std::endl;
+    const Core::Result<void> result = runner.run();
+    if (!result) {
+        std::cout << "scenario " << script.m_name << " FAILED: " << result.error() << std::endl;
         return ExitFailed;
     }
     std::cout << "scenario " << script.m_name << " passed" << std::endl;
--- a/Utilities/oriolerail-soak/main.cpp
+++ b/Utilities/oriolerail-soak/main.cpp
@@ -32,9 +32,9 @@
         const std::uint64_t first = arguments["seed"].as<std::uint64_t>();
         for (std::uint64_t seed = first; seed < first + arguments["rounds"].as<std::uint64_t>(); ++seed) {
             Scenario::Runner runner(Scenario::randomScript(seed), programs, std::cout);
-            const Core::Result<void> done = runner.run();
-            std::cout << "seed " << seed << (done ? " passed" : " FAILED: ") << (done ? "" : done.error().message()) << std::endl;
-            if (!done) {
+            const Core::Result<void> result = runner.run();
+            std::cout << "seed " << seed << (result ? " passed" : " FAILED: ") << (result ? "" : result.error().message()) << std::endl;
+            if (!result) {
                 return ExitFailed;
             }
         }
