--- a/Libraries/LibScenario/FleetView.cpp
+++ b/Libraries/LibScenario/FleetView.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the view on a running fleet.
+/// @file Implementation of the observation of a running fleet.
 
 #include "LibScenario/FleetView.h"
 #include "LibBench/Http.h"
@@ -43,7 +43,7 @@
     }
 }
 
-/// The last line that is a JSON object; tools may print progress before it.
+/// Parses the last line of the output as a JSON object. Tools may print progress before it. Fails with Corrupt.
 Core::Result<Poco::JSON::Object::Ptr> lastObject(const std::string &output)
 {
     const std::size_t start = output.rfind("\n{");
--- a/Libraries/LibScenario/Journals.cpp
+++ b/Libraries/LibScenario/Journals.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the judgement by journals.
+/// @file Implementation of the journal checks.
 
 #include "LibScenario/Journals.h"
 
@@ -24,7 +24,7 @@
     return digests;
 }
 
-/// Objects of the named list in a process's journal. A process that was killed has lost its journal and is passed over.
+/// Returns the objects of a list in the journal of a process; none if it does not answer, since a killed process has lost its journal.
 std::vector<Poco::JSON::Object::Ptr> journalEntries(const Bench::Fleet &fleet, const std::string &process, const std::string &list)
 {
     std::vector<Poco::JSON::Object::Ptr> items;
--- a/Libraries/LibScenario/Journals.h
+++ b/Libraries/LibScenario/Journals.h
@@ -1,4 +1,4 @@
-/// @file Judges the promises from what the stand-ins truly did, not from what the product's processes say.
+/// @file Checks the guarantees of the system against what the stand-ins actually ran, not against the reports of the processes under test.
 #pragma once
 
 #include "LibBench/Fleet.h"
@@ -6,7 +6,7 @@
 
 namespace Scenario {
 
-/// Fails, naming the evidence, if an engine ran a request on weights that no stored version has, or a key had more than one effect.
+/// Fails with Internal and the details if an engine ran a request on weights of no stored version, or an idempotency key had more than one effect.
 Core::Result<void> checkJournals(const Bench::Fleet &fleet, const StoredDigests &stored);
 
 }
--- a/Libraries/LibScenario/RandomScript.cpp
+++ b/Libraries/LibScenario/RandomScript.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the random schedules.
+/// @file Implementation of the random fault schedules.
 
 #include "LibScenario/RandomScript.h"
 #include "LibCore/Random.h"
@@ -20,7 +20,7 @@
 constexpr double DraftRate = 25;
 constexpr double BookingRate = 10;
 
-/// Builds a script and remembers what has to be taken back.
+/// Builds a script and tracks the processes to be restored at its end.
 class ScriptBuilder
 {
 public:
@@ -164,7 +164,7 @@
         case 6:
             return add(Fault{"origin", R"({"corrupt_percent": 20})"}, "origin corrupts");
         default:
-            // An operator cannot publish while the log withholds its answers for long, so this comes at most once and before such faults matter.
+            // Publishing fails while the log withholds its answers for long, so version 2 is published at most once and before such faults matter.
             return m_version == "1" ? addPublish("2") : addFreeze();
         }
     }
@@ -197,9 +197,9 @@
 
     Core::Random m_random;
     Script m_script;
-    std::string m_version; ///< Newest published.
-    std::set<std::string> m_killed; ///< Not in m_frozen.
-    std::set<std::string> m_frozen;
+    std::string m_version; ///< Most recently published version.
+    std::set<std::string> m_killed; ///< Processes to be replaced; disjoint from m_frozen.
+    std::set<std::string> m_frozen; ///< Processes to be resumed.
 };
 
 }
--- a/Libraries/LibScenario/RandomScript.h
+++ b/Libraries/LibScenario/RandomScript.h
@@ -1,4 +1,4 @@
-/// @file Random schedules of faults, each wholly determined by its seed.
+/// @file Random fault schedules, determined by a seed.
 #pragma once
 
 #include "LibScenario/Script.h"
@@ -8,9 +8,9 @@
 namespace Scenario {
 
 /**
- * A script that breaks a small fleet in random ways while callers are served, mends everything, and then asks for all promises.
+ * Returns a script that injects random faults into a small fleet under load, repairs all of them, and then checks all guarantees.
  *
- * Faults overlap and may hit the same process twice. The script ends with every fault taken back, so that its last steps must hold.
+ * Faults may overlap; a process is killed or frozen at most once. All faults are removed before the last steps, so these steps must succeed.
  */
 Script randomScript(std::uint64_t seed);
 
--- a/Libraries/LibScenario/Runner.cpp
+++ b/Libraries/LibScenario/Runner.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the verbs.
+/// @file Implementation of the steps.
 
 #include "LibScenario/Runner.h"
 #include "LibBench/Http.h"
@@ -18,7 +18,7 @@
 constexpr std::int64_t MillisecondsPerSecond = 1000;
 constexpr Core::Duration LoadTimeout{180000};
 
-/// Counts of a load that a report shows; a failed expectation shows all of them.
+/// Values of a load printed by a report step. A failed expectation prints all values.
 constexpr std::array<std::string_view, 8> ReportedFields = {"sent", "ok", "not_run", "unknown", "failed", "wrong", "first_token_ms.p95", "total_ms.p95"};
 
 Core::Error makeStepError(const std::string &step, const std::string &detail)
--- a/Libraries/LibScenario/Runner.h
+++ b/Libraries/LibScenario/Runner.h
@@ -13,21 +13,21 @@
 
 namespace Scenario {
 
-/// Counts of one load, as the load tool printed them; nested values are named with dots.
+/// Values printed by the load tool for one load; names of nested values are joined with dots.
 using LoadResult = std::map<std::string, double>;
 
 /**
- * Executes steps one after another and stops at the first that does not hold.
+ * Executes the steps of a script in order and stops at the first one that fails.
  *
- * Every wait is for a condition and has a limit, so that a verdict does not depend on the machine's speed.
+ * Every wait is for a condition and has a timeout, so that the result does not depend on the speed of the machine.
  */
 class Runner
 {
 public:
-    /// @p programs is the directory of the binaries; progress goes to @p output.
+    /// @p programs is the directory of the binaries; progress is printed to @p output.
     Runner(Script script, std::string programs, std::ostream &output);
 
-    /// Starts the fleet and runs every step. Fails with the step that did not hold.
+    /// Starts the fleet and runs all steps. Fails with the error of the first step that fails, or if a process ended unexpectedly.
     Core::Result<void> run();
 
 private:
@@ -54,13 +54,13 @@
     const std::string m_programs;
     std::ostream &m_output;
     std::unique_ptr<Bench::Fleet> m_fleet;
-    StoredDigests m_digests; ///< Read when the fleet has started.
-    std::map<std::string, Bench::Process> m_loads; ///< Loads that run in the background.
-    std::map<std::string, LoadResult> m_results; ///< Loads that have ended.
-    std::uint64_t m_lastRevision = 0; ///< Offset of the newest accepted publication.
-    std::uint64_t m_originBytesAtPublication = 0; ///< Origin journal at the newest publication.
-    Core::Instant m_publishedAt;
-    std::map<std::string, double> m_measurements; ///< What a report prints.
+    StoredDigests m_digests; ///< Read once the fleet has started.
+    std::map<std::string, Bench::Process> m_loads; ///< Running loads.
+    std::map<std::string, LoadResult> m_results; ///< Results of finished loads.
+    std::uint64_t m_lastRevision = 0; ///< Revision of the latest accepted publication.
+    std::uint64_t m_originBytesAtPublication = 0; ///< Bytes sent by the origin when the latest publish step started.
+    Core::Instant m_publishedAt; ///< Start of the latest publish step.
+    std::map<std::string, double> m_measurements; ///< Values printed by a report step.
 };
 
 }
--- a/Libraries/LibScenario/Script.cpp
+++ b/Libraries/LibScenario/Script.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of scripts.
+/// @file Implementation of the script parser.
 
 #include "LibScenario/Script.h"
 
@@ -131,7 +131,7 @@
     return ControlProcess{action, reader.text("process")};
 }
 
-/// Reads the step's single verb, if it is @p name, into @p step.
+/// If the step has the verb @p name, parses it into @p step and increments @p verbs.
 template <typename Read>
 void readVerb(Settings::Reader &reader, const std::string &name, int &verbs, Step &step, Read read)
 {
--- a/Libraries/LibScenario/Script.h
+++ b/Libraries/LibScenario/Script.h
@@ -1,4 +1,4 @@
-/// @file The test language: a script names a fleet and a list of steps, each with one verb.
+/// @file The scenario language: a script defines a fleet and a list of steps, each with one verb.
 #pragma once
 
 #include "LibBench/Topology.h"
@@ -12,7 +12,7 @@
 
 namespace Scenario {
 
-/// Publishes a template for one client account through the command line of the operators.
+/// Publishes a template for one client account with the command line of the operators.
 struct Publish
 {
     std::string m_template;
@@ -25,31 +25,31 @@
     std::vector<std::string> m_failureDomains;
     std::string m_policy;
     std::string m_operator;
-    std::int64_t m_basedOn = -1; ///< -1: whatever is in force.
-    bool m_refused = false; ///< The step holds only if the publication is refused.
-    int m_repetitions = 1; ///< Published so many times, one after another.
+    std::int64_t m_basedOn = -1; ///< Revision to base the publication on; -1: the one in force.
+    bool m_refused = false; ///< The publication must be refused for the step to succeed.
+    int m_repetitions = 1; ///< Number of consecutive publications.
 
     bool operator==(const Publish &) const = default;
 };
 
-/// Runs the load tool, in the background if asked; its counts are kept under the name.
+/// Runs the load tool, optionally in the background. Its result is stored under the name of the load.
 struct Load
 {
     std::string m_name;
     std::string m_target; ///< "generate:TEMPLATE" or "call:SERVICE".
     std::string m_account;
-    double m_rate = 10; ///< Requests a second.
-    int m_count = 0;
-    bool m_keyed = false; ///< Calls that may not be repeated, each with a key of its own.
+    double m_rate = 10; ///< Requests per second.
+    int m_count = 0; ///< Number of requests.
+    bool m_keyed = false; ///< The calls are not repeatable, each with its own idempotency key.
     bool m_background = false;
-    bool m_honoursRetryAfter = false; ///< Callers that were refused as not run come back when the refusal says.
+    bool m_honoursRetryAfter = false; ///< Callers retry a refused request that did not run after the delay requested by the refusal.
     int m_maximumTokens = 8;
     int m_timeoutMs = 20000;
 
     bool operator==(const Load &) const = default;
 };
 
-/// Waits for the end of a load that runs in the background.
+/// Waits for a background load to finish.
 struct Join
 {
     std::string m_load;
@@ -58,13 +58,14 @@
 };
 
 enum class ProcessAction {
-    Kill,
-    Terminate,
-    Freeze,
-    Resume,
-    Replace,
+    Kill, ///< SIGKILL
+    Terminate, ///< SIGTERM; the process drains.
+    Freeze, ///< SIGSTOP
+    Resume, ///< SIGCONT
+    Replace, ///< Starts an ended process again without its former state.
 };
 
+/// Kills, pauses or restarts a process of the fleet.
 struct ControlProcess
 {
     ProcessAction m_action = ProcessAction::Kill;
@@ -77,32 +78,32 @@
 struct Fault
 {
     std::string m_process;
-    std::string m_json;
+    std::string m_json; ///< Body of the POST to /faults.
 
     bool operator==(const Fault &) const = default;
 };
 
 enum class Condition {
-    Serving, ///< At least m_number replicas of m_version serve.
-    InForce, ///< The newest publication is in force on every instance that runs.
-    Ended, ///< m_process has ended by itself with exit code m_number.
-    Counter, ///< A counter of m_process is at least m_number.
-    Unlisted, ///< Entries name no more than m_number addresses.
+    Serving, ///< At least m_number replicas of version m_name serve.
+    InForce, ///< The latest publication is in force on every running entry and agent.
+    Ended, ///< m_process has exited with exit code m_number.
+    Counter, ///< The counter m_name of m_process is at least m_number.
+    Unlisted, ///< No entry lists more than m_number addresses to callers.
 };
 
-/// Waits for a condition; fails if it does not come.
+/// Waits for a condition; fails if it is not met within the timeout.
 struct Wait
 {
     Condition m_condition = Condition::Serving;
     std::string m_process;
-    std::string m_name; ///< Of a version or a counter.
+    std::string m_name; ///< Name of a version or counter, depending on the condition.
     std::int64_t m_number = 0;
     Core::Duration m_timeout{30000};
 
     bool operator==(const Wait &) const = default;
 };
 
-/// Lets time pass, for faults that consist of time (a pause, an outage).
+/// Waits for a fixed time, for faults with a duration such as a pause or an outage.
 struct Sleep
 {
     Core::Duration m_duration{0};
@@ -116,7 +117,7 @@
     AtMost,
 };
 
-/// Compares a count of a load that has ended.
+/// Compares a value of a finished load with a number.
 struct ExpectLoad
 {
     std::string m_load;
@@ -127,7 +128,7 @@
     bool operator==(const ExpectLoad &) const = default;
 };
 
-/// Judges the promises from the stand-ins' journals: whole versions only, at most one effect a key.
+/// Checks the journals of the stand-ins: requests ran only on complete versions, and each idempotency key had at most one effect.
 struct ExpectJournals
 {
     bool m_everyOkRan = true;
@@ -135,7 +136,7 @@
     bool operator==(const ExpectJournals &) const = default;
 };
 
-/// Compares the bytes that left the origin, in copies of the weights, since the last publication.
+/// Limits the bytes sent by the origin since the latest publish step, in copies of the weights.
 struct ExpectOrigin
 {
     double m_atMostCopies = 0;
@@ -143,7 +144,7 @@
     bool operator==(const ExpectOrigin &) const = default;
 };
 
-/// Prints what has happened so far as a table.
+/// Prints the measurements and load results so far as a table.
 struct Report
 {
     std::string m_title;
@@ -153,25 +154,27 @@
 
 using Verb = std::variant<Publish, Load, Join, ControlProcess, Fault, Wait, Sleep, ExpectLoad, ExpectJournals, ExpectOrigin, Report>;
 
+/// One step of a script.
 struct Step
 {
     Verb m_verb;
-    std::string m_text; ///< The step as reports name it, for example "kill agent:drafting-models-1".
+    std::string m_text; ///< Description of the step in the output, for example "kill agent:drafting-models-1".
 
     bool operator==(const Step &) const = default;
 };
 
+/// A complete script.
 struct Script
 {
     std::string m_name;
-    std::string m_description; ///< Plain sentences: how the failure comes about and what a user notices.
+    std::string m_description; ///< How the failure comes about and what users notice, in plain sentences.
     Bench::Topology m_topology;
     std::vector<Step> m_steps;
 
     bool operator==(const Script &) const = default;
 };
 
-/// Reads a script; every mistake is reported with its line.
+/// Parses a script into @p script. Returns all problems with their lines.
 Settings::Problems readScript(const std::string &content, const std::string &file, Script &script);
 
 }
--- a/Tests/LibScenario/TestRandomScript.cpp
+++ b/Tests/LibScenario/TestRandomScript.cpp
@@ -1,16 +1,16 @@
-/// @file Random schedules are the same for the same seed, and take back every fault.
+/// @file Tests that random fault schedules are reproducible and restore every process.
 
 #include "LibScenario/RandomScript.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("a seed always gives the same schedule, and seeds differ")
+TEST_CASE("Equal seeds give equal schedules, and different seeds give different ones")
 {
     REQUIRE(Scenario::randomScript(7) == Scenario::randomScript(7));
     REQUIRE_FALSE(Scenario::randomScript(7) == Scenario::randomScript(8));
 }
 
-TEST_CASE("whatever is killed is replaced and whatever is frozen is resumed")
+TEST_CASE("Every killed process is replaced and every frozen process is resumed")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         INFO("seed " << seed);
--- a/Tests/LibScenario/TestScript.cpp
+++ b/Tests/LibScenario/TestScript.cpp
@@ -1,10 +1,10 @@
-/// @file Scripts are read whole, and their mistakes are told with their lines.
+/// @file Tests that valid scripts are parsed and invalid ones are rejected.
 
 #include "LibScenario/Script.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("a script becomes typed steps")
+TEST_CASE("A script is parsed into typed steps")
 {
     Scenario::Script script;
     const std::string text = "name: a\nabout: b\nfleet: {preset: small, endpoints: 3}\nsteps:\n"
@@ -21,7 +21,7 @@
     REQUIRE(std::get<Scenario::ExpectLoad>(script.m_steps[3].m_verb).m_relation == Scenario::Relation::Equal);
 }
 
-TEST_CASE("a step with no verb, two verbs or an unknown verb is refused")
+TEST_CASE("A step with no verb, two verbs or an unknown verb is rejected")
 {
     Scenario::Script script;
     const std::string head = "name: a\nabout: b\nsteps:\n";
--- a/Utilities/oriolerail-scenario/main.cpp
+++ b/Utilities/oriolerail-scenario/main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-scenario: runs scripts of the test language against fleets of real processes.
+/// @file oriolerail-scenario: runs scenario scripts against fleets of real processes.
 
 #include "LibScenario/Runner.h"
 
--- a/Utilities/oriolerail-soak/main.cpp
+++ b/Utilities/oriolerail-soak/main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-soak: runs random schedules of faults, one for each seed, until one breaks a promise.
+/// @file oriolerail-soak: runs random fault schedules, one for each seed, until one violates a guarantee.
 
 #include "LibScenario/RandomScript.h"
 #include "LibScenario/Runner.h"
