--- a/Libraries/LibBench/Fleet.cpp
+++ b/Libraries/LibBench/Fleet.cpp
@@ -18,9 +18,9 @@
 constexpr int FirstSlot = 20;
 constexpr int LastSlot = 219;
 constexpr std::uint16_t SlotLockPort = 6999;
-constexpr Core::Duration ReadyPatience{30000};
+constexpr Core::Duration ReadyTimeout{30000};
 constexpr Core::Duration PollInterval{20};
-constexpr Core::Duration EndPatience{3000};
+constexpr Core::Duration KillTimeout{3000};
 constexpr int HttpNoContent = 204;
 
 std::string fileName(const std::string &processName)
@@ -32,9 +32,9 @@
 
 }
 
-bool waitUntil(const std::function<bool()> &condition, Core::Duration patience)
+bool waitUntil(const std::function<bool()> &condition, Core::Duration timeout)
 {
-    const Core::Instant deadline = Core::Clock::now() + patience;
+    const Core::Instant deadline = Core::Clock::now() + timeout;
     while (!condition()) {
         if (Core::Clock::now() >= deadline) {
             return false;
@@ -67,7 +67,7 @@
     std::filesystem::remove_all(m_directory, ignored);
 }
 
-bool Fleet::takeSlot()
+bool Fleet::acquireSlot()
 {
     for (int slot = FirstSlot; slot <= LastSlot; ++slot) {
         const std::string host = "127." + std::to_string(slot) + ".0.1";
@@ -88,7 +88,7 @@
 
 Core::Result<void> Fleet::startAll()
 {
-    if (!takeSlot()) {
+    if (!acquireSlot()) {
         return Core::makeError(Core::ErrorCode::Unavailable, "start fleet", "", "no free slot of the loopback range");
     }
     m_directory = Poco::TemporaryFile::tempName();
@@ -97,14 +97,14 @@
         const bool needsPlatform = spec.m_kind == ProcessKind::Entry || spec.m_kind == ProcessKind::Agent;
         BOOST_OUTCOME_TRYV(launch(spec));
         if (!needsPlatform) {
-            BOOST_OUTCOME_TRYV(awaitReady(spec));
+            BOOST_OUTCOME_TRYV(waitForReady(spec));
         }
         if (!spec.m_instance.empty()) {
             BOOST_OUTCOME_TRYV(setListed(spec, "live"));
         }
     }
     for (const ProcessSpec &spec : m_layout.m_processes) {
-        BOOST_OUTCOME_TRYV(awaitReady(spec));
+        BOOST_OUTCOME_TRYV(waitForReady(spec));
     }
     return Core::success();
 }
@@ -115,14 +115,14 @@
     std::ofstream(base + ".yaml") << spec.m_settings;
     Process process = BOOST_OUTCOME_TRYX(Process::start(m_programs + "/" + spec.m_program, {"--settings", base + ".yaml"}, base + ".log"));
     m_running.insert_or_assign(spec.m_name, std::move(process));
-    m_mayEnd[spec.m_name] = false;
+    m_isEndExpected[spec.m_name] = false;
     return Core::success();
 }
 
-Core::Result<void> Fleet::awaitReady(const ProcessSpec &spec)
+Core::Result<void> Fleet::waitForReady(const ProcessSpec &spec)
 {
     Process &process = m_running.at(spec.m_name);
-    const bool ready = waitUntil([&spec, &process] { return process.poll() || httpGet(spec.m_health, "/healthz"); }, ReadyPatience);
+    const bool ready = waitUntil([&spec, &process] { return process.poll() || httpGet(spec.m_health, "/healthz"); }, ReadyTimeout);
     if (!ready || process.poll()) {
         std::ifstream log(process.logFile());
         std::ostringstream text;
@@ -169,9 +169,9 @@
 Core::Result<void> Fleet::kill(const std::string &name)
 {
     const ProcessSpec *spec = BOOST_OUTCOME_TRYX(find(name));
-    m_mayEnd[name] = true;
+    m_isEndExpected[name] = true;
     BOOST_OUTCOME_TRYV(signal(name, SIGKILL));
-    m_running.at(name).wait(EndPatience);
+    m_running.at(name).wait(KillTimeout);
     if (!spec->m_instance.empty()) {
         BOOST_OUTCOME_TRYV(httpRequest(m_layout.m_log, "DELETE", "/instances/" + spec->m_instance, "", Core::Duration(2000)));
     }
@@ -180,7 +180,7 @@
 
 Core::Result<void> Fleet::terminate(const std::string &name)
 {
-    m_mayEnd[name] = true;
+    m_isEndExpected[name] = true;
     return signal(name, SIGTERM);
 }
 
@@ -201,7 +201,7 @@
         return Core::makeError(Core::ErrorCode::Conflict, "replace process", name, "it still runs");
     }
     BOOST_OUTCOME_TRYV(launch(*spec));
-    BOOST_OUTCOME_TRYV(awaitReady(*spec));
+    BOOST_OUTCOME_TRYV(waitForReady(*spec));
     if (!spec->m_instance.empty()) {
         BOOST_OUTCOME_TRYV(setListed(*spec, "live"));
     }
@@ -247,11 +247,11 @@
     return Core::success();
 }
 
-std::vector<std::string> Fleet::unexpectedEnds()
+std::vector<std::string> Fleet::unexpectedExits()
 {
     std::vector<std::string> names;
     for (std::pair<const std::string, Process> &entry : m_running) {
-        if (!m_mayEnd[entry.first] && entry.second.poll()) {
+        if (!m_isEndExpected[entry.first] && entry.second.poll()) {
             names.push_back(entry.first);
         }
     }
--- a/Libraries/LibBench/Fleet.h
+++ b/Libraries/LibBench/Fleet.h
@@ -68,15 +68,15 @@
     Core::Result<void> setListed(const ProcessSpec &spec, const std::string &state);
 
     /// Names of processes that ended without having been told to.
-    std::vector<std::string> unexpectedEnds();
+    std::vector<std::string> unexpectedExits();
 
 private:
     Fleet(Topology topology, std::string programs);
 
-    bool takeSlot();
+    bool acquireSlot();
     Core::Result<void> startAll();
     Core::Result<void> launch(const ProcessSpec &spec);
-    Core::Result<void> awaitReady(const ProcessSpec &spec);
+    Core::Result<void> waitForReady(const ProcessSpec &spec);
     Core::Result<void> signal(const std::string &name, int number);
     void stopAll();
 
@@ -87,10 +87,10 @@
     std::optional<Poco::Net::ServerSocket> m_slotLock; ///< Bound while the slot is ours.
     Layout m_layout;
     std::map<std::string, Process> m_running;
-    std::map<std::string, bool> m_mayEnd; ///< Processes that were killed or told to end.
+    std::map<std::string, bool> m_isEndExpected; ///< Processes that were killed or told to end.
 };
 
 /// Waits until @p condition holds; false if it does not within @p patience.
-bool waitUntil(const std::function<bool()> &condition, Core::Duration patience);
+bool waitUntil(const std::function<bool()> &condition, Core::Duration timeout);
 
 }
--- a/Libraries/LibBench/Layout.cpp
+++ b/Libraries/LibBench/Layout.cpp
@@ -15,13 +15,13 @@
 constexpr std::uint16_t StandInPort = 7400;
 constexpr int HostsPerBlock = 250;
 constexpr int SeedEntries = 3;
-constexpr int PacedPercent = 97; ///< Agents pace transfer a little below their link's rate.
+constexpr int TransferRatePercent = 97; ///< Agents pace transfer a little below their link's rate.
 
 /// Builds the host numbers 127.slot.block.n.
-class Hosts
+class HostAddresses
 {
 public:
-    explicit Hosts(int slot)
+    explicit HostAddresses(int slot)
         : m_slot(slot)
     {
     }
@@ -89,7 +89,7 @@
     return ProcessSpec{ProcessKind::Origin, "origin", "standin-origin", layout.m_origin, text.str()};
 }
 
-ProcessSpec makeNetwork(const Topology &topology, const Layout &layout, const std::vector<ProcessSpec> &members)
+ProcessSpec makeNetwork(const Topology &topology, const Layout &layout, const std::vector<ProcessSpec> &instances)
 {
     const LinkRates &links = topology.m_links;
     std::ostringstream text;
@@ -97,25 +97,25 @@
          << "\nregion_pair_bytes_per_second: " << links.m_regionPair << "\nlatency_ms: {same_region: " << links.m_sameRegionLatencyMs
          << ", cross_region: " << links.m_crossRegionLatencyMs << "}\noverrides:\n  - {host: " << layout.m_origin.m_host << ", up: " << links.m_origin
          << ", down: " << links.m_origin << "}\n";
-    for (const ProcessSpec &member : members) {
-        if (member.m_kind == ProcessKind::Entry) {
-            text << "  - {host: " << member.m_wire.m_host << ", up: " << links.m_entry << ", down: " << links.m_entry << "}\n";
+    for (const ProcessSpec &spec : instances) {
+        if (spec.m_kind == ProcessKind::Entry) {
+            text << "  - {host: " << spec.m_wire.m_host << ", up: " << links.m_entry << ", down: " << links.m_entry << "}\n";
         }
     }
     text << "hosts:\n  - {host: " << layout.m_origin.m_host << ", region: " << topology.m_failureDomains.front().m_region
          << ", failure_domain: " << topology.m_failureDomains.front().m_name << "}\n";
-    for (const ProcessSpec &member : members) {
-        text << "  - {host: " << member.m_wire.m_host << ", region: " << member.m_region << ", failure_domain: " << member.m_failureDomain << "}\n";
+    for (const ProcessSpec &spec : instances) {
+        text << "  - {host: " << spec.m_wire.m_host << ", region: " << spec.m_region << ", failure_domain: " << spec.m_failureDomain << "}\n";
     }
     return ProcessSpec{ProcessKind::Network, "network", "standin-network", layout.m_network, text.str()};
 }
 
-std::vector<ProcessSpec> makeEntries(const Topology &topology, const Layout &layout, const Hosts &hosts)
+std::vector<ProcessSpec> makeEntries(const Topology &topology, const Layout &layout, const HostAddresses &hostAddresses)
 {
     std::vector<ProcessSpec> entries;
     for (int index = 0; index < topology.m_entries; ++index) {
         const FailureDomain &domain = topology.m_failureDomains[static_cast<std::size_t>(index) % topology.m_failureDomains.size()];
-        const std::string host = hosts.host(EntryBlock, index);
+        const std::string host = hostAddresses.host(EntryBlock, index);
         ProcessSpec spec;
         spec.m_kind = ProcessKind::Entry;
         spec.m_name = "entry-" + std::to_string(index + 1);
@@ -180,8 +180,9 @@
     text << commonSettings(topology, layout, spec) << seedList(entries) << "origin: \"" << layout.m_origin.toString()
          << "\"\norigin_region: " << topology.m_failureDomains.front().m_region << "\nengine: {address: \"" << Core::Address{host, EndpointPort}.toString()
          << "\", kind: " << (service.m_isModel ? "model" : "plain") << ", checks_fencing: " << (service.m_checksFencing ? "true" : "false")
-         << "}\ntransfer: {strategy: " << topology.m_transferStrategy << ", upload_bytes_per_second: " << topology.m_links.m_instance * PacedPercent / 100
-         << ", download_bytes_per_second: " << topology.m_links.m_instance * PacedPercent / 100 << "}\n";
+         << "}\ntransfer: {strategy: " << topology.m_transferStrategy
+         << ", upload_bytes_per_second: " << topology.m_links.m_instance * TransferRatePercent / 100
+         << ", download_bytes_per_second: " << topology.m_links.m_instance * TransferRatePercent / 100 << "}\n";
     spec.m_settings = text.str();
     return spec;
 }
@@ -190,33 +191,33 @@
 
 Layout makeLayout(const Topology &topology, int slot)
 {
-    const Hosts hosts(slot);
+    const HostAddresses hostAddresses(slot);
     Layout layout;
-    layout.m_log = Core::Address{hosts.host(PlatformBlock, 0), StandInPort};
-    layout.m_origin = Core::Address{hosts.host(PlatformBlock, 1), StandInPort};
-    layout.m_network = Core::Address{hosts.host(PlatformBlock, 2), StandInPort};
+    layout.m_log = Core::Address{hostAddresses.host(PlatformBlock, 0), StandInPort};
+    layout.m_origin = Core::Address{hostAddresses.host(PlatformBlock, 1), StandInPort};
+    layout.m_network = Core::Address{hostAddresses.host(PlatformBlock, 2), StandInPort};
 
-    const std::vector<ProcessSpec> entries = makeEntries(topology, layout, hosts);
+    const std::vector<ProcessSpec> entries = makeEntries(topology, layout, hostAddresses);
     std::vector<ProcessSpec> endpoints;
-    std::vector<ProcessSpec> members = entries;
+    std::vector<ProcessSpec> instances = entries;
     int index = 0;
     for (const ServiceShape &service : topology.m_services) {
         for (int number = 1; number <= service.m_endpoints; ++number, ++index) {
             const FailureDomain &domain = topology.m_failureDomains[static_cast<std::size_t>(number - 1) % topology.m_failureDomains.size()];
             const std::string instance = service.m_name + "-" + std::to_string(number);
-            const std::string host = hosts.host(EndpointBlock, index);
+            const std::string host = hostAddresses.host(EndpointBlock, index);
             endpoints.push_back(makeEndpoint(topology, service, instance, host));
-            members.push_back(makeAgent(topology, layout, service, instance, domain, host, entries));
+            instances.push_back(makeAgent(topology, layout, service, instance, domain, host, entries));
         }
     }
 
     layout.m_processes.push_back(makeLog(topology, layout));
     layout.m_processes.push_back(makeOrigin(topology, layout));
     if (topology.m_limitsLinks) {
-        layout.m_processes.push_back(makeNetwork(topology, layout, members));
+        layout.m_processes.push_back(makeNetwork(topology, layout, instances));
     }
     layout.m_processes.insert(layout.m_processes.end(), endpoints.begin(), endpoints.end());
-    layout.m_processes.insert(layout.m_processes.end(), members.begin(), members.end());
+    layout.m_processes.insert(layout.m_processes.end(), instances.begin(), instances.end());
     return layout;
 }
 
--- a/Libraries/LibBench/Process.cpp
+++ b/Libraries/LibBench/Process.cpp
@@ -20,12 +20,12 @@
 namespace {
 
 constexpr Core::Duration PollInterval{10};
-constexpr int SignalledBase = 128;
-constexpr mode_t LogMode = 0644;
+constexpr int SignalExitCodeBase = 128;
+constexpr mode_t LogFileMode = 0644;
 
 int decodeStatus(int status)
 {
-    return WIFEXITED(status) ? WEXITSTATUS(status) : SignalledBase + WTERMSIG(status);
+    return WIFEXITED(status) ? WEXITSTATUS(status) : SignalExitCodeBase + WTERMSIG(status);
 }
 
 std::string readProcFile(pid_t pid, const std::string &name)
@@ -43,7 +43,7 @@
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_addopen(&actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
-    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, LogMode);
+    posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, LogFileMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
     // A child that kept the bench's listening sockets would hold their addresses after the bench has closed them.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
@@ -80,7 +80,7 @@
 Process &Process::operator=(Process &&other) noexcept
 {
     if (this != &other) {
-        end();
+        killAndReap();
         m_pid = std::exchange(other.m_pid, 0);
         m_logFile = std::move(other.m_logFile);
         m_exitCode = other.m_exitCode;
@@ -90,10 +90,10 @@
 
 Process::~Process()
 {
-    end();
+    killAndReap();
 }
 
-void Process::end()
+void Process::killAndReap()
 {
     if (m_pid == 0 || poll()) {
         return;
@@ -124,9 +124,9 @@
     return m_exitCode;
 }
 
-std::optional<int> Process::wait(Core::Duration patience)
+std::optional<int> Process::wait(Core::Duration timeout)
 {
-    const Core::Instant deadline = Core::Clock::now() + patience;
+    const Core::Instant deadline = Core::Clock::now() + timeout;
     while (!poll() && Core::Clock::now() < deadline) {
         std::this_thread::sleep_for(PollInterval);
     }
--- a/Libraries/LibBench/Process.h
+++ b/Libraries/LibBench/Process.h
@@ -36,7 +36,7 @@
     /// Exit code if the process has ended, 128 + signal if a signal ended it.
     std::optional<int> poll();
     /// As poll, but waits at most @p patience.
-    std::optional<int> wait(Core::Duration patience);
+    std::optional<int> wait(Core::Duration timeout);
 
     /// Processor seconds that the process has used, user and system.
     double processorSeconds() const;
@@ -45,7 +45,7 @@
 
 private:
     Process(pid_t pid, std::string logFile);
-    void end();
+    void killAndReap();
 
     pid_t m_pid = 0; ///< 0 once reaped or moved from.
     std::string m_logFile;
--- a/Libraries/LibBench/Publication.cpp
+++ b/Libraries/LibBench/Publication.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Core::Duration PublishPatience{60000};
+constexpr Core::Duration PublishTimeout{60000};
 
 std::string flowList(const std::vector<std::string> &items)
 {
@@ -64,7 +64,7 @@
     if (publication.m_basedOn) {
         arguments.insert(arguments.end(), {"--based-on", std::to_string(*publication.m_basedOn)});
     }
-    return runTool(programs + "/oriolerail", arguments, base + ".out", PublishPatience);
+    return runTool(programs + "/oriolerail", arguments, base + ".out", PublishTimeout);
 }
 
 }
--- a/Libraries/LibBench/Sample.cpp
+++ b/Libraries/LibBench/Sample.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-double valueOf(const std::map<std::string, double> &metrics, const std::string &name)
+double valueOrZero(const std::map<std::string, double> &metrics, const std::string &name)
 {
     const std::map<std::string, double>::const_iterator it = metrics.find(name);
     return it == metrics.end() ? 0 : it->second;
 }
 
-double bothWays(const std::map<std::string, double> &metrics, const std::string &unit, const std::string &purpose)
+double sumBothDirections(const std::map<std::string, double> &metrics, const std::string &unit, const std::string &purpose)
 {
     const std::string label = "_total{purpose=\"" + purpose + "\"}";
-    return valueOf(metrics, "oriolerail_wire_" + unit + "_sent" + label) + valueOf(metrics, "oriolerail_wire_" + unit + "_received" + label);
+    return valueOrZero(metrics, "oriolerail_wire_" + unit + "_sent" + label) + valueOrZero(metrics, "oriolerail_wire_" + unit + "_received" + label);
 }
 
 }
@@ -39,26 +39,26 @@
     return metrics;
 }
 
-Core::Result<UsageSample> takeSample(Fleet &fleet, const std::string &process)
+Core::Result<UsageSample> readUsageSample(Fleet &fleet, const std::string &process)
 {
     const ProcessSpec *spec = BOOST_OUTCOME_TRYX(fleet.find(process));
     const std::string text = BOOST_OUTCOME_TRYX(httpGet(spec->m_health, "/metrics"));
     const std::map<std::string, double> metrics = parseMetrics(text);
     const Process *running = fleet.process(process);
     UsageSample sample;
-    sample.m_when = Core::Clock::now();
+    sample.m_takenAt = Core::Clock::now();
     sample.m_processorSeconds = running->processorSeconds();
     sample.m_residentBytes = static_cast<double>(running->residentBytes());
-    sample.m_controlBytes = bothWays(metrics, "bytes", "control");
-    sample.m_controlFrames = bothWays(metrics, "frames", "control");
-    sample.m_transferBytes = bothWays(metrics, "bytes", "transfer");
-    sample.m_liveBytes = bothWays(metrics, "bytes", "live");
+    sample.m_controlBytes = sumBothDirections(metrics, "bytes", "control");
+    sample.m_controlFrames = sumBothDirections(metrics, "frames", "control");
+    sample.m_transferBytes = sumBothDirections(metrics, "bytes", "transfer");
+    sample.m_liveBytes = sumBothDirections(metrics, "bytes", "live");
     return sample;
 }
 
-UsageRate rateBetween(const UsageSample &before, const UsageSample &after)
+UsageRate usageRate(const UsageSample &before, const UsageSample &after)
 {
-    const double seconds = Core::secondsBetween(before.m_when, after.m_when);
+    const double seconds = Core::secondsBetween(before.m_takenAt, after.m_takenAt);
     UsageRate rate;
     rate.m_processorShare = (after.m_processorSeconds - before.m_processorSeconds) / seconds;
     rate.m_residentBytes = after.m_residentBytes;
--- a/Libraries/LibBench/Sample.h
+++ b/Libraries/LibBench/Sample.h
@@ -11,7 +11,7 @@
 /// Values of one process at one moment. Counters only grow; resident memory is a level.
 struct UsageSample
 {
-    Core::Instant m_when;
+    Core::Instant m_takenAt;
     double m_processorSeconds = 0;
     double m_residentBytes = 0;
     double m_controlBytes = 0; ///< Sent and received.
@@ -38,8 +38,8 @@
 std::map<std::string, double> parseMetrics(const std::string &text);
 
 /// Reads one process of the fleet now.
-Core::Result<UsageSample> takeSample(Fleet &fleet, const std::string &process);
+Core::Result<UsageSample> readUsageSample(Fleet &fleet, const std::string &process);
 
-UsageRate rateBetween(const UsageSample &before, const UsageSample &after);
+UsageRate usageRate(const UsageSample &before, const UsageSample &after);
 
 }
--- a/Libraries/LibBench/Tool.cpp
+++ b/Libraries/LibBench/Tool.cpp
@@ -15,10 +15,10 @@
     return text.str();
 }
 
-Core::Result<ToolOutcome> runTool(const std::string &program, const std::vector<std::string> &arguments, const std::string &outputFile, Core::Duration patience)
+Core::Result<ToolOutcome> runTool(const std::string &program, const std::vector<std::string> &arguments, const std::string &outputFile, Core::Duration timeout)
 {
     Process process = BOOST_OUTCOME_TRYX(Process::start(program, arguments, outputFile));
-    const std::optional<int> exitCode = process.wait(patience);
+    const std::optional<int> exitCode = process.wait(timeout);
     if (!exitCode) {
         return Core::makeError(Core::ErrorCode::Timeout, "run tool", program, "no end in time; so far: " + readWholeFile(outputFile));
     }
--- a/Libraries/LibBench/Tool.h
+++ b/Libraries/LibBench/Tool.h
@@ -17,8 +17,7 @@
 };
 
 /// Runs @p program; its output goes through @p outputFile, which must not exist yet. Killed with a Timeout error after @p patience.
-Core::Result<ToolOutcome>
-runTool(const std::string &program, const std::vector<std::string> &arguments, const std::string &outputFile, Core::Duration patience);
+Core::Result<ToolOutcome> runTool(const std::string &program, const std::vector<std::string> &arguments, const std::string &outputFile, Core::Duration timeout);
 
 /// Content of a file; empty if it cannot be read.
 std::string readWholeFile(const std::string &path);
--- a/Libraries/LibBench/Topology.cpp
+++ b/Libraries/LibBench/Topology.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t SmallWeights = 2 << 20;
 constexpr std::uint64_t BurstWeights = 8 << 20;
-constexpr int EntriesOfToday = 12;
+constexpr int CurrentEntryCount = 12;
 
 std::vector<StoredVersion> makeVersions(const std::string &model, std::uint64_t bytes)
 {
@@ -25,7 +25,7 @@
 {
     Topology topology;
     topology.m_failureDomains = {{"hcm-a", "hcm"}, {"hanoi-a", "hanoi"}, {"danang-a", "danang"}};
-    topology.m_entries = EntriesOfToday;
+    topology.m_entries = CurrentEntryCount;
     topology.m_services = {{"drafting-models", true, 16, true}, {"client-portal", false, 3, true}, {"studio-admin", false, 1, true}};
     topology.m_versions = makeVersions("moodboard", SmallWeights);
     return topology;
@@ -35,7 +35,7 @@
 {
     Topology topology;
     topology.m_failureDomains = {{"flanders-ghent", "flanders"}, {"brussels-ixelles", "brussels"}, {"wallonia-namur", "wallonia"}};
-    topology.m_entries = EntriesOfToday;
+    topology.m_entries = CurrentEntryCount;
     topology.m_services = {{"plan-model", true, 16, false}, {"booking-desk", false, 3, true}, {"studio-portal", false, 1, true}};
     topology.m_versions = makeVersions("layout", SmallWeights);
     return topology;
--- a/Libraries/LibScenario/Runner.cpp
+++ b/Libraries/LibScenario/Runner.cpp
@@ -77,7 +77,7 @@
             return result;
         }
     }
-    const std::vector<std::string> ended = m_fleet->unexpectedEnds();
+    const std::vector<std::string> ended = m_fleet->unexpectedExits();
     if (!ended.empty()) {
         return makeStepError("end of scenario",
                              "process " + ended.front() + " ended by itself:\n" + Bench::readWholeFile(m_fleet->process(ended.front())->logFile()));
--- a/Utilities/oriolerail-capacity/Trial.cpp
+++ b/Utilities/oriolerail-capacity/Trial.cpp
@@ -42,7 +42,7 @@
 {
     std::vector<Bench::UsageSample> samples;
     for (const Bench::ProcessSpec *spec : fleet.ofKind(kind)) {
-        const Core::Result<Bench::UsageSample> sample = Bench::takeSample(fleet, spec->m_name);
+        const Core::Result<Bench::UsageSample> sample = Bench::readUsageSample(fleet, spec->m_name);
         samples.push_back(sample ? sample.value() : Bench::UsageSample{});
     }
     return samples;
@@ -53,7 +53,7 @@
     Bench::UsageRate mean;
     const double count = static_cast<double>(before.size());
     for (std::size_t index = 0; index < before.size(); ++index) {
-        const Bench::UsageRate rate = Bench::rateBetween(before[index], after[index]);
+        const Bench::UsageRate rate = Bench::usageRate(before[index], after[index]);
         mean.m_processorShare += rate.m_processorShare / count;
         mean.m_residentBytes += rate.m_residentBytes / count;
         mean.m_controlBytesPerSecond += rate.m_controlBytesPerSecond / count;
