--- a/Libraries/LibBench/Fleet.cpp
+++ b/Libraries/LibBench/Fleet.cpp
@@ -79,7 +79,7 @@
             m_layout = makeLayout(m_topology, slot);
             return true;
         } catch (const Poco::Exception &) {
-            // Another fleet holds this slot.
+            // Another fleet owns this slot.
             continue;
         }
     }
@@ -260,7 +260,7 @@
 
 void Fleet::stopAll()
 {
-    // A stopped process takes no SIGTERM, and the stand-ins have nothing to drain: everything is killed at once.
+    // A frozen process does not handle SIGTERM, and the stand-ins have nothing to drain, so all processes are killed.
     for (std::pair<const std::string, Process> &entry : m_running) {
         entry.second.signal(SIGKILL);
     }
--- a/Libraries/LibBench/Fleet.h
+++ b/Libraries/LibBench/Fleet.h
@@ -1,4 +1,4 @@
-/// @file A running test fleet: real processes on addresses of the loopback range.
+/// @file A test fleet of real processes on loopback addresses.
 #pragma once
 
 #include "LibBench/Layout.h"
@@ -15,15 +15,15 @@
 namespace Bench {
 
 /**
- * Starts, breaks and ends the processes of a layout.
+ * Starts, disturbs and stops the processes of a layout.
  *
- * The fleet takes a free slot of the loopback range for its life, so that several fleets can run at once. Everything it
- * started ends with it.
+ * The fleet reserves a free slot of the loopback range for its lifetime, so that several fleets can run concurrently. The
+ * destructor kills all processes.
  */
 class Fleet
 {
 public:
-    /// Finds the binaries in @p programs and starts the whole layout; fails, naming the process, if one is not ready in time.
+    /// Starts all processes with the binaries in @p programs. Fails with Unavailable and the name of the process if one is not ready in time.
     static Core::Result<std::unique_ptr<Fleet>> start(const Topology &topology, const std::string &programs);
     ~Fleet();
 
@@ -35,39 +35,43 @@
     {
         return m_layout;
     }
-    /// Where settings and logs of the processes are.
+    /// Returns the directory with the settings and logs of the processes.
     const std::string &directory() const
     {
         return m_directory;
     }
-    /// Leaves the directory behind, so that the logs of a run that failed can be read.
+    /// Keeps the directory after the fleet is destroyed, so that the logs of a failed run can be read.
     void keepDirectory()
     {
         m_isDirectoryKept = true;
     }
 
+    /// Returns the specification of a process. Fails with NotFound.
     Core::Result<const ProcessSpec *> find(const std::string &name) const;
+    /// Returns the specifications of all processes of a kind.
     std::vector<const ProcessSpec *> ofKind(ProcessKind kind) const;
+    /// Returns the process with this name; nullptr if it has not been started.
     Process *process(const std::string &name);
 
-    /// SIGKILL; the instance leaves the list when it notices.
+    /// Kills the process with SIGKILL and removes its instance from the instance list.
     Core::Result<void> kill(const std::string &name);
-    /// SIGTERM; the process drains.
+    /// Sends SIGTERM, so that the process drains.
     Core::Result<void> terminate(const std::string &name);
-    /// SIGSTOP and SIGCONT.
+    /// Pauses the process with SIGSTOP.
     Core::Result<void> freeze(const std::string &name);
+    /// Resumes a frozen process with SIGCONT.
     Core::Result<void> resume(const std::string &name);
-    /// Starts a process again that has ended, with nothing kept, and waits until it is ready.
+    /// Restarts a process that has ended, without its former state, and waits until it is ready. Fails with Conflict if it still runs.
     Core::Result<void> replace(const std::string &name);
 
-    /// Sets fault switches of a stand-in.
+    /// Sets the fault switches of a stand-in.
     Core::Result<void> setFaults(const std::string &name, const std::string &json);
-    /// A JSON page of a process, for example its /journal or /status.
+    /// Returns a JSON page of a process, for example /journal or /status.
     Core::Result<Poco::JSON::Object::Ptr> page(const std::string &name, const std::string &path) const;
-    /// Tells the instance list about an instance.
+    /// Adds an instance to the instance list, or updates its state there.
     Core::Result<void> setListed(const ProcessSpec &spec, const std::string &state);
 
-    /// Names of processes that ended without having been told to.
+    /// Returns the names of processes that ended without having been killed or terminated.
     std::vector<std::string> unexpectedExits();
 
 private:
@@ -84,13 +88,13 @@
     std::string m_programs;
     std::string m_directory;
     bool m_isDirectoryKept = false;
-    std::optional<Poco::Net::ServerSocket> m_slotLock; ///< Bound while the slot is ours.
+    std::optional<Poco::Net::ServerSocket> m_slotLock; ///< Bound while this fleet owns the slot.
     Layout m_layout;
     std::map<std::string, Process> m_running;
-    std::map<std::string, bool> m_isEndExpected; ///< Processes that were killed or told to end.
+    std::map<std::string, bool> m_isEndExpected; ///< True for processes that were killed or terminated.
 };
 
-/// Waits until @p condition holds; false if it does not within @p patience.
+/// Polls until @p condition holds. Returns false if it does not hold within @p timeout.
 bool waitUntil(const std::function<bool()> &condition, Core::Duration timeout);
 
 }
--- a/Libraries/LibBench/Http.cpp
+++ b/Libraries/LibBench/Http.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the bench's HTTP questions.
+/// @file Implementation of the HTTP requests.
 
 #include "LibBench/Http.h"
 #include "LibNetwork/Dialer.h"
--- a/Libraries/LibBench/Layout.cpp
+++ b/Libraries/LibBench/Layout.cpp
@@ -15,9 +15,9 @@
 constexpr std::uint16_t StandInPort = 7400;
 constexpr int HostsPerBlock = 250;
 constexpr int SeedEntries = 3;
-constexpr int TransferRatePercent = 97; ///< Agents pace transfer a little below their link's rate.
+constexpr int TransferRatePercent = 97; ///< Transfer rate of an agent, as a percentage of its link rate. Slightly below the link rate.
 
-/// Builds the host numbers 127.slot.block.n.
+/// Builds host addresses of the form 127.slot.block.n.
 class HostAddresses
 {
 public:
--- a/Libraries/LibBench/Layout.h
+++ b/Libraries/LibBench/Layout.h
@@ -1,4 +1,4 @@
-/// @file From a topology to concrete instances with addresses and settings files.
+/// @file Derives the processes of a fleet with their addresses and settings from a topology.
 #pragma once
 
 #include "LibBench/Topology.h"
@@ -19,14 +19,14 @@
     Agent,
 };
 
-/// One process of the fleet.
+/// Specification of one process of a fleet.
 struct ProcessSpec
 {
     ProcessKind m_kind = ProcessKind::Entry;
-    std::string m_name; ///< "log", "origin", "network", "entry-1", "agent:drafting-models-3", "endpoint:drafting-models-3".
+    std::string m_name; ///< For example "log", "origin", "network", "entry-1", "agent:drafting-models-3" or "endpoint:drafting-models-3".
     std::string m_program; ///< File name of the binary.
-    Core::Address m_health; ///< Answers GET /healthz when the process is ready.
-    std::string m_settings; ///< YAML.
+    Core::Address m_health; ///< Answers GET /healthz once the process is ready.
+    std::string m_settings; ///< Content of the settings file, in YAML.
     std::string m_instance; ///< Name in the instance list; empty for stand-ins.
     std::string m_role;
     std::string m_service;
@@ -37,7 +37,7 @@
     Core::Address m_admin;
 };
 
-/// Every process of a fleet, in the order in which they start.
+/// The processes of a fleet, in the order in which they are started.
 struct Layout
 {
     Core::Address m_log;
@@ -46,7 +46,7 @@
     std::vector<ProcessSpec> m_processes;
 };
 
-/// Lays the fleet out over the addresses 127.SLOT.x.y, so that fleets with different slots can run side by side.
+/// Assigns addresses of the form 127.SLOT.x.y, so that fleets with different slots can run concurrently.
 Layout makeLayout(const Topology &topology, int slot);
 
 }
--- a/Libraries/LibBench/LinearFit.h
+++ b/Libraries/LibBench/LinearFit.h
@@ -1,10 +1,11 @@
-/// @file Least-squares line through measured points.
+/// @file Least-squares fit of a line to measured points.
 #pragma once
 
 #include <vector>
 
 namespace Bench {
 
+/// A measured point.
 struct Point
 {
     double m_x = 0;
@@ -13,22 +14,23 @@
     bool operator==(const Point &) const = default;
 };
 
-/// y = m_intercept + m_slope * x.
+/// The line y = m_intercept + m_slope * x.
 struct LinearFit
 {
     double m_intercept = 0;
     double m_slope = 0;
-    double m_largestResidual = 0; ///< Largest distance of a point from the line, in units of y.
+    double m_largestResidual = 0; ///< Largest vertical distance of a point from the line, in units of y.
 
     bool operator==(const LinearFit &) const = default;
 
+    /// Returns the y value of the line at @p x.
     double at(double x) const
     {
         return m_intercept + m_slope * x;
     }
 };
 
-/// Fits a line; with fewer than two different x the slope is 0.
+/// Fits a line. With fewer than two distinct x values the slope is 0.
 LinearFit fitLine(const std::vector<Point> &points);
 
 }
--- a/Libraries/LibBench/Process.cpp
+++ b/Libraries/LibBench/Process.cpp
@@ -1,4 +1,4 @@
-/// @file Starting and ending child processes by posix_spawn.
+/// @file Implementation of child processes with posix_spawn.
 
 #include "LibBench/Process.h"
 
@@ -45,7 +45,7 @@
     posix_spawn_file_actions_addopen(&actions, STDIN_FILENO, "/dev/null", O_RDONLY, 0);
     posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, logFile.c_str(), O_WRONLY | O_CREAT | O_APPEND, LogFileMode);
     posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-    // A child that kept the bench's listening sockets would hold their addresses after the bench has closed them.
+    // A child that inherited listening sockets of the bench would keep their addresses in use after the bench closes them.
     posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
 
     std::vector<char *> argv;
--- a/Libraries/LibBench/Process.h
+++ b/Libraries/LibBench/Process.h
@@ -1,4 +1,4 @@
-/// @file A child process of a test bench. Only benches start processes; the product's own never do.
+/// @file A child process of a test bench. Only test benches start processes; the entry and the agent never do.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,11 +11,11 @@
 
 namespace Bench {
 
-/// Owns one child process; a child that still runs at the end is killed and reaped.
+/// Owns a child process. The destructor kills and reaps a child that still runs.
 class Process
 {
 public:
-    /// Starts @p program with its output appended to @p logFile.
+    /// Starts @p program and appends its output to @p logFile. Fails with Unavailable.
     static Core::Result<Process> start(const std::string &program, const std::vector<std::string> &arguments, const std::string &logFile);
 
     Process(Process &&other) noexcept;
@@ -31,23 +31,23 @@
         return m_logFile;
     }
 
-    /// Sends a signal; no effect on a process that has ended.
+    /// Sends a signal. Has no effect on a process that has ended.
     void signal(int number);
-    /// Exit code if the process has ended, 128 + signal if a signal ended it.
+    /// Returns the exit code if the process has ended, or 128 plus the signal number if a signal ended it.
     std::optional<int> poll();
-    /// As poll, but waits at most @p patience.
+    /// Like poll(), but waits up to @p timeout for the end of the process.
     std::optional<int> wait(Core::Duration timeout);
 
-    /// Processor seconds that the process has used, user and system.
+    /// Returns the user and system processor time used by the process, in seconds.
     double processorSeconds() const;
-    /// Resident memory in bytes.
+    /// Returns the resident memory of the process in bytes.
     std::size_t residentBytes() const;
 
 private:
     Process(pid_t pid, std::string logFile);
     void killAndReap();
 
-    pid_t m_pid = 0; ///< 0 once reaped or moved from.
+    pid_t m_pid = 0; ///< 0 after the process was reaped or moved from.
     std::string m_logFile;
     std::optional<int> m_exitCode;
 };
--- a/Libraries/LibBench/Publication.cpp
+++ b/Libraries/LibBench/Publication.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of publishing in a test fleet.
+/// @file Implementation of publishing templates.
 
 #include "LibBench/Publication.h"
 
--- a/Libraries/LibBench/Sample.h
+++ b/Libraries/LibBench/Sample.h
@@ -1,4 +1,4 @@
-/// @file What a process of a fleet has used so far, read from its counters and from the system.
+/// @file Resource usage of a process of a fleet, read from its metrics and from /proc.
 #pragma once
 
 #include "LibBench/Fleet.h"
@@ -8,13 +8,13 @@
 
 namespace Bench {
 
-/// Values of one process at one moment. Counters only grow; resident memory is a level.
+/// Usage of one process since its start. All values but the resident memory are monotonic counters.
 struct UsageSample
 {
     Core::Instant m_takenAt;
     double m_processorSeconds = 0;
     double m_residentBytes = 0;
-    double m_controlBytes = 0; ///< Sent and received.
+    double m_controlBytes = 0; ///< Sent and received, like the following counters.
     double m_controlFrames = 0;
     double m_transferBytes = 0;
     double m_liveBytes = 0;
@@ -22,10 +22,10 @@
     bool operator==(const UsageSample &) const = default;
 };
 
-/// Use per second between two samples, and the level at the second.
+/// Usage rates between two samples, and the resident memory at the second one.
 struct UsageRate
 {
-    double m_processorShare = 0; ///< Of one core.
+    double m_processorShare = 0; ///< Fraction of one core.
     double m_residentBytes = 0;
     double m_controlBytesPerSecond = 0;
     double m_controlFramesPerSecond = 0;
@@ -34,12 +34,13 @@
     bool operator==(const UsageRate &) const = default;
 };
 
-/// Counters of a Prometheus text by full name with labels; lines that are not counters are skipped.
+/// Parses metrics in the Prometheus text format into values by full name with labels. Lines that are not metrics are skipped.
 std::map<std::string, double> parseMetrics(const std::string &text);
 
-/// Reads one process of the fleet now.
+/// Reads the current usage of a process.
 Core::Result<UsageSample> readUsageSample(Fleet &fleet, const std::string &process);
 
+/// Returns the usage rates between two samples of a process.
 UsageRate usageRate(const UsageSample &before, const UsageSample &after);
 
 }
--- a/Libraries/LibBench/Tool.cpp
+++ b/Libraries/LibBench/Tool.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of running a tool.
+/// @file Implementation of running command-line programs.
 
 #include "LibBench/Tool.h"
 
--- a/Libraries/LibBench/Tool.h
+++ b/Libraries/LibBench/Tool.h
@@ -1,4 +1,4 @@
-/// @file Runs a command-line program of the product to its end and keeps what it printed.
+/// @file Runs a command-line program to completion and captures its output.
 #pragma once
 
 #include "LibBench/Process.h"
@@ -8,6 +8,7 @@
 
 namespace Bench {
 
+/// Exit code and output of a program.
 struct ToolOutcome
 {
     int m_exitCode = 0;
@@ -16,10 +17,11 @@
     bool operator==(const ToolOutcome &) const = default;
 };
 
-/// Runs @p program; its output goes through @p outputFile, which must not exist yet. Killed with a Timeout error after @p patience.
+/// Runs @p program with its output redirected to @p outputFile, which must not exist yet. After @p timeout the program is killed and the call fails with
+/// Timeout.
 Core::Result<ToolOutcome> runTool(const std::string &program, const std::vector<std::string> &arguments, const std::string &outputFile, Core::Duration timeout);
 
-/// Content of a file; empty if it cannot be read.
+/// Returns the content of a file; empty if it cannot be read.
 std::string readWholeFile(const std::string &path);
 
 }
--- a/Libraries/LibBench/Topology.cpp
+++ b/Libraries/LibBench/Topology.cpp
@@ -1,4 +1,4 @@
-/// @file The fleets that tests and measurements use.
+/// @file Topologies for tests and measurements.
 
 #include "LibBench/Topology.h"
 
--- a/Libraries/LibBench/Topology.h
+++ b/Libraries/LibBench/Topology.h
@@ -1,4 +1,4 @@
-/// @file Which instances a test fleet has and how they are linked.
+/// @file Instances, services, versions and links of a test fleet.
 #pragma once
 
 #include <cstdint>
@@ -7,6 +7,7 @@
 
 namespace Bench {
 
+/// A failure domain and its region.
 struct FailureDomain
 {
     std::string m_name;
@@ -15,7 +16,7 @@
     bool operator==(const FailureDomain &) const = default;
 };
 
-/// A service and how many endpoint instances it has, spread over the failure domains in turn.
+/// A service and the number of its endpoints, which are assigned to the failure domains round-robin.
 struct ServiceShape
 {
     std::string m_name;
@@ -26,7 +27,7 @@
     bool operator==(const ServiceShape &) const = default;
 };
 
-/// A version of a model at the weight store.
+/// A version of a model at the origin.
 struct StoredVersion
 {
     std::string m_model;
@@ -34,17 +35,18 @@
     std::uint64_t m_bytes = 0;
     std::uint64_t m_seed = 0;
     std::uint64_t m_baseSeed = 0;
-    int m_changedPercent = 100; ///< Share of chunks that differ from the base.
+    int m_changedPercent = 100; ///< Percentage of chunks that differ from the version with m_baseSeed.
 
     bool operator==(const StoredVersion &) const = default;
 };
 
-/// Link rates in bytes per second, as in the users' pages: in the burst window an instance's link carries about two copies and the origin's about four.
+/// Link rates in bytes per second, with the proportions stated by the users: within the burst window the link of an instance carries about two copies of the
+/// weights and the link of the origin about four.
 struct LinkRates
 {
     std::uint64_t m_instance = 1 << 20;
     std::uint64_t m_origin = 2 << 20;
-    std::uint64_t m_entry = 16 << 20; ///< Of entry instances. Weights and links are scaled down for tests, control messages are not, so theirs is wider.
+    std::uint64_t m_entry = 16 << 20; ///< Link of an entry. Higher, since tests scale down weights and links, but not control messages.
     std::uint64_t m_regionPair = 26'000'000 / 8;
     int m_sameRegionLatencyMs = 0;
     int m_crossRegionLatencyMs = 0;
@@ -52,14 +54,15 @@
     bool operator==(const LinkRates &) const = default;
 };
 
+/// Parameters of a test fleet.
 struct Topology
 {
-    std::vector<FailureDomain> m_failureDomains; ///< The origin and the log stand in the first.
+    std::vector<FailureDomain> m_failureDomains; ///< The origin and the log are in the first one.
     int m_entries = 3;
     std::vector<ServiceShape> m_services;
     std::vector<StoredVersion> m_versions;
     LinkRates m_links;
-    bool m_limitsLinks = true; ///< Without, processes dial each other directly.
+    bool m_limitsLinks = true; ///< Without limits, processes connect to each other directly instead of through the network stand-in.
     std::uint32_t m_chunkBytes = 64 << 10;
     int m_listLagMs = 1000;
     int m_logAppendsPerSecond = 400;
@@ -74,13 +77,13 @@
     bool operator==(const Topology &) const = default;
 };
 
-/// Sao Mai's places and services in their numbers of today, with small weights.
+/// The failure domains and services of Sao Mai at their current size, with small weights.
 Topology saoMaiTopology();
-/// Accrochage's places and services in their numbers of today, with small weights.
+/// The failure domains and services of Accrochage at their current size, with small weights.
 Topology accrochageTopology();
-/// One region pair, three entries, a few endpoints: for scenarios.
+/// Two regions, three entries and a few endpoints, for scenarios.
 Topology smallTopology();
-/// One model service of @p endpoints over Sao Mai's places, for measuring bursts.
+/// One model service with @p endpoints endpoints in the failure domains of Sao Mai, for measuring bursts.
 Topology burstTopology(int endpoints);
 
 }
