--- a/Utilities/control-benchmark/Propagation.cpp
+++ b/Utilities/control-benchmark/Propagation.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Core::Duration Patience{60000};
+constexpr Core::Duration WaitTimeout{60000};
 constexpr int Entries = 2;
 
 Wire::NodeSettings nodeSettings(const std::optional<Core::Address> &listen)
@@ -77,7 +77,7 @@
 
 bool waitFor(const std::function<bool()> &condition)
 {
-    const Core::Instant deadline = Core::Clock::now() + Patience;
+    const Core::Instant deadline = Core::Clock::now() + WaitTimeout;
     while (!condition()) {
         if (Core::Clock::now() > deadline) {
             return false;
@@ -111,7 +111,7 @@
     return sum;
 }
 
-bool allHave(const std::vector<std::unique_ptr<Process>> &agents, Control::Offset revision)
+bool haveAllApplied(const std::vector<std::unique_ptr<Process>> &agents, Control::Offset revision)
 {
     return std::all_of(
         agents.begin(), agents.end(), [revision](const std::unique_ptr<Process> &agent) { return agent->m_store.current()->m_applied >= revision; });
@@ -142,12 +142,12 @@
         }
         agents.back()->m_subscriber.start();
     }
-    const auto hasEveryone = [&entries, subscribers] {
+    const auto hasAllSubscribers = [&entries, subscribers] {
         return std::all_of(entries.begin(), entries.end(), [subscribers](const std::unique_ptr<EntryProcess> &entry) {
             return entry->m_process.m_store.members().size() >= static_cast<std::size_t>(subscribers);
         });
     };
-    if (!waitFor(hasEveryone)) {
+    if (!waitFor(hasAllSubscribers)) {
         throw std::runtime_error("not every subscriber arrived");
     }
     std::vector<double> milliseconds;
@@ -156,21 +156,21 @@
     const Core::Instant started = Core::Clock::now();
     for (int number = 0; number < changes; ++number) {
         const Core::Instant published = Core::Clock::now();
-        const Control::Template wanted = makeTemplate(subscribers, static_cast<char>('a' + number % 6));
+        const Control::Template changedTemplate = makeTemplate(subscribers, static_cast<char>('a' + number % 6));
         const Core::Result<Platform::Offset> offset =
-            log.append(Control::ControlStream, Control::encodeRecord(makePublish(static_cast<Control::Offset>(number), wanted)));
-        if (!offset || !waitFor([&agents, &offset] { return allHave(agents, offset.value()); })) {
+            log.append(Control::ControlStream, Control::encodeRecord(makePublishRecord(static_cast<Control::Offset>(number), changedTemplate)));
+        if (!offset || !waitFor([&agents, &offset] { return haveAllApplied(agents, offset.value()); })) {
             throw std::runtime_error("a change did not come into force everywhere");
         }
         constexpr double millisecondsPerSecond = 1000;
         milliseconds.push_back(Core::secondsBetween(published, Core::Clock::now()) * millisecondsPerSecond);
     }
     const double elapsed = Core::secondsBetween(started, Core::Clock::now());
-    const double perDaemonAndChange = static_cast<double>(subscribers) * changes;
+    const double subscriberChanges = static_cast<double>(subscribers) * changes;
     output << "in force on " << subscribers << " subscribers, " << changes << " changes: median " << std::fixed << std::setprecision(1)
            << quantile(milliseconds, 0.5) << " ms, p95 " << quantile(milliseconds, 0.95) << " ms, largest " << quantile(milliseconds, 1) << " ms; "
-           << static_cast<double>(bytesReceived(agents) - bytesBefore) / perDaemonAndChange << " bytes and "
-           << (processorSeconds() - processorBefore) * 1e6 / perDaemonAndChange << " us of processor a subscriber and change (" << elapsed << " s in all)\n";
+           << static_cast<double>(bytesReceived(agents) - bytesBefore) / subscriberChanges << " bytes and "
+           << (processorSeconds() - processorBefore) * 1e6 / subscriberChanges << " us of processor a subscriber and change (" << elapsed << " s in all)\n";
     for (const std::unique_ptr<Process> &agent : agents) {
         agent->m_subscriber.stop();
         agent->m_node.stop();
--- a/Utilities/control-benchmark/PureCosts.cpp
+++ b/Utilities/control-benchmark/PureCosts.cpp
@@ -32,12 +32,12 @@
     return samples[samples.size() / 2];
 }
 
-void row(std::ostream &output, const std::string &name, double value, const std::string &unit)
+void printRow(std::ostream &output, const std::string &name, double value, const std::string &unit)
 {
     output << std::left << std::setw(46) << name << std::right << std::setw(12) << std::fixed << std::setprecision(3) << value << " " << unit << "\n";
 }
 
-void foldNext(Control::ControlState &state, const std::string &body)
+void applyNext(Control::ControlState &state, const std::string &body)
 {
     Control::applyRecord(state, state.m_position + 1, body);
 }
@@ -49,25 +49,25 @@
     constexpr double kibibyte = 1024;
     const std::vector<Protocol::Member> members = makeFleet(instances);
     Control::ControlState state;
-    const std::string change = Control::encodeRecord(makePublish(0, makeTemplate(instances, 'a')));
-    foldNext(state, change);
+    const std::string change = Control::encodeRecord(makePublishRecord(0, makeTemplate(instances, 'a')));
+    applyNext(state, change);
 
     output << "fleet of " << instances << " instances, 10 accounts (medians of " << Rounds << " rounds)\n";
-    row(output, "plan from nothing", medianMilliseconds([&state, &members] { Control::planService("drafting-models", state, members); }), "ms");
+    printRow(output, "plan from nothing", medianMilliseconds([&state, &members] { Control::planService("drafting-models", state, members); }), "ms");
     const Control::Plan plan = Control::planService("drafting-models", state, members);
     const std::string planRecord = Control::encodeRecord(Control::Record{Core::randomIdentifier(), "entry", Control::PublishPlan{0, plan}});
-    row(output, "fold of a template's record", medianMilliseconds([state, &change]() mutable { foldNext(state, change); }), "ms");
-    row(output, "fold of a plan's record", medianMilliseconds([state, &planRecord]() mutable { foldNext(state, planRecord); }), "ms");
-    foldNext(state, planRecord);
-    row(output,
-        "plan after one instance died",
-        medianMilliseconds([&state, &members] { Control::planService("drafting-models", state, std::span<const Protocol::Member>(members).subspan(1)); }),
-        "ms");
-    row(output, "encoding of the state", medianMilliseconds([&state] { Control::encodeState(state); }), "ms");
-    row(output, "template's record", static_cast<double>(change.size()) / kibibyte, "KiB");
-    row(output, "plan's record", static_cast<double>(planRecord.size()) / kibibyte, "KiB");
-    row(output, "state", static_cast<double>(Control::encodeState(state).size()) / kibibyte, "KiB");
-    row(output, "members", static_cast<double>(Wire::pack(members).size()) / kibibyte, "KiB");
+    printRow(output, "fold of a template's record", medianMilliseconds([state, &change]() mutable { applyNext(state, change); }), "ms");
+    printRow(output, "fold of a plan's record", medianMilliseconds([state, &planRecord]() mutable { applyNext(state, planRecord); }), "ms");
+    applyNext(state, planRecord);
+    printRow(output,
+             "plan after one instance died",
+             medianMilliseconds([&state, &members] { Control::planService("drafting-models", state, std::span<const Protocol::Member>(members).subspan(1)); }),
+             "ms");
+    printRow(output, "encoding of the state", medianMilliseconds([&state] { Control::encodeState(state); }), "ms");
+    printRow(output, "template's record", static_cast<double>(change.size()) / kibibyte, "KiB");
+    printRow(output, "plan's record", static_cast<double>(planRecord.size()) / kibibyte, "KiB");
+    printRow(output, "state", static_cast<double>(Control::encodeState(state).size()) / kibibyte, "KiB");
+    printRow(output, "members", static_cast<double>(Wire::pack(members).size()) / kibibyte, "KiB");
 }
 
 }
--- a/Utilities/control-benchmark/Samples.cpp
+++ b/Utilities/control-benchmark/Samples.cpp
@@ -50,9 +50,9 @@
     return members;
 }
 
-Control::Record makePublish(Control::Offset basedOn, const Control::Template &wanted)
+Control::Record makePublishRecord(Control::Offset basedOn, const Control::Template &published)
 {
-    return Control::Record{Core::randomIdentifier(), "operator", Control::PublishTemplate{basedOn, wanted}};
+    return Control::Record{Core::randomIdentifier(), "operator", Control::PublishTemplate{basedOn, published}};
 }
 
 }
--- a/Utilities/control-benchmark/Samples.h
+++ b/Utilities/control-benchmark/Samples.h
@@ -11,6 +11,6 @@
 /// Ten accounts over @p replicas replicas in all; the first two want half of them.
 Control::Template makeTemplate(int replicas, char digest);
 std::vector<Protocol::Member> makeFleet(int instances);
-Control::Record makePublish(Control::Offset basedOn, const Control::Template &wanted);
+Control::Record makePublishRecord(Control::Offset basedOn, const Control::Template &published);
 
 }
--- a/Utilities/measure-entry/Main.cpp
+++ b/Utilities/measure-entry/Main.cpp
@@ -8,7 +8,7 @@
 #include "LibStandIn/HttpServer.h"
 #include "LibStandInLog/LogService.h"
 #include "LibWire/Pack.h"
-#include "QuickAgent.h"
+#include "StubAgent.h"
 
 #include <Poco/Net/HTTPClientSession.h>
 #include <Poco/StreamCopier.h>
@@ -20,17 +20,17 @@
 
 namespace {
 
-using MeasureEntry::QuickAgent;
+using MeasureEntry::StubAgent;
 
 constexpr const char *Service = "drafting-models";
 constexpr int Agents = 3;
 constexpr Core::Duration RunTime{3000};
-constexpr Core::Duration Patience{20000};
+constexpr Core::Duration AnswerTimeout{20000};
 const std::string Digest(64, '7');
 const std::string GenerateBody = R"({"account":"sao-mai","template":"season","prompt":"moodboard","max_tokens":64})";
 
 /// One HTTP exchange on a kept connection; the status, or 0 if it failed.
-int exchange(Poco::Net::HTTPClientSession &session, const std::string &method, const std::string &path, const std::string &body, std::string &answer)
+int sendRequest(Poco::Net::HTTPClientSession &session, const std::string &method, const std::string &path, const std::string &body, std::string &answer)
 {
     try {
         Poco::Net::HTTPRequest request(method, path, "HTTP/1.1");
@@ -48,28 +48,28 @@
 }
 
 /// The platform, the agents and the entry under measurement.
-class Site
+class Cluster
 {
 public:
-    Site(const std::string &programs, int tokens)
+    Cluster(const std::string &programs, int tokens)
         : m_log(logSettings(m_platform))
         , m_server(32)
     {
         m_server.listen(m_platform, [this](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) { m_log.handle(request, response); })
             .value();
         for (int index = 0; index < Agents; ++index) {
-            m_agents.push_back(std::make_unique<QuickAgent>("engine-" + std::to_string(index), Service, Digest, tokens));
+            m_agents.push_back(std::make_unique<StubAgent>("engine-" + std::to_string(index), Service, Digest, tokens));
             m_agents.back()->start().value();
-            list(m_agents.back()->member());
+            addToInstanceList(m_agents.back()->member());
         }
         publish();
         const std::string settings = writeSettings();
         m_entry.emplace(
             Bench::Process::start("/usr/bin/taskset", {"-c", "0", programs + "/oriolerail-entry", "--settings", settings}, settings + ".log").value());
-        awaitAnswer();
+        waitForAnswer();
     }
 
-    ~Site()
+    ~Cluster()
     {
         m_entry.reset();
         m_log.stop();
@@ -98,13 +98,13 @@
         return settings;
     }
 
-    void list(const Protocol::Member &member) const
+    void addToInstanceList(const Protocol::Member &member) const
     {
         Poco::Net::HTTPClientSession session(m_platform.m_host, m_platform.m_port);
         const std::string body = R"({"address":")" + member.m_wire.toString() + R"(","role":"agent","service":")" + member.m_service
             + R"(","region":"r","failure_domain":"f","state":"live"})";
         std::string answer;
-        exchange(session, "PUT", "/instances/" + member.m_id, body, answer);
+        sendRequest(session, "PUT", "/instances/" + member.m_id, body, answer);
     }
 
     void publish() const
@@ -135,13 +135,13 @@
         return path;
     }
 
-    void awaitAnswer() const
+    void waitForAnswer() const
     {
-        const Core::Instant until = Core::Clock::now() + Patience;
+        const Core::Instant deadline = Core::Clock::now() + AnswerTimeout;
         std::string answer;
-        while (Core::Clock::now() < until) {
+        while (Core::Clock::now() < deadline) {
             Poco::Net::HTTPClientSession session(m_callers.m_host, m_callers.m_port);
-            if (exchange(session, "POST", "/v1/generate", GenerateBody, answer) == 200) {
+            if (sendRequest(session, "POST", "/v1/generate", GenerateBody, answer) == 200) {
                 return;
             }
             std::this_thread::sleep_for(Core::Duration(50));
@@ -154,7 +154,7 @@
     const Core::Address m_callers = Network::freeLoopbackAddress();
     StandIn::LogService m_log;
     StandIn::HttpServer m_server;
-    std::vector<std::unique_ptr<QuickAgent>> m_agents;
+    std::vector<std::unique_ptr<StubAgent>> m_agents;
     std::optional<Bench::Process> m_entry;
 };
 
@@ -172,17 +172,17 @@
 };
 
 /// One caller that asks again as soon as it is answered.
-Load callInALoop(const Core::Address &callers, Core::Instant until)
+Load runClosedLoop(const Core::Address &callers, Core::Instant deadline)
 {
     Load load;
     Poco::Net::HTTPClientSession session(callers.m_host, callers.m_port);
     session.setKeepAlive(true);
     std::string answer;
-    while (Core::Clock::now() < until) {
+    while (Core::Clock::now() < deadline) {
         const Core::Instant start = Core::Clock::now();
-        const int status = exchange(session, "POST", "/v1/generate", GenerateBody, answer);
-        const bool whole = status == 200 && answer.find("{\"end\":true") != std::string::npos;
-        (whole ? load.m_answered : load.m_failed) += 1;
+        const int status = sendRequest(session, "POST", "/v1/generate", GenerateBody, answer);
+        const bool isComplete = status == 200 && answer.find("{\"end\":true") != std::string::npos;
+        (isComplete ? load.m_answered : load.m_failed) += 1;
         load.m_seconds.push_back(Core::secondsBetween(start, Core::Clock::now()));
     }
     return load;
@@ -190,12 +190,12 @@
 
 void measureThroughput(const std::string &programs, int tokens, int callers)
 {
-    Site site(programs, tokens);
-    const double processorBefore = site.entry().processorSeconds();
+    Cluster cluster(programs, tokens);
+    const double processorBefore = cluster.entry().processorSeconds();
     const Core::Instant start = Core::Clock::now();
     std::vector<std::future<Load>> loops;
     for (int caller = 0; caller < callers; ++caller) {
-        loops.push_back(std::async(std::launch::async, callInALoop, site.callers(), start + RunTime));
+        loops.push_back(std::async(std::launch::async, runClosedLoop, cluster.callers(), start + RunTime));
     }
     Load sum;
     for (std::future<Load> &loop : loops) {
@@ -205,7 +205,7 @@
         sum.m_seconds.insert(sum.m_seconds.end(), load.m_seconds.begin(), load.m_seconds.end());
     }
     const double seconds = Core::secondsBetween(start, Core::Clock::now());
-    const double processor = site.entry().processorSeconds() - processorBefore;
+    const double processor = cluster.entry().processorSeconds() - processorBefore;
     const double answered = static_cast<double>(sum.m_answered);
     std::printf("%-8d %-8d %10.0f %12.0f %8zu %10.2f %10.2f %10.2f %14.0f %9.1f\n",
                 tokens,
@@ -217,14 +217,14 @@
                 quantile(sum.m_seconds, 0.99) * 1000,
                 processor / seconds,
                 processor / answered * 1e6,
-                static_cast<double>(site.entry().residentBytes()) / 1e6);
+                static_cast<double>(cluster.entry().residentBytes()) / 1e6);
 }
 
 /// One caller, one request at a time, straight at the agent and through the entry.
 void measureAddedLatency(const std::string &programs)
 {
     constexpr int rounds = 1000;
-    Site site(programs, 8);
+    Cluster cluster(programs, 8);
     Telemetry::Metrics metrics;
     Wire::Node node(Wire::NodeSettings(), metrics);
     node.start().value();
@@ -238,25 +238,25 @@
         const std::shared_ptr<std::promise<void>> done = std::make_shared<std::promise<void>>();
         Wire::CallEvents events;
         events.m_onEnd = [done](const Wire::CallEnd &) { done->set_value(); };
-        node.call(site.agent(), "live.call", Wire::pack(request), Wire::CallOptions(), events);
+        node.call(cluster.agent(), "live.call", Wire::pack(request), Wire::CallOptions(), events);
         done->get_future().get();
         direct.push_back(Core::secondsBetween(start, Core::Clock::now()));
     }
     node.stop();
-    std::vector<double> through;
-    Poco::Net::HTTPClientSession session(site.callers().m_host, site.callers().m_port);
+    std::vector<double> throughEntry;
+    Poco::Net::HTTPClientSession session(cluster.callers().m_host, cluster.callers().m_port);
     session.setKeepAlive(true);
     std::string answer;
     for (int round = 0; round < rounds; ++round) {
         const Core::Instant start = Core::Clock::now();
-        exchange(session, "POST", "/v1/generate", GenerateBody, answer);
-        through.push_back(Core::secondsBetween(start, Core::Clock::now()));
+        sendRequest(session, "POST", "/v1/generate", GenerateBody, answer);
+        throughEntry.push_back(Core::secondsBetween(start, Core::Clock::now()));
     }
     std::printf("\nadded latency, one request of 8 tokens at a time: direct p50 %.3f ms, p99 %.3f ms; through the entry p50 %.3f ms, p99 %.3f ms\n",
                 quantile(direct, 0.5) * 1000,
                 quantile(direct, 0.99) * 1000,
-                quantile(through, 0.5) * 1000,
-                quantile(through, 0.99) * 1000);
+                quantile(throughEntry, 0.5) * 1000,
+                quantile(throughEntry, 0.99) * 1000);
 }
 
 }
--- a/Utilities/measure-entry/QuickAgent.cpp
+++ b/Utilities/measure-entry/StubAgent.cpp
@@ -1,6 +1,6 @@
 /// @file Implementation of the quick agent.
 
-#include "QuickAgent.h"
+#include "StubAgent.h"
 #include "LibEndpoint/AnswerFramer.h"
 #include "LibNetwork/Listener.h"
 #include "LibWire/Pack.h"
@@ -16,7 +16,7 @@
 
 }
 
-QuickAgent::QuickAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens)
+StubAgent::StubAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens)
     : m_tokens(tokens)
 {
     Protocol::Member &member = m_report.m_member;
@@ -35,7 +35,7 @@
     m_node = std::make_unique<Wire::Node>(settings, m_metrics);
 }
 
-QuickAgent::~QuickAgent()
+StubAgent::~StubAgent()
 {
     m_stopping = true;
     if (m_thread.joinable()) {
@@ -44,7 +44,7 @@
     m_node->stop();
 }
 
-Core::Result<void> QuickAgent::start()
+Core::Result<void> StubAgent::start()
 {
     m_node->handle("control.watch", [this](const Wire::IncomingCall &call) {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -56,7 +56,7 @@
     return Core::success();
 }
 
-void QuickAgent::answer(const Wire::IncomingCall &call) const
+void StubAgent::answer(const Wire::IncomingCall &call) const
 {
     const Core::Result<Protocol::LiveRequest> request = Wire::unpack<Protocol::LiveRequest>(call.m_body, call.m_peer);
     if (!request) {
@@ -71,7 +71,7 @@
     call.m_responder.finish();
 }
 
-void QuickAgent::reportLoop()
+void StubAgent::reportLoop()
 {
     while (!m_stopping) {
         {
--- a/Utilities/measure-entry/QuickAgent.h
+++ b/Utilities/measure-entry/StubAgent.h
@@ -13,11 +13,11 @@
 
 namespace MeasureEntry {
 
-class QuickAgent
+class StubAgent
 {
 public:
-    QuickAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens);
-    ~QuickAgent();
+    StubAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens);
+    ~StubAgent();
 
     Core::Result<void> start();
     const Protocol::Member &member() const
--- a/Utilities/measure-routing/Main.cpp
+++ b/Utilities/measure-routing/Main.cpp
@@ -34,13 +34,13 @@
 
 namespace {
 
-struct Named
+struct NamedStrategy
 {
     const char *m_name;
     Routing::Strategy m_strategy;
 };
 
-constexpr Named Strategies[] = {
+constexpr NamedStrategy Strategies[] = {
     {"random", Routing::Strategy::Random},
     {"least-reported", Routing::Strategy::LeastReportedLoad},
     {"fastest-free", Routing::Strategy::JoinFastestFreeServer},
@@ -48,14 +48,14 @@
     {"affinity", Routing::Strategy::PrefixAffinity},
 };
 
-struct Fleet
+struct FleetSize
 {
     std::size_t m_engines;
     std::size_t m_entries;
     double m_seconds;
 };
 
-constexpr Fleet Fleets[] = {{20, 13, 200}, {200, 40, 60}, {600, 60, 30}};
+constexpr FleetSize Fleets[] = {{20, 13, 200}, {200, 40, 60}, {600, 60, 30}};
 
 void compare(double load, double cacheGain)
 {
@@ -72,28 +72,28 @@
                 "cached",
                 "large served",
                 "small served");
-    for (const Fleet &fleet : Fleets) {
-        for (const Named &named : Strategies) {
-            MeasureRouting::Plan plan;
-            plan.m_strategy = named.m_strategy;
-            plan.m_engines = fleet.m_engines;
-            plan.m_entries = fleet.m_entries;
-            plan.m_seconds = fleet.m_seconds;
-            plan.m_load = load;
-            plan.m_cacheGain = cacheGain;
-            const MeasureRouting::Outcome outcome = MeasureRouting::simulate(plan);
+    for (const FleetSize &fleet : Fleets) {
+        for (const NamedStrategy &strategy : Strategies) {
+            MeasureRouting::Parameters parameters;
+            parameters.m_strategy = strategy.m_strategy;
+            parameters.m_engines = fleet.m_engines;
+            parameters.m_entries = fleet.m_entries;
+            parameters.m_seconds = fleet.m_seconds;
+            parameters.m_load = load;
+            parameters.m_cacheGain = cacheGain;
+            const MeasureRouting::SimulationResult result = MeasureRouting::simulate(parameters);
             std::printf("%-8zu %-8zu %-15s %8.2f %8.2f %10.2f %8.2f%% %6.2f%% %6.1f%% %12.1f%% %12.1f%%\n",
                         fleet.m_engines,
                         fleet.m_entries,
-                        named.m_name,
-                        outcome.m_median,
-                        outcome.m_tail,
-                        outcome.m_smallTail,
-                        outcome.m_rejected * 100,
-                        outcome.m_late * 100,
-                        outcome.m_cacheHits * 100,
-                        outcome.m_largeServed * 100,
-                        outcome.m_smallServed * 100);
+                        strategy.m_name,
+                        result.m_median,
+                        result.m_percentile99,
+                        result.m_smallPercentile99,
+                        result.m_rejected * 100,
+                        result.m_late * 100,
+                        result.m_cacheHits * 100,
+                        result.m_largeServed * 100,
+                        result.m_smallServed * 100);
         }
     }
 }
@@ -117,18 +117,18 @@
             table.update(report, now);
         }
         const Routing::GroupKey group{"drafting-models", digest};
-        for (const Named &named : Strategies) {
+        for (const NamedStrategy &strategy : Strategies) {
             Core::Random random(1);
             std::uint64_t sum = 0;
             const std::uint64_t allocationsBefore = allocations;
             const Core::Instant start = Core::Clock::now();
             for (int round = 0; round < rounds; ++round) {
                 const Routing::SelectionRequest request{random.next() | 1, {}, true};
-                sum += *Routing::selectEndpoint(named.m_strategy, table, group, request, now, random);
+                sum += *Routing::selectEndpoint(strategy.m_strategy, table, group, request, now, random);
             }
             const double seconds = Core::secondsBetween(start, Core::Clock::now());
             const double perDecision = static_cast<double>(allocations - allocationsBefore) / rounds;
-            std::printf("%-10zu %-15s %12.0f %14.3f%s\n", engines, named.m_name, seconds / rounds * 1e9, perDecision, sum == 0 ? " " : "");
+            std::printf("%-10zu %-15s %12.0f %14.3f%s\n", engines, strategy.m_name, seconds / rounds * 1e9, perDecision, sum == 0 ? " " : "");
         }
     }
 }
--- a/Utilities/oriolerail-capacity/Trial.cpp
+++ b/Utilities/oriolerail-capacity/Trial.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr std::uint64_t WeightsBytes = 256 << 10;
-constexpr Core::Duration ServingPatience{120000};
+constexpr Core::Duration ServingTimeout{120000};
 constexpr Core::Duration SettleTime{4000};
 constexpr int SecondsPerMinute = 60;
 constexpr int TokensPerRequest = 8;
 
-Bench::Topology topologyOf(const TrialSize &size)
+Bench::Topology makeTopology(const TrialSize &size)
 {
     Bench::Topology topology = Bench::burstTopology(size.m_agents);
     topology.m_entries = size.m_entries;
@@ -29,7 +29,7 @@
     return topology;
 }
 
-Bench::Publication publicationOf(const TrialSize &size, const std::string &version)
+Bench::Publication makePublication(const TrialSize &size, const std::string &version)
 {
     Bench::Publication publication;
     for (int account = 1; account <= size.m_accounts; ++account) {
@@ -38,7 +38,7 @@
     return publication;
 }
 
-std::vector<Bench::UsageSample> sampleAll(Bench::Fleet &fleet, Bench::ProcessKind kind)
+std::vector<Bench::UsageSample> readUsageSamples(Bench::Fleet &fleet, Bench::ProcessKind kind)
 {
     std::vector<Bench::UsageSample> samples;
     for (const Bench::ProcessSpec *spec : fleet.ofKind(kind)) {
@@ -89,7 +89,7 @@
 }
 
 /// Publishes at the trial's rate for @p seconds, or only waits.
-Core::Result<void> passTime(Bench::Fleet &fleet, const TrialSize &size, int seconds, const std::string &programs)
+Core::Result<void> runChanges(Bench::Fleet &fleet, const TrialSize &size, int seconds, const std::string &programs)
 {
     if (size.m_changesPerMinute == 0) {
         std::this_thread::sleep_for(std::chrono::seconds(seconds));
@@ -99,7 +99,7 @@
     const Core::Instant start = Core::Clock::now();
     for (int change = 0; change < changes; ++change) {
         std::this_thread::sleep_until(start + std::chrono::milliseconds(1000 * seconds * change / changes));
-        BOOST_OUTCOME_TRYV(Bench::publish(fleet, programs, publicationOf(size, "1")));
+        BOOST_OUTCOME_TRYV(Bench::publish(fleet, programs, makePublication(size, "1")));
     }
     std::this_thread::sleep_until(start + std::chrono::seconds(seconds));
     return Core::success();
@@ -107,7 +107,7 @@
 
 }
 
-TrialSize sizeOn(Axis axis, int value, TrialSize base)
+TrialSize withAxisValue(Axis axis, int value, TrialSize base)
 {
     switch (axis) {
     case Axis::Agents:
@@ -131,14 +131,14 @@
 
 Core::Result<TrialResult> runTrial(const TrialSize &size, int seconds, const std::string &programs)
 {
-    const std::unique_ptr<Bench::Fleet> fleet = BOOST_OUTCOME_TRYX(Bench::Fleet::start(topologyOf(size), programs));
-    const Bench::ToolOutcome published = BOOST_OUTCOME_TRYX(Bench::publish(*fleet, programs, publicationOf(size, "1")));
+    const std::unique_ptr<Bench::Fleet> fleet = BOOST_OUTCOME_TRYX(Bench::Fleet::start(makeTopology(size), programs));
+    const Bench::ToolOutcome published = BOOST_OUTCOME_TRYX(Bench::publish(*fleet, programs, makePublication(size, "1")));
     if (published.m_exitCode != 0) {
         return Core::makeError(Core::ErrorCode::Internal, "publish", "", published.m_output);
     }
     const Scenario::StoredDigests digests = BOOST_OUTCOME_TRYX(Scenario::readStoredDigests(*fleet));
     const std::string digest = digests.m_byVersion.at("1");
-    const bool serving = Bench::waitUntil([&fleet, &size, &digest] { return Scenario::servingReplicas(*fleet, digest) >= size.m_agents; }, ServingPatience);
+    const bool serving = Bench::waitUntil([&fleet, &size, &digest] { return Scenario::servingReplicas(*fleet, digest) >= size.m_agents; }, ServingTimeout);
     if (!serving) {
         return Core::makeError(Core::ErrorCode::Timeout, "wait for replicas", "", std::to_string(Scenario::servingReplicas(*fleet, digest)) + " serve");
     }
@@ -147,14 +147,14 @@
     if (size.m_requestsPerSecond > 0) {
         load = BOOST_OUTCOME_TRYX(startLoad(*fleet, programs, size, seconds));
     }
-    const std::vector<Bench::UsageSample> entriesBefore = sampleAll(*fleet, Bench::ProcessKind::Entry);
-    const std::vector<Bench::UsageSample> agentsBefore = sampleAll(*fleet, Bench::ProcessKind::Agent);
+    const std::vector<Bench::UsageSample> entriesBefore = readUsageSamples(*fleet, Bench::ProcessKind::Entry);
+    const std::vector<Bench::UsageSample> agentsBefore = readUsageSamples(*fleet, Bench::ProcessKind::Agent);
     const std::uint64_t recordsBefore = BOOST_OUTCOME_TRYX(Scenario::nextControlOffset(*fleet));
-    BOOST_OUTCOME_TRYV(passTime(*fleet, size, seconds, programs));
+    BOOST_OUTCOME_TRYV(runChanges(*fleet, size, seconds, programs));
     const std::uint64_t recordsAfter = BOOST_OUTCOME_TRYX(Scenario::nextControlOffset(*fleet));
     TrialResult result;
-    result.m_entry = meanRate(entriesBefore, sampleAll(*fleet, Bench::ProcessKind::Entry));
-    result.m_agent = meanRate(agentsBefore, sampleAll(*fleet, Bench::ProcessKind::Agent));
+    result.m_entry = meanRate(entriesBefore, readUsageSamples(*fleet, Bench::ProcessKind::Entry));
+    result.m_agent = meanRate(agentsBefore, readUsageSamples(*fleet, Bench::ProcessKind::Agent));
     result.m_logAppendsPerSecond = static_cast<double>(recordsAfter - recordsBefore) / seconds;
     return result;
 }
--- a/Utilities/oriolerail-capacity/Trial.h
+++ b/Utilities/oriolerail-capacity/Trial.h
@@ -30,7 +30,7 @@
 };
 
 /// The size with @p value on the axis.
-TrialSize sizeOn(Axis axis, int value, TrialSize base);
+TrialSize withAxisValue(Axis axis, int value, TrialSize base);
 
 /// Mean over the processes of each role.
 struct TrialResult
--- a/Utilities/oriolerail-capacity/main.cpp
+++ b/Utilities/oriolerail-capacity/main.cpp
@@ -108,7 +108,7 @@
     std::vector<MeasuredPoint> points;
     for (const int value : arguments["sizes"].as<std::vector<int>>()) {
         std::cerr << axis.m_name << " = " << value << std::endl;
-        const Core::Result<Capacity::TrialResult> result = Capacity::runTrial(Capacity::sizeOn(axis.m_axis, value, base), seconds, programs);
+        const Core::Result<Capacity::TrialResult> result = Capacity::runTrial(Capacity::withAxisValue(axis.m_axis, value, base), seconds, programs);
         if (!result) {
             std::cerr << "oriolerail-capacity: " << result.error() << std::endl;
             return ExitFailed;
