--- a/Utilities/control-benchmark/Main.cpp
+++ b/Utilities/control-benchmark/Main.cpp
@@ -1,4 +1,5 @@
-/// @file control-benchmark: what control costs: folding, planning, sizes, and the time until a change is in force on many subscribers.
+/// @file control-benchmark: measures the cost of control: applying records, planning, encoded sizes, and the time until a change is in force on many
+/// subscribers.
 
 #include "Propagation.h"
 #include "PureCosts.h"
--- a/Utilities/control-benchmark/Propagation.cpp
+++ b/Utilities/control-benchmark/Propagation.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the measurement of propagation.
+/// @file Implementation of the propagation measurement.
 
 #include "Propagation.h"
 #include "LibControl/LogTail.h"
@@ -29,7 +29,7 @@
     return settings;
 }
 
-/// What an entry and an agent share.
+/// Components common to an entry and an agent.
 struct Process
 {
     Telemetry::Metrics m_metrics;
@@ -47,6 +47,7 @@
     }
 };
 
+/// An entry that reads the log and feeds the control state to subscribers.
 struct EntryProcess
 {
     Process m_process;
--- a/Utilities/control-benchmark/PureCosts.cpp
+++ b/Utilities/control-benchmark/PureCosts.cpp
@@ -18,7 +18,7 @@
 
 constexpr int Rounds = 15;
 
-/// Median over several rounds, in milliseconds.
+/// Returns the median duration of several rounds in milliseconds.
 double medianMilliseconds(const std::function<void()> &work)
 {
     constexpr double millisecondsPerSecond = 1000;
--- a/Utilities/control-benchmark/Samples.cpp
+++ b/Utilities/control-benchmark/Samples.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the made-up fleets.
+/// @file Implementation of the sample fleets.
 
 #include "Samples.h"
 #include "LibCore/Random.h"
--- a/Utilities/measure-entry/Main.cpp
+++ b/Utilities/measure-entry/Main.cpp
@@ -1,4 +1,4 @@
-/// @file measure-entry: requests and tokens a second of one entry on one core, and the latency that it adds.
+/// @file measure-entry: measures requests and tokens per second of an entry on one core, and the latency that it adds.
 
 #include "LibBench/Process.h"
 #include "LibControl/Records.h"
@@ -29,7 +29,7 @@
 const std::string Digest(64, '7');
 const std::string GenerateBody = R"({"account":"sao-mai","template":"season","prompt":"moodboard","max_tokens":64})";
 
-/// One HTTP exchange on a kept connection; the status, or 0 if it failed.
+/// Sends an HTTP request on a persistent connection. Returns the status, or 0 if the request failed.
 int sendRequest(Poco::Net::HTTPClientSession &session, const std::string &method, const std::string &path, const std::string &body, std::string &answer)
 {
     try {
@@ -47,7 +47,7 @@
     }
 }
 
-/// The platform, the agents and the entry under measurement.
+/// The platform, the agents and the measured entry.
 class Cluster
 {
 public:
@@ -164,6 +164,7 @@
     return times.empty() ? 0 : times[std::min(times.size() - 1, static_cast<std::size_t>(fraction * static_cast<double>(times.size())))];
 }
 
+/// Results of one or more callers.
 struct Load
 {
     std::size_t m_answered = 0;
@@ -171,7 +172,7 @@
     std::vector<double> m_seconds;
 };
 
-/// One caller that asks again as soon as it is answered.
+/// Runs one caller that sends its next request as soon as the previous one is answered.
 Load runClosedLoop(const Core::Address &callers, Core::Instant deadline)
 {
     Load load;
@@ -220,7 +221,7 @@
                 static_cast<double>(cluster.entry().residentBytes()) / 1e6);
 }
 
-/// One caller, one request at a time, straight at the agent and through the entry.
+/// Compares the latency of direct requests to an agent with requests through the entry, one request at a time.
 void measureAddedLatency(const std::string &programs)
 {
     constexpr int rounds = 1000;
--- a/Utilities/measure-entry/StubAgent.cpp
+++ b/Utilities/measure-entry/StubAgent.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the quick agent.
+/// @file Implementation of the stub agent.
 
 #include "StubAgent.h"
 #include "LibEndpoint/AnswerFramer.h"
--- a/Utilities/measure-entry/StubAgent.h
+++ b/Utilities/measure-entry/StubAgent.h
@@ -1,4 +1,4 @@
-/// @file An agent that answers every request at once, so that a measurement sees the entry alone.
+/// @file A stub agent that answers every request immediately, so that a measurement covers only the entry.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -13,6 +13,7 @@
 
 namespace MeasureEntry {
 
+/// Answers each request with a fixed number of tokens and reports its load to watchers.
 class StubAgent
 {
 public:
--- a/Utilities/measure-routing/Main.cpp
+++ b/Utilities/measure-routing/Main.cpp
@@ -1,4 +1,4 @@
-/// @file measure-routing: strategies compared by simulation, and the cost of one decision.
+/// @file measure-routing: compares routing strategies by simulation and measures the cost of one routing decision.
 
 #include "Simulation.h"
 
@@ -12,7 +12,7 @@
 
 }
 
-// Counts every allocation of the process, to show that a decision makes none.
+// Counts all allocations of the process, to show that a routing decision does not allocate.
 void *operator new(std::size_t size)
 {
     allocations += 1;
--- a/Utilities/measure-routing/Simulation.cpp
+++ b/Utilities/measure-routing/Simulation.cpp
@@ -1,4 +1,4 @@
-/// @file The simulation's events.
+/// @file Implementation of the routing simulation.
 
 #include "Simulation.h"
 
@@ -21,8 +21,8 @@
     std::size_t m_prefix = 0;
     std::size_t m_entry = 0;
     double m_arrival = 0;
-    double m_started = 0; ///< When it was granted.
-    double m_serviceTime = 0;
+    double m_started = 0; ///< When an endpoint was granted.
+    double m_serviceTime = 0; ///< At an engine of normal speed without a cached prefix.
     Routing::Granted m_granted;
     bool m_done = false;
 };
@@ -39,8 +39,8 @@
 {
     double m_time = 0;
     EventKind m_kind = EventKind::Arrival;
-    std::size_t m_subject = 0; ///< Request, engine or entry.
-    Protocol::EndpointLoad m_load; ///< In a Report.
+    std::size_t m_subject = 0; ///< Index of a request, engine or entry, depending on the kind.
+    Protocol::EndpointLoad m_load; ///< Load in a Report event.
     std::uint64_t m_sequence = 0;
 
     bool operator<(const Event &other) const
@@ -54,7 +54,7 @@
     double m_speed = 1;
     std::uint32_t m_running = 0;
     std::deque<std::size_t> m_queue;
-    std::deque<std::size_t> m_prefixes; ///< Cached, the newest last.
+    std::deque<std::size_t> m_prefixes; ///< Cached prefixes, most recently used last.
     std::vector<std::size_t> m_watchers;
 };
 
@@ -201,7 +201,7 @@
         }
     }
 
-    /// The request goes to the engine, which runs it or lets it wait.
+    /// Sends the request to the engine, which runs, queues or rejects it.
     void start(const Routing::Granted &granted)
     {
         const std::size_t index = granted.m_ticket - 1;
@@ -341,7 +341,7 @@
     std::vector<std::unique_ptr<Routing::Scheduler>> m_entries;
     std::priority_queue<Event> m_events;
     std::vector<Request> m_requests;
-    std::vector<std::pair<std::size_t, double>> m_finishedInTime; ///< Requests that ended in time, with how long they took.
+    std::vector<std::pair<std::size_t, double>> m_finishedInTime; ///< Indices and durations of requests that finished within their timeout.
     std::size_t m_rejected = 0;
     std::size_t m_runCount = 0;
     std::size_t m_cacheHitCount = 0;
--- a/Utilities/oriolerail-capacity/Trial.cpp
+++ b/Utilities/oriolerail-capacity/Trial.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of one capacity trial.
+/// @file Implementation of a capacity trial.
 
 #include "Trial.h"
 
@@ -88,7 +88,7 @@
     return Bench::Process::start(programs + "/oriolerail-load", arguments, fleet.directory() + "/load.out");
 }
 
-/// Publishes at the trial's rate for @p seconds, or only waits.
+/// Publishes at the rate of the trial for @p seconds. Only waits if the rate is 0.
 Core::Result<void> runChanges(Bench::Fleet &fleet, const TrialSize &size, int seconds, const std::string &programs)
 {
     if (size.m_changesPerMinute == 0) {
--- a/Utilities/oriolerail-capacity/Trial.h
+++ b/Utilities/oriolerail-capacity/Trial.h
@@ -1,4 +1,4 @@
-/// @file One measurement of a fleet of one size: what its processes use for themselves.
+/// @file A capacity trial: measures the resource usage of the processes in a fleet of a given size.
 #pragma once
 
 #include "LibBench/Fleet.h"
@@ -8,16 +8,16 @@
 
 namespace Capacity {
 
-/// What grows from one trial to the next.
+/// The size that varies between trials.
 enum class Axis {
     Agents,
     Entries,
     Accounts,
-    Changes, ///< Publications a minute.
-    Requests, ///< Generate requests a second.
+    Changes, ///< Publications per minute.
+    Requests, ///< Generate requests per second.
 };
 
-/// Sizes of one trial; the axis decides which of them varies.
+/// Sizes of one trial; the axis selects the one that varies.
 struct TrialSize
 {
     int m_agents = 10;
@@ -29,10 +29,10 @@
     bool operator==(const TrialSize &) const = default;
 };
 
-/// The size with @p value on the axis.
+/// Returns @p base with @p value on the axis.
 TrialSize withAxisValue(Axis axis, int value, TrialSize base);
 
-/// Mean over the processes of each role.
+/// Mean usage of the processes of each role.
 struct TrialResult
 {
     Bench::UsageRate m_entry;
@@ -42,7 +42,7 @@
     bool operator==(const TrialResult &) const = default;
 };
 
-/// Starts a fleet, publishes one small version to every agent, lets it settle and samples it for @p seconds.
+/// Starts a fleet, publishes a small version to all agents, waits a few seconds for the fleet to settle and measures its usage for @p seconds.
 Core::Result<TrialResult> runTrial(const TrialSize &size, int seconds, const std::string &programs);
 
 }
--- a/Utilities/oriolerail-capacity/main.cpp
+++ b/Utilities/oriolerail-capacity/main.cpp
@@ -1,4 +1,4 @@
-/// @file oriolerail-capacity: measures what processes use for themselves at several sizes and fits a line through it.
+/// @file oriolerail-capacity: measures the resource usage of processes at several fleet sizes and fits a line to it.
 
 #include "LibBench/LinearFit.h"
 #include "Trial.h"
@@ -15,6 +15,7 @@
 constexpr int ExitFailed = 1;
 constexpr int ExitUsage = 2;
 
+/// Name of an axis on the command line.
 struct AxisName
 {
     const char *m_name;
@@ -29,7 +30,7 @@
     {"requests", Capacity::Axis::Requests},
 }};
 
-/// One measured quantity of a trial.
+/// A measured quantity of a trial and how to read it from a result.
 struct Quantity
 {
     const char *m_name;
@@ -53,6 +54,7 @@
     {"log_appends_s", [](const Capacity::TrialResult &result) { return result.m_logAppendsPerSecond; }},
 }};
 
+/// Result of the trial with one value of the axis.
 struct MeasuredPoint
 {
     int m_value = 0;
