--- a/Libraries/LibLoad/Report.cpp
+++ b/Libraries/LibLoad/Report.cpp
@@ -36,7 +36,7 @@
     return text.str();
 }
 
-/// Field names of the JSON report, with underscores so that each can stand in an expression.
+/// Returns the field name of an outcome in the JSON report. Underscores replace dashes, so that the name can be used in expressions.
 std::string fieldName(Outcome outcome)
 {
     std::string name(outcomeName(outcome));
@@ -85,12 +85,12 @@
     const bool expected = isExpected(request, observation);
     m_unexpected += expected ? 0 : 1;
     if (!expected || observation.m_outcome == Outcome::Wrong || observation.m_outcome == Outcome::Failed) {
-        noteProblem(request, observation);
+        recordProblem(request, observation);
     }
 }
 
-/// Called with m_mutex held.
-void Report::noteProblem(const Request &request, const Observation &observation)
+/// Must be called with m_mutex held.
+void Report::recordProblem(const Request &request, const Observation &observation)
 {
     if (m_problems.size() == MaximumProblems) {
         return;
--- a/Tests/LibScenario/TestRandomScript.cpp
+++ b/Tests/LibScenario/TestRandomScript.cpp
@@ -1,30 +1,30 @@
-/// @file Random schedules are the same for the same seed, and take back every fault.
+/// @file Tests that random fault schedules are reproducible and restore every process.
 
 #include "LibScenario/RandomScript.h"
 
 #include <catch2/catch.hpp>
 
-TEST_CASE("a seed always gives the same schedule, and seeds differ")
+TEST_CASE("Equal seeds give equal schedules, and different seeds give different ones")
 {
     REQUIRE(Scenario::randomScript(7) == Scenario::randomScript(7));
     REQUIRE_FALSE(Scenario::randomScript(7) == Scenario::randomScript(8));
 }
 
-TEST_CASE("whatever is killed is replaced and whatever is frozen is resumed")
+TEST_CASE("Every killed process is replaced and every frozen process is resumed")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         INFO("seed " << seed);
         std::vector<std::string> broken;
         for (const Scenario::Step &step : Scenario::randomScript(seed).m_steps) {
-            const Scenario::Act *act = std::get_if<Scenario::Act>(&step.m_verb);
-            if (!act) {
+            const Scenario::ControlProcess *control = std::get_if<Scenario::ControlProcess>(&step.m_verb);
+            if (!control) {
                 continue;
             }
-            const bool breaks = act->m_action == Scenario::ProcessAction::Kill || act->m_action == Scenario::ProcessAction::Freeze;
+            const bool breaks = control->m_action == Scenario::ProcessAction::Kill || control->m_action == Scenario::ProcessAction::Freeze;
             if (breaks) {
-                broken.push_back(act->m_process);
+                broken.push_back(control->m_process);
             } else {
-                REQUIRE(std::erase(broken, act->m_process) == 1);
+                REQUIRE(std::erase(broken, control->m_process) == 1);
             }
         }
         REQUIRE(broken.empty());
--- a/Utilities/control-benchmark/Samples.cpp
+++ b/Utilities/control-benchmark/Samples.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the made-up fleets.
+/// @file Implementation of the sample fleets.
 
 #include "Samples.h"
 #include "LibCore/Random.h"
@@ -50,9 +50,9 @@
     return members;
 }
 
-Control::Record makePublish(Control::Offset basedOn, const Control::Template &wanted)
+Control::Record makePublishRecord(Control::Offset basedOn, const Control::Template &published)
 {
-    return Control::Record{Core::randomIdentifier(), "operator", Control::PublishTemplate{basedOn, wanted}};
+    return Control::Record{Core::randomIdentifier(), "operator", Control::PublishTemplate{basedOn, published}};
 }
 
 }
--- a/Utilities/measure-entry/QuickAgent.h
+++ b/Utilities/measure-entry/StubAgent.h
@@ -1,4 +1,4 @@
-/// @file An agent that answers every request at once, so that a measurement sees the entry alone.
+/// @file A stub agent that answers every request immediately, so that a measurement covers only the entry.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -13,11 +13,12 @@
 
 namespace MeasureEntry {
 
-class QuickAgent
+/// Answers each request with a fixed number of tokens and reports its load to watchers.
+class StubAgent
 {
 public:
-    QuickAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens);
-    ~QuickAgent();
+    StubAgent(const std::string &id, const std::string &service, const std::string &digest, int tokens);
+    ~StubAgent();
 
     Core::Result<void> start();
     const Protocol::Member &member() const
