--- a/Libraries/LibStandIn/BatchQueue.h
+++ b/Libraries/LibStandIn/BatchQueue.h
@@ -31,7 +31,7 @@
     }
 
     /// True if a further request may come: a place in the batch or in the queue is free.
-    bool hasRoom() const
+    bool hasCapacity() const
     {
         return m_running + m_waiting.size() < std::size_t(m_capacity) + m_maximumQueued;
     }
--- a/Libraries/LibStandIn/Engine.cpp
+++ b/Libraries/LibStandIn/Engine.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t MaximumBodyBytes = 1 << 20;
 constexpr std::uint64_t MaximumTokens = 100000;
 constexpr double BytesPerMebibyte = 1 << 20;
-constexpr Core::Duration HangPoll{50};
+constexpr Core::Duration HangPollInterval{50};
 constexpr std::string_view ModelPrefix = "/models/";
 constexpr std::string_view CancelPrefix = "/cancel/";
 constexpr std::size_t ReadBytes = 65536;
@@ -125,10 +125,10 @@
 {
     GenerateRequest m_request;
     BatchTicket m_ticket;
-    std::string m_trueDigest;
-    std::uint64_t m_life = 0;
+    std::string m_actualDigest;
+    std::uint64_t m_incarnation = 0;
     std::uint64_t m_sent = 0; ///< Tokens handed to the connection.
-    bool m_prefixKnown = false;
+    bool m_isPrefixCached = false;
     EngineFaults m_faults;
 };
 
@@ -210,7 +210,7 @@
 {
     while (m_faults.current().m_hang) {
         std::unique_lock<std::mutex> lock(m_mutex);
-        if (m_changed.wait_for(lock, HangPoll, [this] { return m_stopping; })) {
+        if (m_changed.wait_for(lock, HangPollInterval, [this] { return m_stopping; })) {
             return false;
         }
     }
@@ -225,7 +225,7 @@
         const std::lock_guard<std::mutex> lock(m_mutex);
         for (const HeldModel &model : m_slots.models()) {
             Poco::JSON::Object object;
-            object.set("digest", model.m_state == ModelState::Serving ? reportedVersion(model.m_trueDigest) : model.m_digest);
+            object.set("digest", model.m_state == ModelState::Serving ? reportedVersion(model.m_actualDigest) : model.m_digest);
             object.set("state", std::string(stateName(model.m_state)));
             object.set("fence", model.m_fence);
             models.add(object);
@@ -288,19 +288,19 @@
     if (!needed.value()) {
         return sendAnswer(response, StatusOk, "application/json", modelAnswer(digest));
     }
-    const Core::Result<std::string> trueDigest = receiveWeights(request);
+    const Core::Result<std::string> actualDigest = receiveWeights(request);
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        if (!trueDigest) {
+        if (!actualDigest) {
             m_slots.abandonLoad(digest);
         } else {
-            m_slots.finishLoad(digest, trueDigest.value());
+            m_slots.finishLoad(digest, actualDigest.value());
         }
     }
-    if (!trueDigest) {
+    if (!actualDigest) {
         return dropConnection(request);
     }
-    sendAnswer(response, StatusOk, "application/json", modelAnswer(reportedVersion(trueDigest.value())));
+    sendAnswer(response, StatusOk, "application/json", modelAnswer(reportedVersion(actualDigest.value())));
 }
 
 Core::Result<std::string> Engine::receiveWeights(Poco::Net::HTTPServerRequest &request)
@@ -314,20 +314,20 @@
         received += stream.gcount();
         hash.update(std::string_view(buffer.data(), static_cast<std::size_t>(stream.gcount())));
         if (m_faults.current().m_dieWhileLoading && received * 2 >= expected) {
-            die();
+            simulateCrash();
             return Core::makeError(Core::ErrorCode::Internal, "load model", "", "the engine died");
         }
     }
     if (received != expected) {
         return Core::makeError(Core::ErrorCode::Corrupt, "load model", "", "the weights ended early");
     }
-    Generation none;
+    Generation loading;
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        none.m_life = m_life;
+        loading.m_incarnation = m_incarnation;
     }
     const double milliseconds = static_cast<double>(received) / BytesPerMebibyte * m_settings.m_loadMsPerMebibyte * m_faults.current().m_slowFactor;
-    if (!sleepFor(none, milliseconds)) {
+    if (!sleepFor(loading, milliseconds)) {
         return Core::makeError(Core::ErrorCode::Cancelled, "load model", "", "the engine stops");
     }
     return hash.finishHex();
@@ -365,15 +365,15 @@
     generation.m_faults = m_faults.current();
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        if (!m_batch.hasRoom()) {
+        if (!m_batch.hasCapacity()) {
             return sendError(response, StatusUnavailable, Core::makeError(Core::ErrorCode::Overloaded, "generate", "", "the queue is full"));
         }
         const Core::Result<std::string> held = m_slots.acquire(generation.m_request.m_digest);
         if (!held) {
             return sendError(response, StatusNotFound, held.error());
         }
-        generation.m_trueDigest = held.value();
-        generation.m_life = m_life;
+        generation.m_actualDigest = held.value();
+        generation.m_incarnation = m_incarnation;
         generation.m_ticket = m_batch.enqueue(generation.m_request.m_priority);
         m_active.insert(generation.m_request.m_request);
         recordLoad();
@@ -389,14 +389,14 @@
     std::unique_lock<std::mutex> lock(m_mutex);
     bool started = false;
     m_changed.wait(lock, [this, &generation, &started] {
-        if (isEnded(generation)) {
+        if (shouldStop(generation)) {
             return true;
         }
         started = m_batch.tryStart(generation.m_ticket);
         return started;
     });
     if (started) {
-        generation.m_prefixKnown = m_prefixes.touch(generation.m_trueDigest, generation.m_request.m_prompt);
+        generation.m_isPrefixCached = m_prefixes.touch(generation.m_actualDigest, generation.m_request.m_prompt);
         recordLoad();
         // The next in the queue may find a free place too.
         m_changed.notify_all();
@@ -410,7 +410,7 @@
 /// Called with m_mutex held.
 void Engine::leaveBatch(const Generation &generation)
 {
-    if (generation.m_life == m_life) {
+    if (generation.m_incarnation == m_incarnation) {
         m_slots.release(generation.m_request.m_digest);
     }
     m_active.erase(m_active.find(generation.m_request.m_request));
@@ -425,13 +425,13 @@
 {
     response.setContentType("application/x-ndjson");
     response.setChunkedTransferEncoding(true);
-    response.set("Oriolerail-Version", reportedVersion(generation.m_trueDigest));
+    response.set("Oriolerail-Version", reportedVersion(generation.m_actualDigest));
     bool completed = false;
     try {
         std::ostream &output = response.send();
         completed = sendTokens(generation, output);
         if (completed) {
-            output << "{\"end\":true,\"tokens\":" << generation.m_sent << ",\"digest\":\"" << reportedVersion(generation.m_trueDigest) << "\"}\n";
+            output << "{\"end\":true,\"tokens\":" << generation.m_sent << ",\"digest\":\"" << reportedVersion(generation.m_actualDigest) << "\"}\n";
             output.flush();
             completed = output.good();
         }
@@ -444,9 +444,13 @@
         m_batch.finish();
         leaveBatch(generation);
     }
-    const GenerateRequest &asked = generation.m_request;
-    m_journal.add(
-        EngineRun{asked.m_request, asked.m_account, questionName(asked.m_account, asked.m_prompt), generation.m_trueDigest, generation.m_sent, completed});
+    const GenerateRequest &generateRequest = generation.m_request;
+    m_journal.add(EngineRun{generateRequest.m_request,
+                            generateRequest.m_account,
+                            questionName(generateRequest.m_account, generateRequest.m_prompt),
+                            generation.m_actualDigest,
+                            generation.m_sent,
+                            completed});
     if (!completed) {
         dropConnection(request);
     }
@@ -454,11 +458,11 @@
 
 bool Engine::sendTokens(Generation &generation, std::ostream &output)
 {
-    const GenerateRequest &asked = generation.m_request;
+    const GenerateRequest &generateRequest = generation.m_request;
     const double slow = generation.m_faults.m_slowFactor;
-    const double firstFactor = generation.m_prefixKnown ? m_settings.m_cachedFirstTokenFactor : 1;
+    const double firstFactor = generation.m_isPrefixCached ? m_settings.m_cachedFirstTokenFactor : 1;
     const std::int64_t cutAfter = generation.m_faults.m_cutAnswersAfterTokens;
-    for (std::uint64_t index = 0; index < asked.m_maximumTokens; ++index) {
+    for (std::uint64_t index = 0; index < generateRequest.m_maximumTokens; ++index) {
         const double milliseconds = index == 0 ? m_settings.m_firstTokenMs * firstFactor : m_settings.m_tokenMs;
         if (!sleepFor(generation, milliseconds * slow)) {
             return false;
@@ -466,7 +470,7 @@
         if (cutAfter > 0 && index >= static_cast<std::uint64_t>(cutAfter)) {
             return false;
         }
-        output << "{\"token\":\"" << generateToken(asked.m_account, asked.m_prompt, index, generation.m_trueDigest) << "\"}\n";
+        output << "{\"token\":\"" << generateToken(generateRequest.m_account, generateRequest.m_prompt, index, generation.m_actualDigest) << "\"}\n";
         output.flush();
         if (!output.good()) {
             return false;
@@ -480,13 +484,13 @@
 {
     const Core::Instant due = Core::Clock::now() + std::chrono::duration_cast<Core::Clock::duration>(std::chrono::duration<double, std::milli>(milliseconds));
     std::unique_lock<std::mutex> lock(m_mutex);
-    return !m_changed.wait_until(lock, due, [this, &generation] { return isEnded(generation); });
+    return !m_changed.wait_until(lock, due, [this, &generation] { return shouldStop(generation); });
 }
 
 /// Called with m_mutex held.
-bool Engine::isEnded(const Generation &generation) const
+bool Engine::shouldStop(const Generation &generation) const
 {
-    return m_stopping || generation.m_life != m_life || m_cancelled.contains(generation.m_request.m_request);
+    return m_stopping || generation.m_incarnation != m_incarnation || m_cancelled.contains(generation.m_request.m_request);
 }
 
 void Engine::cancel(const std::string &request, Poco::Net::HTTPServerResponse &response)
@@ -501,12 +505,12 @@
     sendAnswer(response, StatusOk, "application/json", "{}\n");
 }
 
-void Engine::die()
+void Engine::simulateCrash()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        ++m_life;
-        m_slots.forgetAll();
+        ++m_incarnation;
+        m_slots.clear();
         m_prefixes = PrefixCache(m_settings.m_cachedPrefixes);
     }
     m_changed.notify_all();
@@ -518,10 +522,10 @@
     m_loadHistory.record(LoadSample{m_batch.running(), m_batch.queued()}, Core::Clock::now());
 }
 
-std::string Engine::reportedVersion(const std::string &trueDigest) const
+std::string Engine::reportedVersion(const std::string &actualDigest) const
 {
     const std::string misreported = m_faults.current().m_misreportDigest;
-    return misreported.empty() ? trueDigest : misreported;
+    return misreported.empty() ? actualDigest : misreported;
 }
 
 }
--- a/Libraries/LibStandIn/Engine.h
+++ b/Libraries/LibStandIn/Engine.h
@@ -92,20 +92,20 @@
     bool sendTokens(Generation &generation, std::ostream &output);
     /// False if the engine stops, dies or the request is cancelled before.
     bool sleepFor(const Generation &generation, double milliseconds);
-    bool isEnded(const Generation &generation) const;
-    void die();
+    bool shouldStop(const Generation &generation) const;
+    void simulateCrash();
     bool waitWhileHanging();
     void recordLoad();
-    std::string reportedVersion(const std::string &trueDigest) const;
+    std::string reportedVersion(const std::string &actualDigest) const;
 
     const EngineSettings m_settings;
-    FaultBoard<EngineFaults> m_faults;
+    FaultState<EngineFaults> m_faults;
     Journal<EngineRun> m_journal;
 
     mutable std::mutex m_mutex;
     std::condition_variable m_changed;
     bool m_stopping = false;
-    std::uint64_t m_life = 0; ///< Grows each time the engine dies; work of an earlier life ends.
+    std::uint64_t m_incarnation = 0; ///< Grows each time the engine dies; work of an earlier life ends.
     ModelSlots m_slots;
     BatchQueue m_batch;
     PrefixCache m_prefixes;
--- a/Libraries/LibStandIn/FaultPage.h
+++ b/Libraries/LibStandIn/FaultPage.h
@@ -1,4 +1,4 @@
-/// @file The page /faults of a stand-in, over its board of switches.
+/// @file The page /faults of a stand-in, over its state of switches.
 #pragma once
 
 #include "LibJson/Json.h"
@@ -14,16 +14,16 @@
 
 /// Applies the change that a POST carries; fails with InvalidInput and changes nothing if it is malformed.
 template <typename Switches>
-Core::Result<void> changeFromRequest(FaultBoard<Switches> &board, Poco::Net::HTTPServerRequest &request)
+Core::Result<void> changeFromRequest(FaultState<Switches> &state, Poco::Net::HTTPServerRequest &request)
 {
     const std::string body = BOOST_OUTCOME_TRYX(readBody(request, MaximumFaultBytes));
     const Poco::JSON::Object::Ptr object = BOOST_OUTCOME_TRYX(Json::parseObject(body));
-    return board.apply(*object);
+    return state.apply(*object);
 }
 
 /// Answers GET and POST /faults with the switches as @p show writes them.
 template <typename Switches>
-void answerFaultPage(FaultBoard<Switches> &board,
+void answerFaultPage(FaultState<Switches> &state,
                      std::string (*show)(const Switches &),
                      Poco::Net::HTTPServerRequest &request,
                      Poco::Net::HTTPServerResponse &response)
@@ -31,12 +31,12 @@
     constexpr int statusOk = 200;
     constexpr int statusBadRequest = 400;
     if (request.getMethod() == "POST") {
-        const Core::Result<void> changed = changeFromRequest(board, request);
+        const Core::Result<void> changed = changeFromRequest(state, request);
         if (!changed) {
             return sendError(response, statusBadRequest, changed.error());
         }
     }
-    sendAnswer(response, statusOk, "application/json", show(board.current()));
+    sendAnswer(response, statusOk, "application/json", show(state.current()));
 }
 
 }
--- a/Libraries/LibStandIn/Faults.h
+++ b/Libraries/LibStandIn/Faults.h
@@ -16,13 +16,13 @@
  * so that a misspelt scenario fails instead of running without its fault.
  */
 template <typename Switches>
-class FaultBoard
+class FaultState
 {
 public:
     /// Returns the switches after the change that @p object asks for.
     using Change = std::function<Core::Result<Switches>(Switches, const Poco::JSON::Object &)>;
 
-    explicit FaultBoard(Change change)
+    explicit FaultState(Change change)
         : m_change(std::move(change))
     {
     }
--- a/Libraries/LibStandIn/HttpServer.cpp
+++ b/Libraries/LibStandIn/HttpServer.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr int MinimumThreads = 2;
-constexpr int MaximumWaiting = 4096;
+constexpr int MaximumQueuedConnections = 4096;
 constexpr int ListenBacklog = 512;
 constexpr int ThreadIdleSeconds = 10;
-constexpr std::size_t StoppingThreads = 64;
+constexpr std::size_t MaximumStopThreads = 64;
 
 class FunctionHandler : public Poco::Net::HTTPRequestHandler
 {
@@ -68,7 +68,7 @@
     Poco::Net::HTTPServerParams::Ptr parameters = new Poco::Net::HTTPServerParams;
     parameters->setKeepAlive(false);
     parameters->setMaxThreads(maximumThreads);
-    parameters->setMaxQueued(MaximumWaiting);
+    parameters->setMaxQueued(MaximumQueuedConnections);
     return parameters;
 }
 
@@ -102,9 +102,9 @@
 {
     // Each server waits for the next look of its accepting thread, so that hundreds would take half a minute one after another.
     std::vector<std::thread> stoppers;
-    for (std::size_t first = 0; first < std::min(m_servers.size(), StoppingThreads); ++first) {
+    for (std::size_t first = 0; first < std::min(m_servers.size(), MaximumStopThreads); ++first) {
         stoppers.emplace_back([this, first] {
-            for (std::size_t index = first; index < m_servers.size(); index += StoppingThreads) {
+            for (std::size_t index = first; index < m_servers.size(); index += MaximumStopThreads) {
                 m_servers[index]->stopAll(true);
             }
         });
--- a/Libraries/LibStandIn/JournalChecker.cpp
+++ b/Libraries/LibStandIn/JournalChecker.cpp
@@ -22,7 +22,7 @@
     std::string m_engine; ///< One of those that ran it.
 };
 
-Core::Error corrupt(const std::string &name, const std::string &detail)
+Core::Error corruptError(const std::string &name, const std::string &detail)
 {
     return Core::makeError(Core::ErrorCode::Corrupt, "read journal", name, detail);
 }
@@ -31,7 +31,7 @@
 {
     const Poco::JSON::Array::Ptr list = object.getArray(field);
     if (!list) {
-        return corrupt(name, field + ": expected a list");
+        return corruptError(name, field + ": expected a list");
     }
     return list;
 }
@@ -40,7 +40,7 @@
 {
     const Poco::JSON::Object::Ptr item = list.getObject(static_cast<unsigned int>(index));
     if (!item) {
-        return corrupt(name, "item " + std::to_string(index) + " is no object");
+        return corruptError(name, "item " + std::to_string(index) + " is no object");
     }
     return item;
 }
@@ -162,7 +162,7 @@
     const Poco::JSON::Object::Ptr object = BOOST_OUTCOME_TRYX(Json::parseObject(line));
     const Poco::JSON::Object::Ptr observed = object->getObject("observed");
     if (!observed) {
-        return corrupt("trace", "the line has nothing observed");
+        return corruptError("trace", "the line has nothing observed");
     }
     CallerRecord record;
     record.m_isCall = BOOST_OUTCOME_TRYX(Json::textOf(*object, "kind")) == "call";
@@ -177,12 +177,12 @@
     return record;
 }
 
-std::vector<Violation> checkWholeWeights(const std::vector<EngineJournal> &engines, const std::set<std::string> &known)
+std::vector<Violation> checkCompleteWeights(const std::vector<EngineJournal> &engines, const std::set<std::string> &knownDigests)
 {
     std::vector<Violation> violations;
     for (const EngineJournal &engine : engines) {
         for (const EngineRun &run : engine.m_runs) {
-            if (!known.contains(run.m_digest)) {
+            if (!knownDigests.contains(run.m_digest)) {
                 violations.push_back(Violation{"whole weights only", engine.m_name + " ran " + run.m_request + " on unknown weights " + run.m_digest});
             }
         }
@@ -216,7 +216,7 @@
     return violations;
 }
 
-std::vector<Violation> checkCallersWereToldTheTruth(const RunEvidence &evidence)
+std::vector<Violation> checkReportedOutcomes(const RunEvidence &evidence)
 {
     std::vector<Violation> violations;
     const EffectsByKey effects = effectsByKey(evidence.m_services);
@@ -238,9 +238,9 @@
 
 std::vector<Violation> checkRun(const RunEvidence &evidence, const std::set<std::string> &knownWeights)
 {
-    std::vector<Violation> violations = checkWholeWeights(evidence.m_engines, knownWeights);
+    std::vector<Violation> violations = checkCompleteWeights(evidence.m_engines, knownWeights);
     for (const std::vector<Violation> &more :
-         {checkAttemptsRanOnce(evidence.m_engines), checkKeysHadOneEffect(evidence.m_services), checkCallersWereToldTheTruth(evidence)}) {
+         {checkAttemptsRanOnce(evidence.m_engines), checkKeysHadOneEffect(evidence.m_services), checkReportedOutcomes(evidence)}) {
         violations.insert(violations.end(), more.begin(), more.end());
     }
     return violations;
--- a/Libraries/LibStandIn/JournalChecker.h
+++ b/Libraries/LibStandIn/JournalChecker.h
@@ -58,7 +58,7 @@
 /// A promise that was broken.
 struct Violation
 {
-    std::string m_promise;
+    std::string m_guarantee;
     std::string m_evidence;
 
     bool operator==(const Violation &) const = default;
@@ -71,7 +71,7 @@
 Core::Result<CallerRecord> parseCallerRecord(const std::string &line);
 
 /// Every run was made by the whole weights of a version that exists. @p known holds the digests of whole weights.
-std::vector<Violation> checkWholeWeights(const std::vector<EngineJournal> &engines, const std::set<std::string> &known);
+std::vector<Violation> checkCompleteWeights(const std::vector<EngineJournal> &engines, const std::set<std::string> &knownDigests);
 
 /// No attempt ran twice, at one engine or at two.
 std::vector<Violation> checkAttemptsRanOnce(const std::vector<EngineJournal> &engines);
@@ -81,7 +81,7 @@
 
 /// What callers were told is true: "not run" left no trace anywhere, an answer did run.
 /// That something ran is only demanded of journals that are all complete.
-std::vector<Violation> checkCallersWereToldTheTruth(const RunEvidence &evidence);
+std::vector<Violation> checkReportedOutcomes(const RunEvidence &evidence);
 
 /// All checks together.
 std::vector<Violation> checkRun(const RunEvidence &evidence, const std::set<std::string> &knownWeights);
--- a/Libraries/LibStandIn/LoadHistory.h
+++ b/Libraries/LibStandIn/LoadHistory.h
@@ -27,7 +27,7 @@
 
     void record(LoadSample sample, Core::Instant now)
     {
-        forget(now);
+        removeOutdated(now);
         m_samples.push_back(Entry{now, sample});
         if (m_samples.size() > MaximumSamples) {
             m_samples.pop_front();
@@ -37,7 +37,7 @@
     /// The load at @p now minus the lag.
     LoadSample reported(Core::Instant now)
     {
-        forget(now);
+        removeOutdated(now);
         const bool oldEnough = !m_samples.empty() && m_samples.front().m_time + m_lag <= now;
         return oldEnough ? m_samples.front().m_sample : LoadSample{};
     }
@@ -52,7 +52,7 @@
     static constexpr std::size_t MaximumSamples = 65536;
 
     /// Drops what a newer sample that is old enough replaces.
-    void forget(Core::Instant now)
+    void removeOutdated(Core::Instant now)
     {
         while (m_samples.size() > 1 && m_samples[1].m_time + m_lag <= now) {
             m_samples.pop_front();
--- a/Libraries/LibStandIn/ModelSlots.cpp
+++ b/Libraries/LibStandIn/ModelSlots.cpp
@@ -17,13 +17,13 @@
 Core::Result<bool> ModelSlots::beginLoad(const std::string &digest, std::uint64_t fence)
 {
     BOOST_OUTCOME_TRYV(checkFence(fence));
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known != m_models.end() && known->second.m_state == ModelState::Loading) {
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found != m_models.end() && found->second.m_state == ModelState::Loading) {
         return Core::makeError(Core::ErrorCode::Unavailable, "load model", "", "the same model is being loaded");
     }
-    if (known != m_models.end()) {
-        known->second.m_state = ModelState::Serving;
-        known->second.m_fence = fence;
+    if (found != m_models.end()) {
+        found->second.m_state = ModelState::Serving;
+        found->second.m_fence = fence;
         return false;
     }
     if (m_models.size() >= m_rules.m_slots) {
@@ -33,65 +33,65 @@
     return true;
 }
 
-void ModelSlots::finishLoad(const std::string &digest, const std::string &trueDigest)
+void ModelSlots::finishLoad(const std::string &digest, const std::string &actualDigest)
 {
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known == m_models.end() || known->second.m_state != ModelState::Loading) {
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found == m_models.end() || found->second.m_state != ModelState::Loading) {
         return;
     }
-    known->second.m_trueDigest = trueDigest;
-    known->second.m_state = ModelState::Serving;
+    found->second.m_actualDigest = actualDigest;
+    found->second.m_state = ModelState::Serving;
 }
 
 void ModelSlots::abandonLoad(const std::string &digest)
 {
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known != m_models.end() && known->second.m_state == ModelState::Loading) {
-        m_models.erase(known);
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found != m_models.end() && found->second.m_state == ModelState::Loading) {
+        m_models.erase(found);
     }
 }
 
 Core::Result<void> ModelSlots::remove(const std::string &digest, std::uint64_t fence)
 {
     BOOST_OUTCOME_TRYV(checkFence(fence));
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known == m_models.end()) {
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found == m_models.end()) {
         return Core::makeError(Core::ErrorCode::NotFound, "remove model", "", "not held");
     }
-    if (known->second.m_state == ModelState::Loading) {
+    if (found->second.m_state == ModelState::Loading) {
         return Core::makeError(Core::ErrorCode::Unavailable, "remove model", "", "it is being loaded");
     }
-    known->second.m_state = ModelState::Draining;
-    known->second.m_fence = fence;
-    if (known->second.m_running == 0) {
-        m_models.erase(known);
+    found->second.m_state = ModelState::Draining;
+    found->second.m_fence = fence;
+    if (found->second.m_running == 0) {
+        m_models.erase(found);
     }
     return Core::success();
 }
 
 Core::Result<std::string> ModelSlots::acquire(const std::string &digest)
 {
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known == m_models.end() || known->second.m_state != ModelState::Serving) {
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found == m_models.end() || found->second.m_state != ModelState::Serving) {
         return Core::makeError(Core::ErrorCode::NotFound, "generate", "", "the model is not serving");
     }
-    ++known->second.m_running;
-    return known->second.m_trueDigest;
+    ++found->second.m_running;
+    return found->second.m_actualDigest;
 }
 
 void ModelSlots::release(const std::string &digest)
 {
-    const std::map<std::string, HeldModel>::iterator known = m_models.find(digest);
-    if (known == m_models.end() || known->second.m_running == 0) {
+    const std::map<std::string, HeldModel>::iterator found = m_models.find(digest);
+    if (found == m_models.end() || found->second.m_running == 0) {
         return;
     }
-    --known->second.m_running;
-    if (known->second.m_running == 0 && known->second.m_state == ModelState::Draining) {
-        m_models.erase(known);
+    --found->second.m_running;
+    if (found->second.m_running == 0 && found->second.m_state == ModelState::Draining) {
+        m_models.erase(found);
     }
 }
 
-void ModelSlots::forgetAll()
+void ModelSlots::clear()
 {
     m_models.clear();
     m_highestFence = 0;
--- a/Libraries/LibStandIn/ModelSlots.h
+++ b/Libraries/LibStandIn/ModelSlots.h
@@ -20,7 +20,7 @@
 struct HeldModel
 {
     std::string m_digest; ///< Name under which it was ordered.
-    std::string m_trueDigest; ///< SHA-256 of the bytes that were received; empty while loading.
+    std::string m_actualDigest; ///< SHA-256 of the bytes that were received; empty while loading.
     ModelState m_state = ModelState::Loading;
     std::uint64_t m_fence = 0; ///< Fencing number of the latest order for it.
     std::uint32_t m_running = 0; ///< Requests in the batch or the queue that use it.
@@ -53,7 +53,7 @@
     /// True if the model must be loaded; false if it is serving already, in which case only its fencing number is raised.
     Core::Result<bool> beginLoad(const std::string &digest, std::uint64_t fence);
     /// The bytes have arrived whole; the model serves from now on.
-    void finishLoad(const std::string &digest, const std::string &trueDigest);
+    void finishLoad(const std::string &digest, const std::string &actualDigest);
     /// The bytes did not arrive; the slot is free again.
     void abandonLoad(const std::string &digest);
 
@@ -64,7 +64,7 @@
     void release(const std::string &digest);
 
     /// Forgets every model and the highest fencing number, as a restart does.
-    void forgetAll();
+    void clear();
 
     std::vector<HeldModel> models() const;
     std::uint64_t highestFence() const
@@ -77,7 +77,7 @@
 
     SlotRules m_rules;
     std::map<std::string, HeldModel> m_models; ///< By m_digest; never more than m_rules.m_slots.
-    std::uint64_t m_highestFence = 0; ///< Never falls, except by forgetAll.
+    std::uint64_t m_highestFence = 0; ///< Never falls, except by clear.
 };
 
 }
--- a/Libraries/LibStandIn/PlainService.cpp
+++ b/Libraries/LibStandIn/PlainService.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t MaximumServices = 4096;
 constexpr double MaximumMilliseconds = 600000;
 constexpr int MaximumThreadsLimit = 20000;
-constexpr Core::Duration HangPoll{50};
+constexpr Core::Duration HangPollInterval{50};
 
 constexpr int StatusOk = 200;
 constexpr int StatusBadRequest = 400;
@@ -133,7 +133,7 @@
 {
     while (m_faults.current().m_hang) {
         std::unique_lock<std::mutex> lock(m_mutex);
-        if (m_changed.wait_for(lock, HangPoll, [this] { return m_stopping; })) {
+        if (m_changed.wait_for(lock, HangPollInterval, [this] { return m_stopping; })) {
             return false;
         }
     }
@@ -183,18 +183,18 @@
     }
     const ServiceFaults faults = m_faults.current();
     bool full = faults.m_refuse;
-    if (full || !enter(full)) {
+    if (full || !acquireSlot(full)) {
         return full ? sendError(response, StatusUnavailable, Core::makeError(Core::ErrorCode::Unavailable, "perform", "", "refused; nothing was done"))
                     : dropConnection(request);
     }
-    const bool worked = sleepFor(m_settings.m_workMs + faults.m_slowMs);
+    const bool finished = sleepFor(m_settings.m_workMs + faults.m_slowMs);
     std::uint64_t number = 0;
-    if (worked) {
+    if (finished) {
         const std::lock_guard<std::mutex> lock(m_mutex);
         number = ++m_effects;
     }
-    leave();
-    if (!worked) {
+    releaseSlot();
+    if (!finished) {
         return dropConnection(request);
     }
     m_journal.add(
@@ -208,10 +208,10 @@
     sendAnswer(response, StatusOk, "application/json", Json::toLine(object));
 }
 
-bool PlainService::enter(bool &full)
+bool PlainService::acquireSlot(bool &full)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    if (!m_calls.hasRoom()) {
+    if (!m_calls.hasCapacity()) {
         full = true;
         return false;
     }
@@ -230,7 +230,7 @@
     return started;
 }
 
-void PlainService::leave()
+void PlainService::releaseSlot()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
--- a/Libraries/LibStandIn/PlainService.h
+++ b/Libraries/LibStandIn/PlainService.h
@@ -81,11 +81,11 @@
     bool sleepFor(double milliseconds);
     bool waitWhileHanging();
     /// Waits for one of the places; false if the queue is full or the service stops.
-    bool enter(bool &full);
-    void leave();
+    bool acquireSlot(bool &full);
+    void releaseSlot();
 
     const ServiceSettings m_settings;
-    FaultBoard<ServiceFaults> m_faults;
+    FaultState<ServiceFaults> m_faults;
     Journal<ServiceEffect> m_journal;
 
     std::mutex m_mutex;
--- a/Libraries/LibStandIn/PrefixCache.cpp
+++ b/Libraries/LibStandIn/PrefixCache.cpp
@@ -12,17 +12,17 @@
         return false;
     }
     const std::uint64_t key = Core::stableHash(prompt.substr(0, PrefixBytes), Core::stableHash(weightsDigest));
-    const std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>::iterator known = m_known.find(key);
-    if (known != m_known.end()) {
-        m_byUse.splice(m_byUse.begin(), m_byUse, known->second);
+    const std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>::iterator found = m_positions.find(key);
+    if (found != m_positions.end()) {
+        m_byUse.splice(m_byUse.begin(), m_byUse, found->second);
         return true;
     }
     if (m_byUse.size() == m_capacity) {
-        m_known.erase(m_byUse.back());
+        m_positions.erase(m_byUse.back());
         m_byUse.pop_back();
     }
     m_byUse.push_front(key);
-    m_known[key] = m_byUse.begin();
+    m_positions[key] = m_byUse.begin();
     return false;
 }
 
--- a/Libraries/LibStandIn/PrefixCache.h
+++ b/Libraries/LibStandIn/PrefixCache.h
@@ -26,7 +26,7 @@
 private:
     std::size_t m_capacity;
     std::list<std::uint64_t> m_byUse; ///< Most recent first; never more than m_capacity.
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_known;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
 };
 
 }
--- a/Libraries/LibStandIn/Program.cpp
+++ b/Libraries/LibStandIn/Program.cpp
@@ -63,9 +63,9 @@
     std::signal(SIGPIPE, SIG_IGN);
     const sigset_t signals = terminationSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    const Core::Result<void> ended = serve(waitForSignal);
-    if (!ended) {
-        std::cerr << name << ": " << ended.error() << '\n';
+    const Core::Result<void> result = serve(waitForSignal);
+    if (!result) {
+        std::cerr << name << ": " << result.error() << '\n';
         return ExitFailed;
     }
     return ExitOk;
--- a/Libraries/LibStandIn/Tokens.cpp
+++ b/Libraries/LibStandIn/Tokens.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t WeightsPrefix = 8;
+constexpr std::size_t WeightsPrefixLength = 8;
 constexpr std::uint64_t IndexStep = 0x9e3779b97f4a7c15ULL;
 
 }
@@ -34,7 +34,7 @@
 
 std::string generateToken(std::string_view account, std::string_view prompt, std::uint64_t index, std::string_view weightsDigest)
 {
-    return questionPart(account, prompt, index) + "/" + std::string(weightsDigest.substr(0, WeightsPrefix)) + " ";
+    return questionPart(account, prompt, index) + "/" + std::string(weightsDigest.substr(0, WeightsPrefixLength)) + " ";
 }
 
 }
--- a/Libraries/LibStandInLog/LogService.h
+++ b/Libraries/LibStandInLog/LogService.h
@@ -50,7 +50,7 @@
 
     LogStore m_log;
     LaggingList m_list;
-    FaultBoard<LogServiceFaults> m_faults;
+    FaultState<LogServiceFaults> m_faults;
 };
 
 }
--- a/Tests/StandIns/TestEngine.cpp
+++ b/Tests/StandIns/TestEngine.cpp
@@ -1,4 +1,4 @@
-/// @file The model engine stand-in keeps its promises: fencing, slots, whole answers and a true journal.
+/// @file The model engine stand-in keeps its guarantees: fencing, slots, whole answers and a true journal.
 
 #include "LibCore/Digest.h"
 #include "LibNetwork/Listener.h"
@@ -96,7 +96,7 @@
         REQUIRE(ask("POST", "/faults", json).m_status == 200);
     }
 
-    void waitUntilRunning(const std::string &state) const
+    void waitForStatus(const std::string &state) const
     {
         while (ask("GET", "/status", "").m_body.find(state) == std::string::npos) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -112,7 +112,7 @@
     return settings;
 }
 
-bool endsWhole(const Answer &answer)
+bool isCompleteAnswer(const Answer &answer)
 {
     return answer.m_status == 200 && answer.m_body.find(R"("end":true)") != std::string::npos;
 }
@@ -124,7 +124,7 @@
     RunningEngine engine(makeSettings());
     REQUIRE(engine.load(Weights, 1).m_body.find(digestOf(Weights)) != std::string::npos);
     const Answer answer = engine.generate("r1", digestOf(Weights), 3);
-    REQUIRE(endsWhole(answer));
+    REQUIRE(isCompleteAnswer(answer));
     REQUIRE(answer.m_version == digestOf(Weights));
     REQUIRE(answer.m_body.find(StandIn::generateToken("a", "question r1", 2, digestOf(Weights))) != std::string::npos);
     const std::vector<StandIn::EngineRun> expected{{"r1", "a", StandIn::questionName("a", "question r1"), digestOf(Weights), 3, true}};
@@ -141,11 +141,11 @@
     REQUIRE(checking.ask("DELETE", "/models/" + digestOf(Weights), "", 6).m_status == 409);
     REQUIRE(checking.load(OtherWeights, 7).m_status == 200);
 
-    StandIn::EngineSettings careless = makeSettings();
-    careless.m_checksFencing = false;
-    RunningEngine ignoring(careless);
-    REQUIRE(ignoring.load(Weights, 7).m_status == 200);
-    REQUIRE(ignoring.load(OtherWeights, 6).m_status == 200);
+    StandIn::EngineSettings withoutFencing = makeSettings();
+    withoutFencing.m_checksFencing = false;
+    RunningEngine unchecked(withoutFencing);
+    REQUIRE(unchecked.load(Weights, 7).m_status == 200);
+    REQUIRE(unchecked.load(OtherWeights, 6).m_status == 200);
 }
 
 TEST_CASE("slots are limited, and a drained model frees its slot")
@@ -167,12 +167,12 @@
     RunningEngine engine(settings);
     REQUIRE(engine.load(Weights, 1).m_status == 200);
     std::future<Answer> answer = std::async(std::launch::async, [&engine] { return engine.generate("long", digestOf(Weights), 1000); });
-    engine.waitUntilRunning(R"("running":1)");
+    engine.waitForStatus(R"("running":1)");
     REQUIRE(engine.ask("DELETE", "/models/" + digestOf(Weights), "", 2).m_status == 200);
     REQUIRE(engine.generate("late", digestOf(Weights), 1).m_status == 404);
     REQUIRE(engine.load(OtherWeights, 2).m_status == 507);
-    REQUIRE(endsWhole(answer.get()));
-    engine.waitUntilRunning(R"("models":[])");
+    REQUIRE(isCompleteAnswer(answer.get()));
+    engine.waitForStatus(R"("models":[])");
     REQUIRE(engine.load(OtherWeights, 2).m_status == 200);
 }
 
@@ -195,9 +195,9 @@
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(engine.m_address.m_host, engine.m_address.m_port));
     const std::string head = "PUT /models/" + digestOf(Weights) + " HTTP/1.1\r\nOriolerail-Fence: 1\r\nContent-Length: 200000\r\n\r\nwww";
     socket.sendBytes(head.data(), static_cast<int>(head.size()));
-    engine.waitUntilRunning(R"("loading")");
+    engine.waitForStatus(R"("loading")");
     socket.shutdownSend();
-    engine.waitUntilRunning(R"("models":[])");
+    engine.waitForStatus(R"("models":[])");
     REQUIRE(engine.load(Weights, 1).m_status == 200);
 }
 
@@ -217,7 +217,7 @@
     RunningEngine engine(makeSettings());
     REQUIRE(engine.load(Weights, 1).m_status == 200);
     engine.setFaults(R"({"cut_answers_after_tokens":2})");
-    REQUIRE_FALSE(endsWhole(engine.generate("r", digestOf(Weights), 5)));
+    REQUIRE_FALSE(isCompleteAnswer(engine.generate("r", digestOf(Weights), 5)));
     const std::vector<StandIn::EngineRun> runs = engine.runs();
     REQUIRE(runs.size() == 1);
     REQUIRE(runs[0].m_tokens == 2);
@@ -232,13 +232,13 @@
     RunningEngine engine(settings);
     REQUIRE(engine.load(Weights, 1).m_status == 200);
     std::future<Answer> first = std::async(std::launch::async, [&engine] { return engine.generate("first", digestOf(Weights), 100000); });
-    engine.waitUntilRunning(R"("running":1)");
+    engine.waitForStatus(R"("running":1)");
     std::future<Answer> second = std::async(std::launch::async, [&engine] { return engine.generate("second", digestOf(Weights), 1); });
-    engine.waitUntilRunning(R"("queued":1)");
+    engine.waitForStatus(R"("queued":1)");
     REQUIRE(engine.generate("third", digestOf(Weights), 1).m_status == 503);
     REQUIRE(engine.ask("POST", "/cancel/first", "").m_status == 200);
-    REQUIRE_FALSE(endsWhole(first.get()));
-    REQUIRE(endsWhole(second.get()));
+    REQUIRE_FALSE(isCompleteAnswer(first.get()));
+    REQUIRE(isCompleteAnswer(second.get()));
 }
 
 TEST_CASE("larger priorities enter the batch first, then in order of arrival")
--- a/Tests/StandIns/TestJournalChecker.cpp
+++ b/Tests/StandIns/TestJournalChecker.cpp
@@ -24,57 +24,57 @@
     return evidence;
 }
 
-std::vector<std::string> promisesBroken(const StandIn::RunEvidence &evidence)
+std::vector<std::string> violatedGuarantees(const StandIn::RunEvidence &evidence)
 {
-    std::vector<std::string> promises;
+    std::vector<std::string> guarantees;
     for (const StandIn::Violation &violation : StandIn::checkRun(evidence, KnownWeights)) {
-        promises.push_back(violation.m_promise);
+        guarantees.push_back(violation.m_guarantee);
     }
-    return promises;
+    return guarantees;
 }
 
-using Promises = std::vector<std::string>;
+using Guarantees = std::vector<std::string>;
 
 }
 
 TEST_CASE("a run that keeps every promise has no violation")
 {
-    REQUIRE(promisesBroken(makeEvidence()).empty());
+    REQUIRE(violatedGuarantees(makeEvidence()).empty());
 }
 
 TEST_CASE("weights of no version are reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[0].m_runs[0].m_digest = "half of d1";
-    REQUIRE(promisesBroken(evidence) == Promises{"whole weights only"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"whole weights only"});
 }
 
 TEST_CASE("an attempt that ran at two engines is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[1].m_runs[0].m_request = "r1";
-    REQUIRE(promisesBroken(evidence) == Promises{"an attempt runs once"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"an attempt runs once"});
 }
 
 TEST_CASE("a key with two effects is reported, also at two services")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k1", "t2", "a", "/x"});
-    REQUIRE(promisesBroken(evidence) == Promises{"at most once"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"at most once"});
     evidence.m_services[1].m_effects[0].m_key = "";
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
 TEST_CASE("not run is a lie if anything ran")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k2", "t2", "a", "/x"});
-    REQUIRE(promisesBroken(evidence) == Promises{"not run is true"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"not run is true"});
     evidence = makeEvidence();
     evidence.m_engines[1].m_runs.push_back({"r3", "a", "q3", "d1", 0, false});
-    REQUIRE(promisesBroken(evidence) == Promises{"not run is true"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"not run is true"});
     evidence.m_callers[2].m_brokenTries = 1;
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
 TEST_CASE("an answer to what never ran is reported, unless a journal is incomplete")
@@ -82,17 +82,17 @@
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[0].m_effects.clear();
     evidence.m_engines[0].m_runs[0].m_completed = false;
-    REQUIRE(promisesBroken(evidence) == Promises{"an answer has run", "an answer has run"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"an answer has run", "an answer has run"});
     evidence.m_services[0].m_isComplete = false;
     evidence.m_engines[1].m_isComplete = false;
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
 TEST_CASE("an answer that callers found wrong is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_callers[1].m_outcome = "wrong";
-    REQUIRE(promisesBroken(evidence) == Promises{"each gets the whole answer to its own request"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"each gets the whole answer to its own request"});
 }
 
 TEST_CASE("journals and traces are read, and malformed ones refused")
