--- a/Libraries/LibStandIn/BatchQueue.h
+++ b/Libraries/LibStandIn/BatchQueue.h
@@ -1,4 +1,4 @@
-/// @file Order in which requests enter an engine's batch: decision logic without threads.
+/// @file Order in which requests enter an engine's batch. Logic only, without threads.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace StandIn {
 
-/// A request's place: larger priorities first, then in order of arrival.
+/// Position of a request in the queue: larger priorities first, then in order of arrival.
 struct BatchTicket
 {
     std::int32_t m_priority = 0;
@@ -20,7 +20,7 @@
     }
 };
 
-/// Not thread-safe.
+/// Admits up to @p capacity requests to the batch and queues up to @p maximumQueued more. Not thread-safe.
 class BatchQueue
 {
 public:
@@ -30,12 +30,13 @@
     {
     }
 
-    /// True if a further request may come: a place in the batch or in the queue is free.
+    /// Returns true if a place in the batch or in the queue is free for another request.
     bool hasCapacity() const
     {
         return m_running + m_waiting.size() < std::size_t(m_capacity) + m_maximumQueued;
     }
 
+    /// Adds a request to the queue and returns its ticket.
     BatchTicket enqueue(std::int32_t priority)
     {
         const BatchTicket ticket{priority, m_nextNumber++};
@@ -43,7 +44,7 @@
         return ticket;
     }
 
-    /// Moves the request into the batch if it is its turn.
+    /// Moves the request into the batch if the batch has a free place and the request is first in the queue.
     bool tryStart(const BatchTicket &ticket)
     {
         if (m_running >= m_capacity || m_waiting.empty() || *m_waiting.begin() != ticket) {
@@ -54,13 +55,13 @@
         return true;
     }
 
-    /// A waiting request gives up.
+    /// Removes a request that no longer waits, for example because it was cancelled.
     void leaveQueue(const BatchTicket &ticket)
     {
         m_waiting.erase(ticket);
     }
 
-    /// A request leaves the batch.
+    /// Frees the place of a request in the batch.
     void finish()
     {
         --m_running;
--- a/Libraries/LibStandIn/Engine.cpp
+++ b/Libraries/LibStandIn/Engine.cpp
@@ -127,7 +127,7 @@
     BatchTicket m_ticket;
     std::string m_actualDigest;
     std::uint64_t m_incarnation = 0;
-    std::uint64_t m_sent = 0; ///< Tokens handed to the connection.
+    std::uint64_t m_sent = 0; ///< Number of tokens written to the connection.
     bool m_isPrefixCached = false;
     EngineFaults m_faults;
 };
@@ -398,7 +398,7 @@
     if (started) {
         generation.m_isPrefixCached = m_prefixes.touch(generation.m_actualDigest, generation.m_request.m_prompt);
         recordLoad();
-        // The next in the queue may find a free place too.
+        // There may be another free place for the next request in the queue.
         m_changed.notify_all();
         return true;
     }
@@ -436,7 +436,7 @@
             completed = output.good();
         }
     } catch (const Poco::Exception &) {
-        // The client has closed the connection: what ran until then is in the journal as not completed.
+        // The client closed the connection. The journal records the run as not completed.
         completed = false;
     }
     {
--- a/Libraries/LibStandIn/EngineSettings.cpp
+++ b/Libraries/LibStandIn/EngineSettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the engine stand-in's settings.
+/// @file Reads the settings of the engine stand-in.
 
 #include "LibStandIn/EngineSettings.h"
 
@@ -33,7 +33,7 @@
     return settings;
 }
 
-/// Enough threads for full batches and queues, with some to spare for orders and status.
+/// Returns enough threads for full batches, queues and slots, and some spare ones for other requests such as status.
 int defaultThreads(const std::vector<EngineSettings> &engines)
 {
     constexpr int spare = 16;
--- a/Libraries/LibStandIn/FaultPage.h
+++ b/Libraries/LibStandIn/FaultPage.h
@@ -1,4 +1,4 @@
-/// @file The page /faults of a stand-in, over its state of switches.
+/// @file Handler of the page /faults, which shows and changes the fault switches of a stand-in.
 #pragma once
 
 #include "LibJson/Json.h"
@@ -9,10 +9,10 @@
 
 namespace StandIn {
 
-/// Largest body of a change of faults, in bytes.
+/// Maximum size of the body of POST /faults, in bytes.
 inline constexpr std::size_t MaximumFaultBytes = 1 << 20;
 
-/// Applies the change that a POST carries; fails with InvalidInput and changes nothing if it is malformed.
+/// Applies the change in the body of a POST. Fails with InvalidInput and changes nothing if the body is malformed.
 template <typename Switches>
 Core::Result<void> changeFromRequest(FaultState<Switches> &state, Poco::Net::HTTPServerRequest &request)
 {
@@ -21,7 +21,7 @@
     return state.apply(*object);
 }
 
-/// Answers GET and POST /faults with the switches as @p show writes them.
+/// Answers GET and POST /faults with the current switches, formatted by @p show.
 template <typename Switches>
 void answerFaultPage(FaultState<Switches> &state,
                      std::string (*show)(const Switches &),
--- a/Libraries/LibStandIn/Faults.h
+++ b/Libraries/LibStandIn/Faults.h
@@ -1,4 +1,4 @@
-/// @file The fault switches of a stand-in: one value of switches that is read by many threads and changed over HTTP.
+/// @file Thread-safe holder of a stand-in's fault switches, which are changed over HTTP.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -12,14 +12,14 @@
 /**
  * Holds the current switches, a plain struct of type @p Switches. Thread-safe.
  *
- * A request names only the switches that it changes; one that is unknown or has a value of the wrong type changes nothing,
- * so that a misspelt scenario fails instead of running without its fault.
+ * A change names only the switches that it sets. A change with an unknown switch or a value of the wrong type is refused as a
+ * whole, so that a test scenario with a typo fails instead of running without its fault.
  */
 template <typename Switches>
 class FaultState
 {
 public:
-    /// Returns the switches after the change that @p object asks for.
+    /// Returns the switches with the change in the JSON object applied.
     using Change = std::function<Core::Result<Switches>(Switches, const Poco::JSON::Object &)>;
 
     explicit FaultState(Change change)
@@ -33,6 +33,7 @@
         return m_switches;
     }
 
+    /// Applies a change. On an error the switches stay as they were.
     Core::Result<void> apply(const Poco::JSON::Object &object)
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
--- a/Libraries/LibStandIn/HttpServer.cpp
+++ b/Libraries/LibStandIn/HttpServer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the shared HTTP server on POCO's.
+/// @file Implementation of the stand-ins' HTTP server on POCO's.
 
 #include "LibStandIn/HttpServer.h"
 
@@ -36,7 +36,7 @@
         try {
             m_handler(request, response);
         } catch (const Poco::Exception &) {
-            // The client has gone away in the middle; its handler has noted that where it matters.
+            // The client closed the connection. Handlers that record this have done so already.
             response.setKeepAlive(false);
         }
     }
@@ -62,7 +62,7 @@
     HttpHandler m_handler;
 };
 
-/// Connections are not kept alive: an idle one would hold a thread of the pool.
+/// Disables keep-alive, because an idle connection would occupy a thread of the pool.
 Poco::Net::HTTPServerParams::Ptr makeParameters(int maximumThreads)
 {
     Poco::Net::HTTPServerParams::Ptr parameters = new Poco::Net::HTTPServerParams;
@@ -100,7 +100,7 @@
 
 void HttpServer::stop()
 {
-    // Each server waits for the next look of its accepting thread, so that hundreds would take half a minute one after another.
+    // Each server waits until its accepting thread polls again. Stopping hundreds of servers one by one would take half a minute.
     std::vector<std::thread> stoppers;
     for (std::size_t first = 0; first < std::min(m_servers.size(), MaximumStopThreads); ++first) {
         stoppers.emplace_back([this, first] {
@@ -158,7 +158,7 @@
     try {
         implementation->socket().shutdown();
     } catch (const Poco::Exception &) {
-        // It is closed already.
+        // The connection is closed already.
     }
 }
 
--- a/Libraries/LibStandIn/HttpServer.h
+++ b/Libraries/LibStandIn/HttpServer.h
@@ -1,4 +1,4 @@
-/// @file The HTTP server that the stand-ins share: a bounded pool of threads behind one or more listening addresses.
+/// @file HTTP server of the stand-ins: a bounded thread pool that serves one or more addresses.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -15,20 +15,20 @@
 
 namespace StandIn {
 
-/// Answers one request on a thread of the pool.
+/// Handles one request on a thread of the pool.
 using HttpHandler = std::function<void(Poco::Net::HTTPServerRequest &, Poco::Net::HTTPServerResponse &)>;
 
-/// Serves several addresses, each with its own handler, from one pool of threads.
+/// Serves several addresses, each with its own handler, from one thread pool.
 class HttpServer
 {
 public:
-    /// @param maximumThreads requests answered at once over all addresses; more of them wait.
+    /// @param maximumThreads maximum number of requests handled concurrently over all addresses; further requests are queued.
     explicit HttpServer(int maximumThreads);
     ~HttpServer();
 
-    /// Starts to listen; fails with Unavailable if the address is taken.
+    /// Starts to listen on the address. Fails with Unavailable if it is in use.
     Core::Result<void> listen(const Core::Address &address, HttpHandler handler);
-    /// Returns after the last handler has returned; handlers that wait must be released before.
+    /// Stops all servers and waits until the last handler has returned. Waiting handlers must be woken before.
     void stop();
 
 private:
@@ -37,20 +37,20 @@
     std::vector<std::unique_ptr<Poco::Net::HTTPServer>> m_servers;
 };
 
-/// Sends a whole answer.
+/// Sends a complete answer.
 void sendAnswer(Poco::Net::HTTPServerResponse &response, int status, const std::string &contentType, const std::string &body);
 
-/// Sends an error in JSON.
+/// Sends an error as JSON.
 void sendError(Poco::Net::HTTPServerResponse &response, int status, const Core::Error &error);
 
-/// Reads a body of at most @p limit bytes; fails with InvalidInput beyond.
+/// Reads a body. Fails with InvalidInput if it is longer than @p limit bytes.
 Core::Result<std::string> readBody(Poco::Net::HTTPServerRequest &request, std::size_t limit);
 
-/// Reads the rest of a body and forgets it. An answer given before the body was read would be lost: closing a connection
-/// that holds unread bytes resets it, and the client sees a failure where it was refused.
+/// Reads and discards the rest of a body. Must be called before an answer is sent early: closing a connection with unread bytes
+/// resets it, and the client would see a connection error instead of the answer.
 void discardBody(Poco::Net::HTTPServerRequest &request);
 
-/// Closes the connection without an answer, or in the middle of one.
+/// Closes the connection without an answer, or before the answer is complete.
 void dropConnection(Poco::Net::HTTPServerRequest &request);
 
 }
--- a/Libraries/LibStandIn/Journal.h
+++ b/Libraries/LibStandIn/Journal.h
@@ -1,4 +1,4 @@
-/// @file A bounded record of what a stand-in truly did, read by the checkers after a run.
+/// @file Bounded record of what a stand-in did, which the checkers read after a run.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace StandIn {
 
-/// Keeps the latest entries. Thread-safe. Checkers must refuse a journal that has dropped entries: what is not in it may still have happened.
+/// Keeps the latest entries. Thread-safe. A journal with dropped entries is incomplete: an event that is not in it may still have happened.
 template <typename Entry>
 class Journal
 {
@@ -34,6 +34,7 @@
         return std::vector<Entry>(m_entries.begin(), m_entries.end());
     }
 
+    /// Returns the number of entries dropped because the journal was full.
     std::uint64_t dropped() const
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
--- a/Libraries/LibStandIn/JournalChecker.cpp
+++ b/Libraries/LibStandIn/JournalChecker.cpp
@@ -14,12 +14,12 @@
 
 using EffectsByKey = std::map<std::string, std::vector<std::string>>;
 
-/// Runs of one question over all engines.
+/// Counts the runs of one question over all engines.
 struct QuestionRuns
 {
     std::uint64_t m_runs = 0;
     std::uint64_t m_completed = 0;
-    std::string m_engine; ///< One of those that ran it.
+    std::string m_engine; ///< One of the engines that ran it.
 };
 
 Core::Error corruptError(const std::string &name, const std::string &detail)
--- a/Libraries/LibStandIn/JournalChecker.h
+++ b/Libraries/LibStandIn/JournalChecker.h
@@ -1,4 +1,4 @@
-/// @file Judges a run from what the stand-ins truly did and what callers were told: decision logic over journals.
+/// @file Checks the guarantees of a run: compares the journals of the stand-ins with the outcomes that callers recorded.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -25,27 +25,27 @@
 struct ServiceJournal
 {
     std::string m_name;
-    bool m_isComplete = true; ///< As for engines.
+    bool m_isComplete = true; ///< False if entries were dropped, or the service was restarted or killed.
     std::vector<ServiceEffect> m_effects;
 
     bool operator==(const ServiceJournal &) const = default;
 };
 
-/// What one caller asked and was told, from a trace that oriolerail-load recorded.
+/// A request of a caller and its outcome, from a trace recorded by oriolerail-load.
 struct CallerRecord
 {
-    bool m_isCall = false; ///< A call at a plain service, else a generation.
-    bool m_isKeyed = false;
+    bool m_isCall = false; ///< True for a call to a plain service, false for a generation.
+    bool m_isKeyed = false; ///< The call carried an idempotency key.
     std::string m_question; ///< questionName() of account and prompt.
-    std::string m_key; ///< Of the last try.
+    std::string m_key; ///< Idempotency key of the last try.
     std::string m_outcome; ///< "ok", "not-run", "unknown", "failed" or "wrong".
-    std::string m_digest; ///< Version that the answer named.
-    std::uint64_t m_brokenTries = 0; ///< Tries that may have run without the caller having been told.
+    std::string m_digest; ///< Version named in the answer.
+    std::uint64_t m_brokenTries = 0; ///< Tries that may have run without the caller receiving an outcome.
 
     bool operator==(const CallerRecord &) const = default;
 };
 
-/// Everything known about a run.
+/// All journals and caller records of a run.
 struct RunEvidence
 {
     std::vector<EngineJournal> m_engines;
@@ -55,7 +55,7 @@
     bool operator==(const RunEvidence &) const = default;
 };
 
-/// A promise that was broken.
+/// A violated guarantee and the evidence for it.
 struct Violation
 {
     std::string m_guarantee;
@@ -64,26 +64,27 @@
     bool operator==(const Violation &) const = default;
 };
 
-/// Read the JSON of GET /journal; fail with Corrupt.
+/// Parses the answer of GET /journal of an engine. Fails with Corrupt.
 Core::Result<EngineJournal> parseEngineJournal(const std::string &name, const std::string &json);
+/// Parses the answer of GET /journal of a plain service. Fails with Corrupt.
 Core::Result<ServiceJournal> parseServiceJournal(const std::string &name, const std::string &json);
-/// Reads a line of a recorded trace; fails with Corrupt.
+/// Parses a line of a recorded trace. Fails with Corrupt.
 Core::Result<CallerRecord> parseCallerRecord(const std::string &line);
 
-/// Every run was made by the whole weights of a version that exists. @p known holds the digests of whole weights.
+/// Checks that every run used the complete weights of a known version. @p knownDigests holds the digests of complete weights.
 std::vector<Violation> checkCompleteWeights(const std::vector<EngineJournal> &engines, const std::set<std::string> &knownDigests);
 
-/// No attempt ran twice, at one engine or at two.
+/// Checks that no attempt ran twice, on the same engine or on two.
 std::vector<Violation> checkAttemptsRanOnce(const std::vector<EngineJournal> &engines);
 
-/// No key had more than one effect.
+/// Checks that no idempotency key had more than one effect.
 std::vector<Violation> checkKeysHadOneEffect(const std::vector<ServiceJournal> &services);
 
-/// What callers were told is true: "not run" left no trace anywhere, an answer did run.
-/// That something ran is only demanded of journals that are all complete.
+/// Checks that the outcomes reported to callers are true: a request reported as "not run" is in no journal, and an answered one
+/// ran. The second check applies only if all journals are complete.
 std::vector<Violation> checkReportedOutcomes(const RunEvidence &evidence);
 
-/// All checks together.
+/// Runs all checks.
 std::vector<Violation> checkRun(const RunEvidence &evidence, const std::set<std::string> &knownWeights);
 
 }
--- a/Libraries/LibStandIn/LoadHistory.h
+++ b/Libraries/LibStandIn/LoadHistory.h
@@ -1,4 +1,4 @@
-/// @file Load as it was some time ago, since engines report theirs with a lag: decision logic without threads.
+/// @file History of an engine's load, which simulates that engines report their load with a lag. Logic only, without threads.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -8,6 +8,7 @@
 
 namespace StandIn {
 
+/// Load of an engine at one time.
 struct LoadSample
 {
     std::uint32_t m_running = 0;
@@ -16,7 +17,7 @@
     bool operator==(const LoadSample &) const = default;
 };
 
-/// Not thread-safe.
+/// Records load samples and returns the one that is older than the lag. Not thread-safe.
 class LoadHistory
 {
 public:
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The load at @p now minus the lag.
+    /// Returns the load at @p now minus the lag, or zero load if no sample is that old.
     LoadSample reported(Core::Instant now)
     {
         removeOutdated(now);
@@ -51,7 +52,7 @@
 
     static constexpr std::size_t MaximumSamples = 65536;
 
-    /// Drops what a newer sample that is old enough replaces.
+    /// Removes samples that are superseded by a newer one older than the lag.
     void removeOutdated(Core::Instant now)
     {
         while (m_samples.size() > 1 && m_samples[1].m_time + m_lag <= now) {
--- a/Libraries/LibStandIn/ModelSlots.h
+++ b/Libraries/LibStandIn/ModelSlots.h
@@ -1,4 +1,4 @@
-/// @file Which models an engine holds, and which orders it accepts: decision logic without threads.
+/// @file The model slots of an engine and its checks of fencing numbers. Logic only, without threads.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -13,25 +13,26 @@
 enum class ModelState {
     Loading,
     Serving,
-    Draining, ///< Takes no new request; its slot is freed when the last one has ended.
+    Draining, ///< Accepts no new request; its slot is freed when the last request has ended.
 };
 
 /// One model in a slot.
 struct HeldModel
 {
-    std::string m_digest; ///< Name under which it was ordered.
-    std::string m_actualDigest; ///< SHA-256 of the bytes that were received; empty while loading.
+    std::string m_digest; ///< Digest named in the load request.
+    std::string m_actualDigest; ///< SHA-256 of the received bytes; empty while loading.
     ModelState m_state = ModelState::Loading;
-    std::uint64_t m_fence = 0; ///< Fencing number of the latest order for it.
-    std::uint32_t m_running = 0; ///< Requests in the batch or the queue that use it.
+    std::uint64_t m_fence = 0; ///< Fencing number of the latest load or removal of this model.
+    std::uint32_t m_running = 0; ///< Number of requests in the batch or the queue that use it.
 
     bool operator==(const HeldModel &) const = default;
 };
 
+/// Settings of ModelSlots.
 struct SlotRules
 {
-    bool m_checksFencing = true;
-    std::uint32_t m_slots = 2;
+    bool m_checksFencing = true; ///< Refuse fencing numbers below the highest seen.
+    std::uint32_t m_slots = 2; ///< Maximum number of models held.
 
     bool operator==(const SlotRules &) const = default;
 };
@@ -50,20 +51,23 @@
     {
     }
 
-    /// True if the model must be loaded; false if it is serving already, in which case only its fencing number is raised.
+    /// Reserves a slot. Returns true if the model must be loaded, false if it is held already: then only its fencing number is updated
+    /// and it serves again if it was draining.
     Core::Result<bool> beginLoad(const std::string &digest, std::uint64_t fence);
-    /// The bytes have arrived whole; the model serves from now on.
+    /// Marks the model as serving after all its bytes have been received.
     void finishLoad(const std::string &digest, const std::string &actualDigest);
-    /// The bytes did not arrive; the slot is free again.
+    /// Frees the slot of a model whose load failed.
     void abandonLoad(const std::string &digest);
 
+    /// Drains the model, or frees its slot at once if no request uses it.
     Core::Result<void> remove(const std::string &digest, std::uint64_t fence);
 
-    /// A request starts to use the model. Returns the digest of the bytes truly held.
+    /// Counts a request that uses the model. Returns the digest of the bytes held.
     Core::Result<std::string> acquire(const std::string &digest);
+    /// Ends a use of the model. Frees the slot of a draining model after its last use.
     void release(const std::string &digest);
 
-    /// Forgets every model and the highest fencing number, as a restart does.
+    /// Removes all models and resets the highest fencing number, as a restart does.
     void clear();
 
     std::vector<HeldModel> models() const;
@@ -76,8 +80,8 @@
     Core::Result<void> checkFence(std::uint64_t fence);
 
     SlotRules m_rules;
-    std::map<std::string, HeldModel> m_models; ///< By m_digest; never more than m_rules.m_slots.
-    std::uint64_t m_highestFence = 0; ///< Never falls, except by clear.
+    std::map<std::string, HeldModel> m_models; ///< By m_digest; at most m_rules.m_slots entries.
+    std::uint64_t m_highestFence = 0; ///< Never decreases, except by clear().
 };
 
 }
--- a/Libraries/LibStandIn/PlainService.h
+++ b/Libraries/LibStandIn/PlainService.h
@@ -1,4 +1,4 @@
-/// @file The plain service stand-in: every call has an effect, and the journal of effects shows which ran twice.
+/// @file The plain service stand-in: each call has one effect, and the journal of effects shows calls that ran twice.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -17,44 +17,44 @@
 
 namespace StandIn {
 
-/// One service; a process can host several.
+/// Settings of one service. A process can host several services.
 struct ServiceSettings
 {
     Core::Address m_listen;
-    std::uint32_t m_capacity = 8; ///< Calls at once.
-    std::uint32_t m_maximumQueued = 64; ///< Calls waiting; more are refused without an effect.
-    double m_workMs = 5;
+    std::uint32_t m_capacity = 8; ///< Maximum number of calls performed concurrently.
+    std::uint32_t m_maximumQueued = 64; ///< Maximum number of waiting calls; further calls are refused without an effect.
+    double m_workMs = 5; ///< Time to perform a call.
 
     bool operator==(const ServiceSettings &) const = default;
 };
 
-/// Everything in the settings file of standin-service.
+/// Contents of the settings file of standin-service.
 struct ServiceProgramSettings
 {
     std::vector<ServiceSettings> m_services;
-    int m_maximumThreads = 0;
+    int m_maximumThreads = 0; ///< Maximum number of requests handled concurrently by the process.
 
     bool operator==(const ServiceProgramSettings &) const = default;
 };
 
-/// Reads either one service at the top level or the list "services", whose items take missing fields from the top level.
+/// Reads one service at the top level or the list "services". Items of the list inherit missing fields from the top level.
 ServiceProgramSettings readServiceProgramSettings(Settings::Reader &reader);
 
 /// Fault switches of a service.
 struct ServiceFaults
 {
-    bool m_loseAnswers = false; ///< The effect is performed and the connection closed without an answer.
-    double m_slowMs = 0; ///< Added to the work of each call.
-    bool m_hang = false; ///< Takes connections and answers nothing but /faults and /journal.
-    bool m_refuse = false; ///< Answers 503 without an effect.
+    bool m_loseAnswers = false; ///< Performs the effect and closes the connection without an answer.
+    double m_slowMs = 0; ///< Added to m_workMs of each call.
+    bool m_hang = false; ///< Accepts connections, but answers only /faults and /journal.
+    bool m_refuse = false; ///< Answers 503 and performs no effect.
 
     bool operator==(const ServiceFaults &) const = default;
 };
 
-/// One effect that was performed.
+/// One performed effect.
 struct ServiceEffect
 {
-    std::uint64_t m_effect = 0; ///< Counted from 1 at each service.
+    std::uint64_t m_effect = 0; ///< Sequence number within the service, from 1.
     std::string m_key;
     std::string m_attempt;
     std::string m_account;
@@ -63,24 +63,25 @@
     bool operator==(const ServiceEffect &) const = default;
 };
 
-/// Thread-safe; handle() runs on the threads of an HttpServer.
+/// A plain service behind an HTTP server. Thread-safe; handle() runs on the threads of an HttpServer.
 class PlainService
 {
 public:
     explicit PlainService(ServiceSettings settings);
 
     void handle(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response);
-    /// Ends everything that waits, before its server is stopped.
+    /// Wakes and ends all waiting handlers. Must be called before the server is stopped.
     void stop();
 
 private:
     void answerStatus(Poco::Net::HTTPServerResponse &response);
     void answerJournal(Poco::Net::HTTPServerResponse &response);
     void perform(const std::string &path, Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response);
-    /// False if the service stops before.
+    /// Returns false if the service stops before the time is over.
     bool sleepFor(double milliseconds);
+    /// Blocks while the fault "hang" is set. Returns false if the service stops meanwhile.
     bool waitWhileHanging();
-    /// Waits for one of the places; false if the queue is full or the service stops.
+    /// Waits for a free slot. Returns false if the service stops, or if the queue is full; then @p full is set.
     bool acquireSlot(bool &full);
     void releaseSlot();
 
--- a/Libraries/LibStandIn/PrefixCache.h
+++ b/Libraries/LibStandIn/PrefixCache.h
@@ -1,4 +1,4 @@
-/// @file The prompt prefixes that an engine remembers in its limited memory: decision logic without threads.
+/// @file The prompt prefixes cached by an engine. Logic only, without threads.
 #pragma once
 
 #include <cstdint>
@@ -8,11 +8,11 @@
 
 namespace StandIn {
 
-/// Least recently used prefixes are forgotten first. Not thread-safe.
+/// Evicts the least recently used prefix when it is full. Not thread-safe.
 class PrefixCache
 {
 public:
-    /// Bytes at the start of a prompt that count as its prefix.
+    /// Number of bytes at the start of a prompt that form its prefix.
     static constexpr std::size_t PrefixBytes = 64;
 
     explicit PrefixCache(std::size_t capacity)
@@ -20,13 +20,13 @@
     {
     }
 
-    /// True if the prompt's prefix was known; it is the most recently used afterwards in any case.
+    /// Makes the prompt's prefix the most recently used one. Returns true if it was cached before.
     bool touch(std::string_view weightsDigest, std::string_view prompt);
 
 private:
     std::size_t m_capacity;
-    std::list<std::uint64_t> m_byUse; ///< Most recent first; never more than m_capacity.
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions;
+    std::list<std::uint64_t> m_byUse; ///< Most recently used first; at most m_capacity entries.
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> m_positions; ///< Position of each prefix in m_byUse.
 };
 
 }
--- a/Libraries/LibStandIn/Program.cpp
+++ b/Libraries/LibStandIn/Program.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Blocked in every thread, so that waitForSignal is the one place that receives them.
+/// Returns the signals that end the program. They are blocked in every thread, so that only waitForSignal() receives them.
 sigset_t terminationSignals()
 {
     sigset_t signals;
--- a/Libraries/LibStandIn/Program.h
+++ b/Libraries/LibStandIn/Program.h
@@ -1,4 +1,4 @@
-/// @file What the stand-in programs share: command line, settings file and waiting for the signal to end.
+/// @file Shared main function of the stand-in programs: command line, settings file and termination signals.
 #pragma once
 
 #include "LibCore/Error.h"
@@ -14,8 +14,8 @@
 inline constexpr int ExitUsage = 2;
 
 /**
- * Runs a stand-in: reads `--settings FILE` with @p read, then @p serve, which starts the work, calls @p wait (it returns
- * at SIGTERM or SIGINT) and stops it. Returns the exit code.
+ * Runs a stand-in: reads the file of `--settings FILE` with @p read, then calls @p serve. @p serve starts the service, calls `wait`,
+ * which returns at SIGTERM or SIGINT, and stops the service. Returns the exit code.
  */
 int runProgram(int argumentCount,
                const char *const *arguments,
--- a/Libraries/LibStandIn/Tokens.cpp
+++ b/Libraries/LibStandIn/Tokens.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the deterministic tokens.
+/// @file Generation of the deterministic tokens.
 
 #include "LibStandIn/Tokens.h"
 
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr std::size_t WeightsPrefixLength = 8;
+/// 2^64 divided by the golden ratio; spreads consecutive indexes over the hash seeds.
 constexpr std::uint64_t IndexStep = 0x9e3779b97f4a7c15ULL;
 
 }
--- a/Tests/StandIns/TestEngine.cpp
+++ b/Tests/StandIns/TestEngine.cpp
@@ -1,4 +1,4 @@
-/// @file The model engine stand-in keeps its guarantees: fencing, slots, whole answers and a true journal.
+/// @file Tests of the model engine stand-in: fencing, slots, complete answers and the journal.
 
 #include "LibCore/Digest.h"
 #include "LibNetwork/Listener.h"
@@ -18,7 +18,7 @@
 
 struct Answer
 {
-    int m_status = 0; ///< 0 if the connection was dropped.
+    int m_status = 0; ///< HTTP status; 0 if the connection was dropped.
     std::string m_version;
     std::string m_body;
 };
@@ -96,9 +96,10 @@
         REQUIRE(ask("POST", "/faults", json).m_status == 200);
     }
 
-    void waitForStatus(const std::string &state) const
+    /// Waits until the answer of GET /status contains @p text.
+    void waitForStatus(const std::string &text) const
     {
-        while (ask("GET", "/status", "").m_body.find(state) == std::string::npos) {
+        while (ask("GET", "/status", "").m_body.find(text) == std::string::npos) {
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
     }
@@ -119,7 +120,7 @@
 
 }
 
-TEST_CASE("an answer is whole, belongs to its question and names the weights that made it")
+TEST_CASE("An answer is complete, belongs to its question and names the weights that generated it")
 {
     RunningEngine engine(makeSettings());
     REQUIRE(engine.load(Weights, 1).m_body.find(digestOf(Weights)) != std::string::npos);
@@ -131,10 +132,10 @@
     REQUIRE(engine.runs() == expected);
 }
 
-TEST_CASE("orders with an old fencing number are refused, unless the engine does not check")
+TEST_CASE("Loads and removals with an old fencing number are refused, unless the engine does not check")
 {
-    // A paused planner wakes up and orders what was right an hour ago. An engine that checks refuses the old number; one that
-    // does not loads the old version, and its agent alone can prevent that.
+    // Guards against a planner that resumes after a pause and sends outdated loads. An engine that checks refuses the old fencing
+    // number. An engine that does not check loads the old version; only its agent can prevent that.
     RunningEngine checking(makeSettings());
     REQUIRE(checking.load(Weights, 7).m_status == 200);
     REQUIRE(checking.load(OtherWeights, 6).m_status == 409);
@@ -148,7 +149,7 @@
     REQUIRE(unchecked.load(OtherWeights, 6).m_status == 200);
 }
 
-TEST_CASE("slots are limited, and a drained model frees its slot")
+TEST_CASE("A load without a free slot is refused, and a drained model frees its slot")
 {
     RunningEngine engine(makeSettings());
     const std::string third(1000, 'u');
@@ -160,7 +161,7 @@
     REQUIRE(engine.load(third, 2).m_status == 200);
 }
 
-TEST_CASE("a running answer ends whole although its model is removed, and holds the slot until then")
+TEST_CASE("A running answer is completed after its model is removed, and its slot is not freed before")
 {
     StandIn::EngineSettings settings = makeSettings();
     settings.m_slots = 1;
@@ -176,10 +177,10 @@
     REQUIRE(engine.load(OtherWeights, 2).m_status == 200);
 }
 
-TEST_CASE("the journal tells the digest of the bytes held, whatever name they were ordered under")
+TEST_CASE("The journal records the digest of the bytes held, not the digest named in the load request")
 {
-    // Weights are damaged on the way. The engine is told the right digest, but what it holds is something else, and the journal
-    // must show it, or partial weights could never be detected by a test.
+    // The weights are damaged in transfer, so that the engine holds other bytes than the load request names. The journal must show
+    // it, otherwise no test could detect incomplete weights.
     RunningEngine engine(makeSettings());
     const std::string path = "/models/" + digestOf(Weights);
     REQUIRE(engine.ask("PUT", path, OtherWeights, 1).m_body.find(digestOf(OtherWeights)) != std::string::npos);
@@ -189,7 +190,7 @@
     REQUIRE(engine.runs().at(0).m_digest == digestOf(OtherWeights));
 }
 
-TEST_CASE("weights that end early are not loaded")
+TEST_CASE("Weights that end early are not loaded")
 {
     RunningEngine engine(makeSettings());
     Poco::Net::StreamSocket socket(Poco::Net::SocketAddress(engine.m_address.m_host, engine.m_address.m_port));
@@ -201,7 +202,7 @@
     REQUIRE(engine.load(Weights, 1).m_status == 200);
 }
 
-TEST_CASE("an engine that dies while loading has lost everything")
+TEST_CASE("An engine that crashes while loading loses all models and its fencing number")
 {
     RunningEngine engine(makeSettings());
     REQUIRE(engine.load(Weights, 5).m_status == 200);
@@ -212,7 +213,7 @@
     REQUIRE(engine.load(OtherWeights, 1).m_status == 200);
 }
 
-TEST_CASE("a cut answer has no end, and the journal says that it was not completed")
+TEST_CASE("An answer that is cut off has no end line, and the journal records it as not completed")
 {
     RunningEngine engine(makeSettings());
     REQUIRE(engine.load(Weights, 1).m_status == 200);
@@ -224,7 +225,7 @@
     REQUIRE_FALSE(runs[0].m_completed);
 }
 
-TEST_CASE("a full queue refuses, and a cancelled request ends")
+TEST_CASE("A full queue refuses requests, and a cancelled request ends")
 {
     StandIn::EngineSettings settings = makeSettings();
     settings.m_capacity = 1;
@@ -241,7 +242,7 @@
     REQUIRE(isCompleteAnswer(second.get()));
 }
 
-TEST_CASE("larger priorities enter the batch first, then in order of arrival")
+TEST_CASE("Requests enter the batch by priority, then in order of arrival")
 {
     StandIn::BatchQueue queue(1, 10);
     const StandIn::BatchTicket early = queue.enqueue(0);
@@ -260,7 +261,7 @@
     REQUIRE(queue.tryStart(low));
 }
 
-TEST_CASE("load is reported as it was, and prefixes are forgotten in order of use")
+TEST_CASE("Load is reported with the lag, and the least recently used prefix is evicted")
 {
     const Core::Instant start{};
     StandIn::LoadHistory history(Core::Duration(200));
--- a/Tests/StandIns/TestJournalChecker.cpp
+++ b/Tests/StandIns/TestJournalChecker.cpp
@@ -1,4 +1,4 @@
-/// @file Each promise that the checker judges is reported when it is broken, and only then.
+/// @file Tests that the journal checker reports each guarantee when it is violated, and only then.
 
 #include "LibStandIn/JournalChecker.h"
 #include "LibStandIn/Tokens.h"
@@ -9,7 +9,7 @@
 
 const std::set<std::string> KnownWeights{"d1", "d2"};
 
-/// A run in which everything went as it should.
+/// Returns the evidence of a run without a violation.
 StandIn::RunEvidence makeEvidence()
 {
     StandIn::RunEvidence evidence;
@@ -37,26 +37,26 @@
 
 }
 
-TEST_CASE("a run that keeps every promise has no violation")
+TEST_CASE("A run in which every guarantee holds has no violation")
 {
     REQUIRE(violatedGuarantees(makeEvidence()).empty());
 }
 
-TEST_CASE("weights of no version are reported")
+TEST_CASE("A run on weights of no known version is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[0].m_runs[0].m_digest = "half of d1";
     REQUIRE(violatedGuarantees(evidence) == Guarantees{"whole weights only"});
 }
 
-TEST_CASE("an attempt that ran at two engines is reported")
+TEST_CASE("An attempt that ran on two engines is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[1].m_runs[0].m_request = "r1";
     REQUIRE(violatedGuarantees(evidence) == Guarantees{"an attempt runs once"});
 }
 
-TEST_CASE("a key with two effects is reported, also at two services")
+TEST_CASE("A key with two effects is reported, also if they are at two services")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k1", "t2", "a", "/x"});
@@ -65,7 +65,7 @@
     REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("not run is a lie if anything ran")
+TEST_CASE("A request reported as not run is a violation if it ran")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k2", "t2", "a", "/x"});
@@ -77,7 +77,7 @@
     REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("an answer to what never ran is reported, unless a journal is incomplete")
+TEST_CASE("An answer to a request that did not run is reported, unless a journal is incomplete")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[0].m_effects.clear();
@@ -88,14 +88,14 @@
     REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("an answer that callers found wrong is reported")
+TEST_CASE("An answer that a caller found wrong is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_callers[1].m_outcome = "wrong";
     REQUIRE(violatedGuarantees(evidence) == Guarantees{"each gets the whole answer to its own request"});
 }
 
-TEST_CASE("journals and traces are read, and malformed ones refused")
+TEST_CASE("Valid journals and traces are parsed, and malformed ones are refused")
 {
     const std::string line = R"({"kind":"call","keyed":true,"account":"a","prompt":"p","expect":"not-run",)"
                              R"("observed":{"key":"k","digest":"","broken_tries":0}})";
--- a/Tests/StandIns/TestPlainService.cpp
+++ b/Tests/StandIns/TestPlainService.cpp
@@ -1,4 +1,4 @@
-/// @file The plain service stand-in performs exactly the effects that its journal tells.
+/// @file Tests of the plain service stand-in: effects, faults and the journal.
 
 #include "LibNetwork/Listener.h"
 #include "LibStandIn/JournalChecker.h"
@@ -32,7 +32,7 @@
         m_server.stop();
     }
 
-    /// "status body", or "dropped" if there was no answer.
+    /// Returns "STATUS BODY", or "dropped" if there was no answer.
     std::string ask(const std::string &method, const std::string &path, const std::string &body, const std::string &key = "") const
     {
         try {
@@ -59,7 +59,7 @@
 
 }
 
-TEST_CASE("a call has one effect and its own answer")
+TEST_CASE("A call has one effect and gets its own answer")
 {
     RunningService service;
     REQUIRE(service.ask("POST", "/bookings/1", "wall 3", "k1") == "200 {\"echo\":\"wall 3\",\"effect\":1}\n");
@@ -67,9 +67,9 @@
     REQUIRE(service.effects() == expected);
 }
 
-TEST_CASE("a lost answer has had its effect, a refused call has not")
+TEST_CASE("A call whose answer is lost has an effect, a refused call has none")
 {
-    // The answer to a booking is lost on the way back. The booking stands all the same, and whoever repeats it books twice.
+    // The answer to a booking is lost on the way back. The booking exists nevertheless, so a retry would book twice.
     RunningService service;
     REQUIRE(service.ask("POST", "/faults", R"({"lose_answers":true})").starts_with("200"));
     REQUIRE(service.ask("POST", "/bookings/1", "wall 3", "k1") == "dropped");
