--- a/Libraries/LibStandInNetwork/Gateway.cpp
+++ b/Libraries/LibStandInNetwork/Gateway.cpp
@@ -23,8 +23,8 @@
 constexpr std::uint64_t WakeTag = 1;
 constexpr std::size_t ClientSide = 0;
 constexpr std::size_t TargetSide = 1;
-constexpr int EventsPerTurn = 512;
-constexpr int AcceptsPerTurn = 128;
+constexpr int EventsPerIteration = 512;
+constexpr int AcceptsPerIteration = 128;
 constexpr int ReadsPerEvent = 4;
 constexpr int ListenBacklog = 4096;
 constexpr std::size_t ReadBytes = LinkShaper::QuantumBytes;
@@ -39,7 +39,7 @@
 constexpr int SendBufferBytes = 262144;
 /// Segments must be small beside the buffer, or a small window stalls the sender.
 constexpr int SegmentBytes = 8192;
-constexpr std::chrono::milliseconds LongestWait{200};
+constexpr std::chrono::milliseconds MaximumWait{200};
 constexpr std::string_view HeadEnd = "\r\n\r\n";
 constexpr std::string_view Established = "HTTP/1.1 200 Connection established\r\n\r\n";
 
@@ -60,10 +60,10 @@
     : m_settings(std::move(settings))
     , m_topology(m_settings, m_shaper, Core::Clock::now())
     , m_random(m_settings.m_seed)
-    , m_scratch(ReadBytes)
+    , m_readBuffer(ReadBytes)
 {
-    for (const HostPlace &place : m_settings.m_hosts) {
-        m_hostBytes[place.m_host] = HostBytes{};
+    for (const HostLocation &location : m_settings.m_hosts) {
+        m_hostBytes[location.m_host] = HostBytes{};
     }
     m_epoll = ::epoll_create1(EPOLL_CLOEXEC);
     m_wakeDescriptor = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
@@ -110,10 +110,10 @@
 
 void Gateway::run()
 {
-    std::array<epoll_event, EventsPerTurn> events;
+    std::array<epoll_event, EventsPerIteration> events;
     while (m_running) {
         const timespec wait = timeToNextWake(Core::Clock::now());
-        const int count = ::epoll_pwait2(m_epoll, events.data(), EventsPerTurn, &wait, nullptr);
+        const int count = ::epoll_pwait2(m_epoll, events.data(), EventsPerIteration, &wait, nullptr);
         for (int index = 0; index < count; ++index) {
             const epoll_event &event = events.at(static_cast<std::size_t>(index));
             if (event.data.u64 == ListenerTag) {
@@ -121,22 +121,22 @@
                 continue;
             }
             GatewayConnection *connection = find(event.data.u64 / 2);
-            if (connection && !connection->m_isDead) {
+            if (connection && !connection->m_isClosed) {
                 onEvents(*connection, event.data.u64 % 2, event.events);
-                watch(*connection);
+                updateEvents(*connection);
             }
         }
         const Core::Instant now = Core::Clock::now();
         m_shaper.advance(now, m_grants);
         applyGrants();
         runTimers(now);
-        removeDead();
+        removeClosed();
     }
 }
 
 timespec Gateway::timeToNextWake(Core::Instant now) const
 {
-    Core::Instant next = now + LongestWait;
+    Core::Instant next = now + MaximumWait;
     const std::optional<Core::Instant> shaper = m_shaper.nextWake();
     if (shaper) {
         next = std::min(next, *shaper);
@@ -151,7 +151,7 @@
 
 void Gateway::acceptConnections()
 {
-    for (int turn = 0; turn < AcceptsPerTurn; ++turn) {
+    for (int attempt = 0; attempt < AcceptsPerIteration; ++attempt) {
         try {
             Poco::Net::SocketAddress peer;
             Poco::Net::StreamSocket socket = m_listener->acceptConnection(peer);
@@ -169,7 +169,7 @@
             GatewayConnection &added = *connection;
             m_connections.emplace(added.m_id, std::move(connection));
             ++m_totals.m_accepted;
-            watch(added);
+            updateEvents(added);
         } catch (const Poco::Exception &) {
             // Nothing more to accept, or the connection died while it waited.
             return;
@@ -181,10 +181,10 @@
 {
     ConnectionSide &end = connection.m_sides.at(side);
     if (connection.m_stage == ConnectionStage::Connecting && side == TargetSide) {
-        return finishDial(connection);
+        return finishConnect(connection);
     }
     if ((events & EPOLLOUT) != 0) {
-        end.m_blocked = false;
+        end.m_isBlocked = false;
         writeFlow(connection, 1 - side);
     }
     if ((events & EPOLLIN) != 0 && connection.m_stage == ConnectionStage::ReadingRequest) {
@@ -198,7 +198,7 @@
     if (!failed && !closed) {
         return;
     }
-    if (end.m_ended && !failed) {
+    if (end.m_hasEnded && !failed) {
         // Both ways are closed and the kernel would report it for ever.
         unregister(end);
         return;
@@ -206,24 +206,24 @@
     if (connection.m_isFrozen) {
         // The reset waits like the bytes; applyFaults passes it on when the freeze ends.
         unregister(end);
-        end.m_lost = true;
+        end.m_hasFailed = true;
         return;
     }
-    loseSide(connection, side);
+    onSideFailed(connection, side);
 }
 
 void Gateway::readRequest(GatewayConnection &connection)
 {
     try {
-        const int received = connection.m_sides[ClientSide].m_socket->receiveBytes(m_scratch.data(), static_cast<int>(m_scratch.size()));
+        const int received = connection.m_sides[ClientSide].m_socket->receiveBytes(m_readBuffer.data(), static_cast<int>(m_readBuffer.size()));
         if (received == 0) {
-            return kill(connection, false);
+            return closeConnection(connection, false);
         }
         if (received > 0) {
-            connection.m_request.append(m_scratch.data(), static_cast<std::size_t>(received));
+            connection.m_request.append(m_readBuffer.data(), static_cast<std::size_t>(received));
         }
     } catch (const Poco::Exception &) {
-        return kill(connection, false);
+        return closeConnection(connection, false);
     }
     if (connection.m_request.find(HeadEnd) != std::string::npos) {
         return handleRequest(connection);
@@ -341,7 +341,7 @@
     object.set("refused", m_totals.m_refused);
     object.set("reset", m_totals.m_reset);
     object.set("corrupted", m_totals.m_corrupted);
-    object.set("vanished_bytes", m_totals.m_vanishedBytes);
+    object.set("vanished_bytes", m_totals.m_droppedBytes);
     return Json::toLine(object);
 }
 
@@ -356,10 +356,10 @@
         connection.m_stage = ConnectionStage::Held;
         return;
     }
-    dialTarget(connection);
+    connectTarget(connection);
 }
 
-void Gateway::dialTarget(GatewayConnection &connection)
+void Gateway::connectTarget(GatewayConnection &connection)
 {
     try {
         Poco::Net::StreamSocket socket(Poco::Net::SocketAddress::IPv4);
@@ -376,7 +376,7 @@
     }
 }
 
-void Gateway::finishDial(GatewayConnection &connection)
+void Gateway::finishConnect(GatewayConnection &connection)
 {
     ConnectionSide &target = connection.m_sides[TargetSide];
     int error = 0;
@@ -394,10 +394,10 @@
     back.m_buffer.append(Established);
     back.m_buffer.grant(Established.size(), Core::Clock::now() + 2 * back.m_latency);
     writeFlow(connection, TargetSide);
-    const std::string early = std::move(connection.m_request);
+    const std::string pending = std::move(connection.m_request);
     connection.m_request.clear();
-    if (!early.empty()) {
-        takeBytes(connection, ClientSide, early);
+    if (!pending.empty()) {
+        forwardBytes(connection, ClientSide, pending);
     }
 }
 
@@ -424,11 +424,11 @@
         flow.m_counters.m_down = &target->second.m_down;
     }
     if (source != m_hostBytes.end() && target != m_hostBytes.end()) {
-        flow.m_counters.m_pair = &m_pairBytes[{m_topology.place(from).m_region, m_topology.place(to).m_region}];
+        flow.m_counters.m_pair = &m_pairBytes[{m_topology.location(from).m_region, m_topology.location(to).m_region}];
     }
 }
 
-std::size_t Gateway::roomFor(const ConnectionFlow &flow) const
+std::size_t Gateway::receiveCapacity(const ConnectionFlow &flow) const
 {
     const std::size_t ungranted = std::min(flow.m_buffer.ungranted(), MaximumUngrantedBytes);
     const std::size_t all = std::min(flow.m_buffer.size(), MaximumFlowBytes);
@@ -439,36 +439,36 @@
 {
     ConnectionSide &end = connection.m_sides.at(side);
     ConnectionFlow &flow = connection.m_flows.at(side);
-    for (int turn = 0; turn < ReadsPerEvent; ++turn) {
-        const std::size_t room = flow.m_isSilenced ? ReadBytes : std::min(roomFor(flow), ReadBytes);
+    for (int attempt = 0; attempt < ReadsPerEvent; ++attempt) {
+        const std::size_t room = flow.m_isSilenced ? ReadBytes : std::min(receiveCapacity(flow), ReadBytes);
         if (room == 0) {
             return;
         }
         int received = 0;
         try {
-            received = end.m_socket->receiveBytes(m_scratch.data(), static_cast<int>(room));
+            received = end.m_socket->receiveBytes(m_readBuffer.data(), static_cast<int>(room));
         } catch (const Poco::Exception &) {
-            return loseSide(connection, side);
+            return onSideFailed(connection, side);
         }
         if (received < 0) {
             return;
         }
         if (received == 0) {
-            end.m_ended = true;
+            end.m_hasEnded = true;
             return finishFlow(connection, side);
         }
-        takeBytes(connection, side, std::string_view(m_scratch.data(), static_cast<std::size_t>(received)));
-        if (connection.m_isDead || static_cast<std::size_t>(received) < room) {
+        forwardBytes(connection, side, std::string_view(m_readBuffer.data(), static_cast<std::size_t>(received)));
+        if (connection.m_isClosed || static_cast<std::size_t>(received) < room) {
             return;
         }
     }
 }
 
-void Gateway::takeBytes(GatewayConnection &connection, std::size_t direction, std::string_view bytes)
+void Gateway::forwardBytes(GatewayConnection &connection, std::size_t direction, std::string_view bytes)
 {
     ConnectionFlow &flow = connection.m_flows.at(direction);
     if (flow.m_isSilenced) {
-        m_totals.m_vanishedBytes += bytes.size();
+        m_totals.m_droppedBytes += bytes.size();
         return;
     }
     constexpr double percent = 100;
@@ -496,14 +496,14 @@
     const Core::Instant now = Core::Clock::now();
     for (const Grant &grant : grants) {
         GatewayConnection *connection = find(grant.m_flow / 2);
-        if (!connection || connection->m_isDead) {
+        if (!connection || connection->m_isClosed) {
             continue;
         }
         const std::size_t direction = grant.m_flow % 2;
         ConnectionFlow &flow = connection->m_flows.at(direction);
         flow.m_buffer.grant(grant.m_bytes, now + flow.m_latency);
         writeFlow(*connection, direction);
-        watch(*connection);
+        updateEvents(*connection);
     }
     grants.clear();
     if (m_grants.empty()) {
@@ -516,18 +516,18 @@
     const std::size_t side = 1 - direction;
     ConnectionSide &end = connection.m_sides.at(side);
     ConnectionFlow &flow = connection.m_flows.at(direction);
-    if (connection.m_isDead || connection.m_isFrozen || end.m_blocked || !end.m_socket) {
+    if (connection.m_isClosed || connection.m_isFrozen || end.m_isBlocked || !end.m_socket) {
         return;
     }
     const std::string_view bytes = flow.m_buffer.writable(Core::Clock::now());
-    if (!bytes.empty() && end.m_lost) {
+    if (!bytes.empty() && end.m_hasFailed) {
         flow.m_buffer.consume(bytes.size());
     } else if (!bytes.empty()) {
         const Core::Result<std::size_t> sent = Network::sendSome(*end.m_socket, bytes);
         if (!sent) {
-            return loseSide(connection, side);
+            return onSideFailed(connection, side);
         }
-        end.m_blocked = sent.value() < bytes.size();
+        end.m_isBlocked = sent.value() < bytes.size();
         flow.m_buffer.consume(sent.value());
         flow.m_counters.add(sent.value());
     }
@@ -539,7 +539,7 @@
 {
     ConnectionFlow &flow = connection.m_flows.at(direction);
     const std::optional<Core::Instant> due = flow.m_buffer.nextDue();
-    if (!due || flow.m_timer || connection.m_sides.at(1 - direction).m_blocked) {
+    if (!due || flow.m_timer || connection.m_sides.at(1 - direction).m_isBlocked) {
         return;
     }
     flow.m_timer = due;
@@ -552,10 +552,10 @@
         const FlowId flow = m_timers.top().m_flow;
         m_timers.pop();
         GatewayConnection *connection = find(flow / 2);
-        if (connection && !connection->m_isDead) {
+        if (connection && !connection->m_isClosed) {
             connection->m_flows.at(flow % 2).m_timer.reset();
             writeFlow(*connection, flow % 2);
-            watch(*connection);
+            updateEvents(*connection);
         }
     }
 }
@@ -567,64 +567,64 @@
         return;
     }
     if (connection.m_stage == ConnectionStage::Answering) {
-        return kill(connection, false);
+        return closeConnection(connection, false);
     }
-    if (!connection.m_sides.at(direction).m_ended) {
+    if (!connection.m_sides.at(direction).m_hasEnded) {
         return;
     }
     flow.m_isFinished = true;
     ConnectionSide &end = connection.m_sides.at(1 - direction);
-    if (!flow.m_isSilenced && end.m_socket && !end.m_lost) {
+    if (!flow.m_isSilenced && end.m_socket && !end.m_hasFailed) {
         try {
             end.m_socket->shutdownSend();
         } catch (const Poco::Exception &) {
             // The other end has closed it already.
-            end.m_lost = true;
+            end.m_hasFailed = true;
         }
     }
     if (connection.m_flows.at(1 - direction).m_isFinished) {
-        kill(connection, false);
+        closeConnection(connection, false);
     }
 }
 
-void Gateway::loseSide(GatewayConnection &connection, std::size_t side)
+void Gateway::onSideFailed(GatewayConnection &connection, std::size_t side)
 {
     ConnectionSide &end = connection.m_sides.at(side);
     unregister(end);
-    end.m_lost = true;
-    end.m_ended = true;
-    const bool otherGone = connection.m_sides.at(1 - side).m_lost || connection.m_flows.at(1 - side).m_isFinished;
-    if (connection.m_flows.at(side).m_isSilenced && !otherGone) {
+    end.m_hasFailed = true;
+    end.m_hasEnded = true;
+    const bool isOtherClosed = connection.m_sides.at(1 - side).m_hasFailed || connection.m_flows.at(1 - side).m_isFinished;
+    if (connection.m_flows.at(side).m_isSilenced && !isOtherClosed) {
         // The reset vanishes like the bytes: the other end keeps an open socket on which nothing comes.
         connection.m_flows.at(side).m_isFinished = true;
         return;
     }
-    kill(connection, true);
+    closeConnection(connection, true);
 }
 
-void Gateway::passOnResets(GatewayConnection &connection)
+void Gateway::forwardResets(GatewayConnection &connection)
 {
     for (std::size_t side = 0; side < connection.m_sides.size(); ++side) {
-        if (connection.m_sides.at(side).m_lost && !connection.m_flows.at(side).m_isFinished) {
-            loseSide(connection, side);
+        if (connection.m_sides.at(side).m_hasFailed && !connection.m_flows.at(side).m_isFinished) {
+            onSideFailed(connection, side);
         }
     }
 }
 
-void Gateway::kill(GatewayConnection &connection, bool reset)
+void Gateway::closeConnection(GatewayConnection &connection, bool reset)
 {
-    if (connection.m_isDead) {
+    if (connection.m_isClosed) {
         return;
     }
-    connection.m_isDead = true;
-    connection.m_resets = reset;
+    connection.m_isClosed = true;
+    connection.m_closesWithReset = reset;
     m_totals.m_reset += reset ? 1 : 0;
-    m_dead.push_back(connection.m_id);
+    m_closed.push_back(connection.m_id);
 }
 
-void Gateway::removeDead()
+void Gateway::removeClosed()
 {
-    for (const GatewayConnectionId id : m_dead) {
+    for (const GatewayConnectionId id : m_closed) {
         GatewayConnection *connection = find(id);
         if (!connection) {
             continue;
@@ -633,13 +633,13 @@
         m_shaper.removeFlow(connection->flowId(TargetSide));
         for (ConnectionSide &side : connection->m_sides) {
             unregister(side);
-            if (side.m_socket && connection->m_resets && !side.m_lost) {
+            if (side.m_socket && connection->m_closesWithReset && !side.m_hasFailed) {
                 side.m_socket->setLinger(true, 0);
             }
         }
         m_connections.erase(id);
     }
-    m_dead.clear();
+    m_closed.clear();
 }
 
 bool Gateway::isCut(const GatewayConnection &connection) const
@@ -679,11 +679,11 @@
     m_faults = faults;
     for (const std::pair<const GatewayConnectionId, std::unique_ptr<GatewayConnection>> &entry : m_connections) {
         GatewayConnection &connection = *entry.second;
-        if (connection.m_target.empty() || connection.m_isDead || connection.m_stage == ConnectionStage::Answering) {
+        if (connection.m_target.empty() || connection.m_isClosed || connection.m_stage == ConnectionStage::Answering) {
             continue;
         }
         if (isCut(connection)) {
-            kill(connection, true);
+            closeConnection(connection, true);
             continue;
         }
         if (silenceNow && connection.m_stage == ConnectionStage::Open) {
@@ -692,23 +692,23 @@
         }
         connection.m_isFrozen = isFrozen(connection);
         if (!connection.m_isFrozen && connection.m_stage == ConnectionStage::Held) {
-            dialTarget(connection);
+            connectTarget(connection);
         }
         if (!connection.m_isFrozen) {
-            passOnResets(connection);
+            forwardResets(connection);
         }
         if (connection.m_stage == ConnectionStage::Open) {
             writeFlow(connection, ClientSide);
             writeFlow(connection, TargetSide);
         }
-        watch(connection);
+        updateEvents(connection);
     }
 }
 
 std::uint32_t Gateway::wantedEvents(const GatewayConnection &connection, std::size_t side) const
 {
     const ConnectionSide &end = connection.m_sides.at(side);
-    const std::uint32_t write = end.m_blocked ? static_cast<std::uint32_t>(EPOLLOUT) : 0U;
+    const std::uint32_t write = end.m_isBlocked ? static_cast<std::uint32_t>(EPOLLOUT) : 0U;
     switch (connection.m_stage) {
     case ConnectionStage::ReadingRequest:
         return EPOLLIN;
@@ -725,22 +725,22 @@
         return 0;
     }
     const ConnectionFlow &flow = connection.m_flows.at(side);
-    const bool reads = !end.m_ended && (flow.m_isSilenced || roomFor(flow) > 0);
+    const bool reads = !end.m_hasEnded && (flow.m_isSilenced || receiveCapacity(flow) > 0);
     return write | (reads ? static_cast<std::uint32_t>(EPOLLIN) : 0U);
 }
 
-void Gateway::watch(GatewayConnection &connection)
+void Gateway::updateEvents(GatewayConnection &connection)
 {
     for (std::size_t side = 0; side < connection.m_sides.size(); ++side) {
         ConnectionSide &end = connection.m_sides.at(side);
-        if (!end.m_socket || end.m_lost || connection.m_isDead) {
+        if (!end.m_socket || end.m_hasFailed || connection.m_isClosed) {
             continue;
         }
         const std::uint32_t wanted = wantedEvents(connection, side);
         if (end.m_isRegistered && wanted == end.m_events) {
             continue;
         }
-        if (!end.m_isRegistered && end.m_ended) {
+        if (!end.m_isRegistered && end.m_hasEnded) {
             continue;
         }
         epoll_event event{};
--- a/Libraries/LibStandInNetwork/Gateway.h
+++ b/Libraries/LibStandInNetwork/Gateway.h
@@ -57,7 +57,7 @@
         std::uint64_t m_refused = 0;
         std::uint64_t m_reset = 0;
         std::uint64_t m_corrupted = 0; ///< Reads in which a byte was changed.
-        std::uint64_t m_vanishedBytes = 0; ///< Bytes swallowed by silenced flows.
+        std::uint64_t m_droppedBytes = 0; ///< Bytes swallowed by silenced flows.
     };
 
     void run();
@@ -74,18 +74,18 @@
     std::string journal() const;
 
     void openTunnel(GatewayConnection &connection);
-    void dialTarget(GatewayConnection &connection);
-    void finishDial(GatewayConnection &connection);
+    void connectTarget(GatewayConnection &connection);
+    void finishConnect(GatewayConnection &connection);
     void prepareFlow(GatewayConnection &connection, std::size_t direction);
 
     void readSide(GatewayConnection &connection, std::size_t side);
-    void takeBytes(GatewayConnection &connection, std::size_t direction, std::string_view bytes);
+    void forwardBytes(GatewayConnection &connection, std::size_t direction, std::string_view bytes);
     void writeFlow(GatewayConnection &connection, std::size_t direction);
     void finishFlow(GatewayConnection &connection, std::size_t direction);
-    void loseSide(GatewayConnection &connection, std::size_t side);
+    void onSideFailed(GatewayConnection &connection, std::size_t side);
     /// Passes on what was lost during a freeze.
-    void passOnResets(GatewayConnection &connection);
-    void kill(GatewayConnection &connection, bool reset);
+    void forwardResets(GatewayConnection &connection);
+    void closeConnection(GatewayConnection &connection, bool reset);
     void applyGrants();
     void runTimers(Core::Instant now);
     void setTimer(GatewayConnection &connection, std::size_t direction);
@@ -95,12 +95,12 @@
     bool isFrozen(const GatewayConnection &connection) const;
     bool isSilenced(const std::string &from, const std::string &to) const;
 
-    std::size_t roomFor(const ConnectionFlow &flow) const;
+    std::size_t receiveCapacity(const ConnectionFlow &flow) const;
     std::uint32_t wantedEvents(const GatewayConnection &connection, std::size_t side) const;
-    void watch(GatewayConnection &connection);
+    void updateEvents(GatewayConnection &connection);
     void unregister(ConnectionSide &side);
     GatewayConnection *find(GatewayConnectionId id);
-    void removeDead();
+    void removeClosed();
 
     GatewaySettings m_settings;
     LinkShaper m_shaper;
@@ -118,11 +118,11 @@
     std::atomic<bool> m_running = false;
 
     std::unordered_map<GatewayConnectionId, std::unique_ptr<GatewayConnection>> m_connections;
-    std::vector<GatewayConnectionId> m_dead;
+    std::vector<GatewayConnectionId> m_closed;
     GatewayConnectionId m_nextConnection = 1;
     std::priority_queue<Timer, std::vector<Timer>, std::greater<>> m_timers;
     std::vector<Grant> m_grants; ///< Of this turn, not applied yet.
-    std::vector<char> m_scratch;
+    std::vector<char> m_readBuffer;
 };
 
 }
--- a/Libraries/LibStandInNetwork/GatewayConnection.h
+++ b/Libraries/LibStandInNetwork/GatewayConnection.h
@@ -28,9 +28,9 @@
     std::optional<Poco::Net::StreamSocket> m_socket;
     bool m_isRegistered = false; ///< epoll knows the socket.
     std::uint32_t m_events = 0; ///< What epoll watches for.
-    bool m_ended = false; ///< The peer sends nothing more.
-    bool m_lost = false; ///< The socket has failed; nothing can be written either.
-    bool m_blocked = false; ///< The last write found no room.
+    bool m_hasEnded = false; ///< The peer sends nothing more.
+    bool m_hasFailed = false; ///< The socket has failed; nothing can be written either.
+    bool m_isBlocked = false; ///< The last write found no room.
 };
 
 /// Bytes carried, by where they are counted; the counters belong to the gateway. Null where nothing is counted.
@@ -73,8 +73,8 @@
     std::array<ConnectionSide, 2> m_sides;
     std::array<ConnectionFlow, 2> m_flows;
     bool m_isFrozen = false;
-    bool m_isDead = false; ///< To be removed at the end of the turn.
-    bool m_resets = false; ///< Its sockets are closed with a reset.
+    bool m_isClosed = false; ///< To be removed at the end of the turn.
+    bool m_closesWithReset = false; ///< Its sockets are closed with a reset.
 
     FlowId flowId(std::size_t direction) const
     {
--- a/Libraries/LibStandInNetwork/GatewaySettings.cpp
+++ b/Libraries/LibStandInNetwork/GatewaySettings.cpp
@@ -24,7 +24,7 @@
             LinkOverride{item.text("host"), item.number("up", 0, MaximumBytesPerSecond, 0), item.number("down", 0, MaximumBytesPerSecond, 0)});
     });
     reader.list("hosts", MaximumHosts, [&settings](Settings::Reader &item) {
-        settings.m_hosts.push_back(HostPlace{item.text("host"), item.text("region", ""), item.text("failure_domain", "")});
+        settings.m_hosts.push_back(HostLocation{item.text("host"), item.text("region", ""), item.text("failure_domain", "")});
     });
     reader.section("latency_ms", [&settings](Settings::Reader &latency) {
         settings.m_sameRegionLatencyMs = latency.number("same_region", 0, MaximumLatencyMs, 0);
--- a/Libraries/LibStandInNetwork/GatewaySettings.h
+++ b/Libraries/LibStandInNetwork/GatewaySettings.h
@@ -12,13 +12,13 @@
 namespace StandIn {
 
 /// Where a host stands.
-struct HostPlace
+struct HostLocation
 {
     std::string m_host; ///< IP number.
     std::string m_region;
     std::string m_failureDomain;
 
-    bool operator==(const HostPlace &) const = default;
+    bool operator==(const HostLocation &) const = default;
 };
 
 /// A host whose link differs from the common rate.
@@ -37,7 +37,7 @@
     double m_instanceBytesPerSecond = 0; ///< Of each listed host, up and down; 0 is unlimited.
     double m_regionPairBytesPerSecond = 0; ///< Of each ordered pair of different regions; 0 is unlimited.
     std::vector<LinkOverride> m_overrides;
-    std::vector<HostPlace> m_hosts;
+    std::vector<HostLocation> m_hosts;
     double m_sameRegionLatencyMs = 0; ///< One way, between different hosts of a region.
     double m_crossRegionLatencyMs = 0; ///< One way, between regions.
     std::uint64_t m_seed = 1; ///< Of the corrupted bytes.
--- a/Libraries/LibStandInNetwork/LinkShaper.cpp
+++ b/Libraries/LibStandInNetwork/LinkShaper.cpp
@@ -29,11 +29,11 @@
     }
     found->second.m_backlog += bytes;
     if (found->second.m_quantum == 0) {
-        pass(flow, found->second, now, grants);
+        advanceFlow(flow, found->second, now, grants);
     }
 }
 
-void LinkShaper::pass(FlowId id, Flow &flow, Core::Instant now, std::vector<Grant> &grants)
+void LinkShaper::advanceFlow(FlowId id, Flow &flow, Core::Instant now, std::vector<Grant> &grants)
 {
     while (flow.m_backlog > 0) {
         if (flow.m_quantum == 0) {
@@ -44,8 +44,8 @@
         while (flow.m_stage < flow.m_path.size()) {
             const LinkId next = flow.m_path[flow.m_stage];
             Link &link = m_links[next];
-            if (!mayPass(link, flow.m_isShort, now)) {
-                wait(next, id, flow.m_isShort);
+            if (!canPass(link, flow.m_isShort, now)) {
+                enqueue(next, id, flow.m_isShort);
                 return;
             }
             link.m_bucket.take(static_cast<double>(flow.m_quantum));
@@ -57,19 +57,19 @@
     }
 }
 
-bool LinkShaper::mayPass(Link &link, bool isShort, Core::Instant now)
+bool LinkShaper::canPass(Link &link, bool isShort, Core::Instant now)
 {
-    const bool othersBefore = !link.m_short.empty() || (!isShort && !link.m_bulk.empty());
-    return !othersBefore && link.m_bucket.hasTokens(now);
+    const bool hasEarlierFlows = !link.m_short.empty() || (!isShort && !link.m_bulk.empty());
+    return !hasEarlierFlows && link.m_bucket.hasTokens(now);
 }
 
-void LinkShaper::wait(LinkId link, FlowId id, bool isShort)
+void LinkShaper::enqueue(LinkId link, FlowId id, bool isShort)
 {
-    Link &waited = m_links[link];
-    (isShort ? waited.m_short : waited.m_bulk).push_back(id);
-    if (!waited.m_isScheduled) {
-        waited.m_isScheduled = true;
-        m_wakes.push(Wake{waited.m_bucket.availableAt(), link});
+    Link &target = m_links[link];
+    (isShort ? target.m_short : target.m_bulk).push_back(id);
+    if (!target.m_isScheduled) {
+        target.m_isScheduled = true;
+        m_wakes.push(Wake{target.m_bucket.availableAt(), link});
     }
 }
 
@@ -99,7 +99,7 @@
             Flow &flow = m_flows[*waiting];
             m_links[id].m_bucket.take(static_cast<double>(flow.m_quantum));
             ++flow.m_stage;
-            pass(*waiting, flow, now, grants);
+            advanceFlow(*waiting, flow, now, grants);
         }
         Link &link = m_links[id];
         link.m_isScheduled = !link.m_short.empty() || !link.m_bulk.empty();
--- a/Libraries/LibStandInNetwork/LinkShaper.h
+++ b/Libraries/LibStandInNetwork/LinkShaper.h
@@ -80,9 +80,9 @@
     };
 
     /// Passes as many links and quanta as tokens allow, then waits at the link that has none.
-    void pass(FlowId id, Flow &flow, Core::Instant now, std::vector<Grant> &grants);
-    static bool mayPass(Link &link, bool isShort, Core::Instant now);
-    void wait(LinkId link, FlowId id, bool isShort);
+    void advanceFlow(FlowId id, Flow &flow, Core::Instant now, std::vector<Grant> &grants);
+    static bool canPass(Link &link, bool isShort, Core::Instant now);
+    void enqueue(LinkId link, FlowId id, bool isShort);
     /// Next flow of the link's queues that still exists.
     std::optional<FlowId> popWaiting(Link &link);
 
--- a/Libraries/LibStandInNetwork/Topology.cpp
+++ b/Libraries/LibStandInNetwork/Topology.cpp
@@ -38,17 +38,17 @@
     , m_crossRegion(fromMilliseconds(settings.m_crossRegionLatencyMs))
 {
     std::set<std::string> regions;
-    for (const HostPlace &place : settings.m_hosts) {
-        const LinkOverride rate = rateOf(settings, place.m_host);
-        m_hosts[place.m_host] = Host{place, addLimited(rate.m_upBytesPerSecond, shaper, now), addLimited(rate.m_downBytesPerSecond, shaper, now)};
-        if (!place.m_region.empty()) {
-            regions.insert(place.m_region);
+    for (const HostLocation &location : settings.m_hosts) {
+        const LinkOverride rate = rateOf(settings, location.m_host);
+        m_hosts[location.m_host] = Host{location, addLimited(rate.m_upBytesPerSecond, shaper, now), addLimited(rate.m_downBytesPerSecond, shaper, now)};
+        if (!location.m_region.empty()) {
+            regions.insert(location.m_region);
         }
     }
     for (const LinkOverride &rate : settings.m_overrides) {
         if (!m_hosts.contains(rate.m_host)) {
-            const HostPlace place{rate.m_host, "", ""};
-            m_hosts[rate.m_host] = Host{place, addLimited(rate.m_upBytesPerSecond, shaper, now), addLimited(rate.m_downBytesPerSecond, shaper, now)};
+            const HostLocation location{rate.m_host, "", ""};
+            m_hosts[rate.m_host] = Host{location, addLimited(rate.m_upBytesPerSecond, shaper, now), addLimited(rate.m_downBytesPerSecond, shaper, now)};
         }
     }
     if (settings.m_regionPairBytesPerSecond <= 0) {
@@ -82,7 +82,7 @@
     }
     if (source && target) {
         const std::map<std::pair<std::string, std::string>, LinkId>::const_iterator pair =
-            m_regionPairs.find({source->m_place.m_region, target->m_place.m_region});
+            m_regionPairs.find({source->m_location.m_region, target->m_location.m_region});
         if (pair != m_regionPairs.end()) {
             links.push_back(pair->second);
         }
@@ -100,19 +100,19 @@
     if (from == to || !source || !target) {
         return Core::Clock::duration(0);
     }
-    return source->m_place.m_region == target->m_place.m_region ? m_sameRegion : m_crossRegion;
+    return source->m_location.m_region == target->m_location.m_region ? m_sameRegion : m_crossRegion;
 }
 
-HostPlace Topology::place(const std::string &host) const
+HostLocation Topology::location(const std::string &host) const
 {
-    const Host *known = find(host);
-    return known ? known->m_place : HostPlace{host, "", ""};
+    const Host *found = find(host);
+    return found ? found->m_location : HostLocation{host, "", ""};
 }
 
 bool Topology::matches(const std::string &selector, const std::string &host) const
 {
-    const HostPlace known = place(host);
-    return !selector.empty() && (selector == known.m_host || selector == known.m_region || selector == known.m_failureDomain);
+    const HostLocation found = location(host);
+    return !selector.empty() && (selector == found.m_host || selector == found.m_region || selector == found.m_failureDomain);
 }
 
 }
--- a/Libraries/LibStandInNetwork/Topology.h
+++ b/Libraries/LibStandInNetwork/Topology.h
@@ -24,14 +24,14 @@
     /// One way.
     Core::Clock::duration latency(const std::string &from, const std::string &to) const;
     /// Where the host stands; all fields but its name are empty if it is not listed.
-    HostPlace place(const std::string &host) const;
+    HostLocation location(const std::string &host) const;
     /// True if @p selector names the host, its region or its failure domain.
     bool matches(const std::string &selector, const std::string &host) const;
 
 private:
     struct Host
     {
-        HostPlace m_place;
+        HostLocation m_location;
         std::optional<LinkId> m_up; ///< Empty if unlimited.
         std::optional<LinkId> m_down;
     };
--- a/Tests/StandIns/TestGateway.cpp
+++ b/Tests/StandIns/TestGateway.cpp
@@ -19,12 +19,12 @@
 constexpr const char *SouthHost = "127.77.0.2";
 constexpr int TargetBacklog = 16;
 
-std::string receiveAll(Poco::Net::StreamSocket &socket, std::size_t wanted)
+std::string receiveAll(Poco::Net::StreamSocket &socket, std::size_t expected)
 {
     std::string received;
     std::array<char, 65536> buffer;
-    while (received.size() < wanted) {
-        const int bytes = socket.receiveBytes(buffer.data(), static_cast<int>(std::min(buffer.size(), wanted - received.size())));
+    while (received.size() < expected) {
+        const int bytes = socket.receiveBytes(buffer.data(), static_cast<int>(std::min(buffer.size(), expected - received.size())));
         if (bytes <= 0) {
             break;
         }
@@ -33,10 +33,10 @@
     return received;
 }
 
-bool staysQuiet(Poco::Net::StreamSocket &socket)
+bool receivesNothing(Poco::Net::StreamSocket &socket)
 {
-    constexpr int quietMs = 100;
-    return !socket.poll(Poco::Timespan(quietMs * 1000), Poco::Net::Socket::SELECT_READ);
+    constexpr int waitMs = 100;
+    return !socket.poll(Poco::Timespan(waitMs * 1000), Poco::Net::Socket::SELECT_READ);
 }
 
 /// A tunnel from the north host to a listener on the south host.
@@ -46,13 +46,13 @@
     Poco::Net::StreamSocket m_far;
 };
 
-struct Site
+struct GatewayFixture
 {
     Core::Address m_address = Network::freeLoopbackAddress();
     Poco::Net::ServerSocket m_target = Network::listenOn(Core::Address{SouthHost, 0}, TargetBacklog);
     std::unique_ptr<StandIn::Gateway> m_gateway;
 
-    explicit Site(double latencyMs = 0)
+    explicit GatewayFixture(double latencyMs = 0)
     {
         StandIn::GatewaySettings settings;
         settings.m_listen = m_address;
@@ -124,7 +124,7 @@
 }
 
 /// Sends on a thread of its own, since neither end takes everything at once.
-bool carriesWhole(Poco::Net::StreamSocket &from, Poco::Net::StreamSocket &to, const std::string &bytes)
+bool arrivesUnchanged(Poco::Net::StreamSocket &from, Poco::Net::StreamSocket &to, const std::string &bytes)
 {
     std::future<int> sent = std::async(std::launch::async, [&from, &bytes] { return from.sendBytes(bytes.data(), static_cast<int>(bytes.size())); });
     const std::string received = receiveAll(to, bytes.size());
@@ -139,12 +139,12 @@
 
 TEST_CASE("bytes pass unchanged both ways, and the journal counts them by region and host")
 {
-    Site site(1);
-    Tunnel tunnel = site.open();
+    GatewayFixture fixture(1);
+    Tunnel tunnel = fixture.open();
     const std::string bytes = pattern(3 << 20);
-    REQUIRE(carriesWhole(tunnel.m_near, tunnel.m_far, bytes));
-    REQUIRE(carriesWhole(tunnel.m_far, tunnel.m_near, bytes));
-    const std::string answer = site.ask("GET", "/journal", "");
+    REQUIRE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, bytes));
+    REQUIRE(arrivesUnchanged(tunnel.m_far, tunnel.m_near, bytes));
+    const std::string answer = fixture.ask("GET", "/journal", "");
     const Poco::JSON::Object::Ptr journal = Json::parseObject(answer.substr(4)).value();
     for (const Poco::Dynamic::Var &item : *journal->getArray("region_pairs")) {
         const std::uint64_t counted = item.extract<Poco::JSON::Object::Ptr>()->getValue<std::uint64_t>("bytes");
@@ -157,8 +157,8 @@
 
 TEST_CASE("the end of one direction is passed on after its last byte, and the other goes on")
 {
-    Site site;
-    Tunnel tunnel = site.open();
+    GatewayFixture fixture;
+    Tunnel tunnel = fixture.open();
     tunnel.m_near.sendBytes("question", 8);
     tunnel.m_near.shutdownSend();
     REQUIRE(receiveAll(tunnel.m_far, 100) == "question");
@@ -169,11 +169,11 @@
 
 TEST_CASE("a target that refuses is a refusal, not a silent connection")
 {
-    Site site;
-    const Core::Address nobody = Network::freeLoopbackAddress();
+    GatewayFixture fixture;
+    const Core::Address unused = Network::freeLoopbackAddress();
     Poco::Net::StreamSocket socket;
-    socket.connect(Poco::Net::SocketAddress(site.m_address.m_host, site.m_address.m_port));
-    const std::string request = "CONNECT " + nobody.toString() + " HTTP/1.1\r\nHost: x\r\n\r\n";
+    socket.connect(Poco::Net::SocketAddress(fixture.m_address.m_host, fixture.m_address.m_port));
+    const std::string request = "CONNECT " + unused.toString() + " HTTP/1.1\r\nHost: x\r\n\r\n";
     socket.sendBytes(request.data(), static_cast<int>(request.size()));
     REQUIRE(receiveAll(socket, 12) == "HTTP/1.1 502");
 }
@@ -181,68 +181,68 @@
 TEST_CASE("a cut link refuses new connections and resets open ones")
 {
     // Two regions lose each other. Whoever has an open connection sees it reset, and dialing fails at once.
-    Site site;
-    Tunnel tunnel = site.open();
-    site.setFaults(R"({"cut":[{"from":"south","to":"north"}]})");
+    GatewayFixture fixture;
+    Tunnel tunnel = fixture.open();
+    fixture.setFaults(R"({"cut":[{"from":"south","to":"north"}]})");
     REQUIRE_THROWS_AS(receiveAll(tunnel.m_near, 1), Poco::Net::NetException);
     Poco::Net::StreamSocket refused;
-    const std::string status = site.connect(refused);
+    const std::string status = fixture.connect(refused);
     REQUIRE(status.find(" 502 ") != std::string::npos);
-    site.setFaults(R"({"cut":[]})");
-    Tunnel again = site.open();
-    REQUIRE(carriesWhole(again.m_near, again.m_far, "back"));
+    fixture.setFaults(R"({"cut":[]})");
+    Tunnel again = fixture.open();
+    REQUIRE(arrivesUnchanged(again.m_near, again.m_far, "back"));
 }
 
 TEST_CASE("a silenced connection stays open and carries nothing, also no end, while a new one works")
 {
     // Something between the two ends has lost track of the connection. Both sockets look established; the peer of a process
     // that has gone away never learns of it, and waits for good unless it judges by heartbeats.
-    Site site;
-    Tunnel tunnel = site.open();
-    REQUIRE(carriesWhole(tunnel.m_near, tunnel.m_far, "before"));
-    site.setFaults(R"({"silent":[{"from":"north","to":"south"},{"from":"south","to":"north"}]})");
+    GatewayFixture fixture;
+    Tunnel tunnel = fixture.open();
+    REQUIRE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, "before"));
+    fixture.setFaults(R"({"silent":[{"from":"north","to":"south"},{"from":"south","to":"north"}]})");
     tunnel.m_near.sendBytes("lost", 4);
     tunnel.m_far.sendBytes("lost", 4);
-    REQUIRE(staysQuiet(tunnel.m_far));
-    REQUIRE(staysQuiet(tunnel.m_near));
-    Tunnel fresh = site.open();
-    REQUIRE(carriesWhole(fresh.m_near, fresh.m_far, "new connections work"));
-    site.setFaults(R"({"silent":[]})");
+    REQUIRE(receivesNothing(tunnel.m_far));
+    REQUIRE(receivesNothing(tunnel.m_near));
+    Tunnel newer = fixture.open();
+    REQUIRE(arrivesUnchanged(newer.m_near, newer.m_far, "new connections work"));
+    fixture.setFaults(R"({"silent":[]})");
     tunnel.m_near.sendBytes("lost", 4);
-    REQUIRE(staysQuiet(tunnel.m_far));
+    REQUIRE(receivesNothing(tunnel.m_far));
     tunnel.m_near.close();
-    REQUIRE(staysQuiet(tunnel.m_far));
+    REQUIRE(receivesNothing(tunnel.m_far));
 }
 
 TEST_CASE("a frozen host's bytes wait and arrive after the freeze")
 {
     // A machine is paused for a while. Nothing is lost and nothing is refused; everything just takes as long as the pause.
-    Site site;
-    Tunnel tunnel = site.open();
-    site.setFaults(R"({"freeze":["127.77.0.2"]})");
+    GatewayFixture fixture;
+    Tunnel tunnel = fixture.open();
+    fixture.setFaults(R"({"freeze":["127.77.0.2"]})");
     tunnel.m_near.sendBytes("patience", 8);
-    REQUIRE(staysQuiet(tunnel.m_far));
-    site.setFaults(R"({"freeze":[]})");
+    REQUIRE(receivesNothing(tunnel.m_far));
+    fixture.setFaults(R"({"freeze":[]})");
     REQUIRE(receiveAll(tunnel.m_far, 8) == "patience");
 }
 
 TEST_CASE("corruption changes bytes and keeps their number")
 {
-    Site site;
-    Tunnel tunnel = site.open();
-    site.setFaults(R"({"corrupt_percent":100})");
+    GatewayFixture fixture;
+    Tunnel tunnel = fixture.open();
+    fixture.setFaults(R"({"corrupt_percent":100})");
     const std::string bytes = pattern(100000);
-    REQUIRE_FALSE(carriesWhole(tunnel.m_near, tunnel.m_far, bytes));
-    site.setFaults(R"({"corrupt_percent":0})");
-    REQUIRE(carriesWhole(tunnel.m_near, tunnel.m_far, bytes));
+    REQUIRE_FALSE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, bytes));
+    fixture.setFaults(R"({"corrupt_percent":0})");
+    REQUIRE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, bytes));
 }
 
 TEST_CASE("a misspelt fault is refused and changes nothing")
 {
-    Site site;
-    REQUIRE(site.ask("POST", "/faults", R"({"cutt":[]})").starts_with("400"));
-    REQUIRE(site.ask("POST", "/faults", R"({"cut":[{"from":"north"}]})").starts_with("400"));
-    REQUIRE(site.ask("POST", "/faults", R"({"freeze":"north"})").starts_with("400"));
-    REQUIRE(site.ask("POST", "/faults", "[").starts_with("400"));
-    REQUIRE(site.ask("GET", "/faults", "").starts_with(R"(200 {"corrupt_percent":0,"cut":[],"freeze":[],"silent":[]})"));
+    GatewayFixture fixture;
+    REQUIRE(fixture.ask("POST", "/faults", R"({"cutt":[]})").starts_with("400"));
+    REQUIRE(fixture.ask("POST", "/faults", R"({"cut":[{"from":"north"}]})").starts_with("400"));
+    REQUIRE(fixture.ask("POST", "/faults", R"({"freeze":"north"})").starts_with("400"));
+    REQUIRE(fixture.ask("POST", "/faults", "[").starts_with("400"));
+    REQUIRE(fixture.ask("GET", "/faults", "").starts_with(R"(200 {"corrupt_percent":0,"cut":[],"freeze":[],"silent":[]})"));
 }
