--- a/Libraries/LibStandInNetwork/FlowBuffer.h
+++ b/Libraries/LibStandInNetwork/FlowBuffer.h
@@ -1,4 +1,4 @@
-/// @file Bytes of one direction of a connection between their arrival and their departure: decision logic without sockets.
+/// @file Buffer for the bytes of one direction of a connection. Logic only, without sockets.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -11,17 +11,19 @@
 
 namespace StandIn {
 
-/// Bytes arrive, are granted by the links in order, and may leave once the latency is over. Empty buffers hold no memory to speak of.
+/// Holds received bytes until the links have granted them and their latency has passed. Bytes are granted and written in order. An
+/// empty buffer releases its memory if it is larger than CompactBytes.
 class FlowBuffer
 {
 public:
+    /// Adds received bytes, which are not granted yet.
     void append(std::string_view bytes)
     {
         m_bytes.append(bytes);
         m_ungranted += bytes.size();
     }
 
-    /// The next @p count ungranted bytes may leave at @p due, but never before earlier ones.
+    /// Grants the next @p count bytes: they may be written from @p due on, but not before earlier ones.
     void grant(std::size_t count, Core::Instant due)
     {
         m_ungranted -= count;
@@ -32,7 +34,7 @@
         m_segments.push_back(Segment{due, count});
     }
 
-    /// The bytes that may leave now.
+    /// Returns the bytes that may be written now.
     std::string_view writable(Core::Instant now) const
     {
         std::size_t count = 0;
@@ -42,7 +44,7 @@
         return std::string_view(m_bytes).substr(m_begin, count);
     }
 
-    /// The first @p count bytes have left.
+    /// Removes the first @p count bytes after they were written.
     void consume(std::size_t count)
     {
         m_begin += count;
@@ -63,7 +65,7 @@
         }
     }
 
-    /// When the first granted bytes may leave.
+    /// Returns the time from which the first granted bytes may be written; empty if none are granted.
     std::optional<Core::Instant> nextDue() const
     {
         if (m_segments.empty()) {
@@ -72,11 +74,13 @@
         return m_segments.front().m_due;
     }
 
+    /// Returns the number of bytes held, granted or not.
     std::size_t size() const
     {
         return m_bytes.size() - m_begin;
     }
 
+    /// Returns the number of bytes that are not granted yet.
     std::size_t ungranted() const
     {
         return m_ungranted;
@@ -89,6 +93,7 @@
         std::size_t m_bytes = 0;
     };
 
+    /// Written bytes are erased from m_bytes beyond this number, and an empty buffer keeps at most this capacity.
     static constexpr std::size_t CompactBytes = 32768;
 
     void releaseMemory()
@@ -102,9 +107,9 @@
     }
 
     std::string m_bytes;
-    std::size_t m_begin = 0; ///< First byte of m_bytes that has not left.
-    std::size_t m_ungranted = 0; ///< Bytes at the end of m_bytes that the links have not granted.
-    std::deque<Segment> m_segments; ///< In order of m_due; together size() - m_ungranted bytes.
+    std::size_t m_begin = 0; ///< Index of the first byte of m_bytes that has not been written.
+    std::size_t m_ungranted = 0; ///< Number of bytes at the end of m_bytes that the links have not granted.
+    std::deque<Segment> m_segments; ///< Granted bytes in order of m_due; size() - m_ungranted in total.
 };
 
 }
--- a/Libraries/LibStandInNetwork/Gateway.cpp
+++ b/Libraries/LibStandInNetwork/Gateway.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the gateway: one epoll loop over all connections.
+/// @file Implementation of the gateway: one epoll loop for all connections.
 
 #include "LibStandInNetwork/Gateway.h"
 
@@ -30,14 +30,15 @@
 constexpr std::size_t ReadBytes = LinkShaper::QuantumBytes;
 constexpr std::size_t MaximumHeadBytes = 8192;
 constexpr std::size_t MaximumBodyBytes = 1 << 20;
-/// Bytes of a flow that wait for a link; more stay in the sender's socket.
+/// Maximum number of bytes of a flow that wait for a link. Further bytes stay in the sender's socket.
 constexpr std::size_t MaximumUngrantedBytes = 2 * LinkShaper::QuantumBytes;
-/// Bytes of a flow in all: those on their way through the latency and those the receiver does not take.
+/// Maximum number of bytes of a flow in total, including those delayed by the latency and those that the receiver does not accept yet.
 constexpr std::size_t MaximumFlowBytes = 262144;
-/// The kernel's buffers would else hold megabytes before a slow link, and a heartbeat would wait seconds behind a transfer.
+/// Limits the kernel's buffers. Otherwise they would hold megabytes before a slow link, and a heartbeat would wait seconds behind a
+/// transfer.
 constexpr int ReceiveBufferBytes = 65536;
 constexpr int SendBufferBytes = 262144;
-/// Segments must be small beside the buffer, or a small window stalls the sender.
+/// Maximum TCP segment size. It must be small compared to the buffer, otherwise a small window stalls the sender.
 constexpr int SegmentBytes = 8192;
 constexpr std::chrono::milliseconds MaximumWait{200};
 constexpr std::string_view HeadEnd = "\r\n\r\n";
@@ -171,7 +172,7 @@
             ++m_totals.m_accepted;
             updateEvents(added);
         } catch (const Poco::Exception &) {
-            // Nothing more to accept, or the connection died while it waited.
+            // There is no further connection to accept, or the connection was closed while it was queued.
             return;
         }
     }
@@ -199,12 +200,12 @@
         return;
     }
     if (end.m_hasEnded && !failed) {
-        // Both ways are closed and the kernel would report it for ever.
+        // Both directions are closed, and epoll would report this continuously.
         unregister(end);
         return;
     }
     if (connection.m_isFrozen) {
-        // The reset waits like the bytes; applyFaults passes it on when the freeze ends.
+        // The reset waits like the bytes. applyFaults() forwards it when the freeze ends.
         unregister(end);
         end.m_hasFailed = true;
         return;
@@ -578,7 +579,7 @@
         try {
             end.m_socket->shutdownSend();
         } catch (const Poco::Exception &) {
-            // The other end has closed it already.
+            // The peer has closed the connection already.
             end.m_hasFailed = true;
         }
     }
@@ -595,7 +596,7 @@
     end.m_hasEnded = true;
     const bool isOtherClosed = connection.m_sides.at(1 - side).m_hasFailed || connection.m_flows.at(1 - side).m_isFinished;
     if (connection.m_flows.at(side).m_isSilenced && !isOtherClosed) {
-        // The reset vanishes like the bytes: the other end keeps an open socket on which nothing comes.
+        // The reset is discarded like the bytes: the other end keeps an open socket that receives nothing.
         connection.m_flows.at(side).m_isFinished = true;
         return;
     }
--- a/Libraries/LibStandInNetwork/GatewayFaults.cpp
+++ b/Libraries/LibStandInNetwork/GatewayFaults.cpp
@@ -1,4 +1,4 @@
-/// @file Reading and showing the network stand-in's fault switches.
+/// @file Parses and formats the network stand-in's fault switches.
 
 #include "LibStandInNetwork/GatewayFaults.h"
 
--- a/Libraries/LibStandInNetwork/GatewaySettings.cpp
+++ b/Libraries/LibStandInNetwork/GatewaySettings.cpp
@@ -1,4 +1,4 @@
-/// @file Reading of the network stand-in's settings.
+/// @file Reads the settings of the network stand-in.
 
 #include "LibStandInNetwork/GatewaySettings.h"
 
--- a/Libraries/LibStandInNetwork/LinkShaper.h
+++ b/Libraries/LibStandInNetwork/LinkShaper.h
@@ -1,4 +1,4 @@
-/// @file Shares links among flows: decision logic without sockets.
+/// @file Shares the rates of links among flows. Logic only, without sockets.
 #pragma once
 
 #include "LibStandInNetwork/TokenBucket.h"
@@ -15,7 +15,7 @@
 using FlowId = std::uint64_t;
 using LinkId = std::uint32_t;
 
-/// A flow may pass so many bytes now.
+/// Permission for a flow to send a number of bytes.
 struct Grant
 {
     FlowId m_flow = 0;
@@ -25,49 +25,53 @@
 };
 
 /**
- * Each flow passes its links one after the other, a quantum at a time, as a packet passes a chain of queues.
+ * A flow sends one quantum at a time, which passes the links of its path one after the other like a packet in a chain of queues.
  *
- * At each link flows take turns, so that bulk flows share it evenly; a quantum of a flow with a short backlog goes before
- * those of the bulk flows, so that a request or a heartbeat does not wait behind a transfer. A flow keeps what it has
- * passed already: it never starts over at its first link, and so cannot starve between two busy ones. Not thread-safe.
+ * Each link serves its flows round-robin, so that bulk flows share it evenly. A quantum of a flow with a short backlog goes before
+ * the quanta of bulk flows, so that a request or a heartbeat does not wait behind a transfer. A quantum that waits at a link keeps the
+ * links that it has passed. If it started over at the first link, a flow over two busy links would starve. Not thread-safe.
  */
 class LinkShaper
 {
 public:
+    /// Maximum number of bytes that a flow sends at a time.
     static constexpr std::size_t QuantumBytes = 16384;
+    /// A flow with at most this backlog is short, and goes before bulk flows.
     static constexpr std::size_t ShortBacklogBytes = 4096;
-    /// Tokens that an idle link saves up, as time at its rate.
+    /// Maximum burst of a link that was idle, in seconds at its rate; at least one quantum.
     static constexpr double BurstSeconds = 0.01;
 
     LinkId addLink(double bytesPerSecond, Core::Instant now);
+    /// @param path links in the order in which bytes pass them.
     void addFlow(FlowId flow, std::vector<LinkId> path);
     void removeFlow(FlowId flow);
 
-    /// More bytes of the flow wait; appends what may pass at once.
+    /// Adds waiting bytes to a flow. Appends to @p grants the bytes that may be sent at once.
     void addBacklog(FlowId flow, std::size_t bytes, Core::Instant now, std::vector<Grant> &grants);
-    /// Appends what may pass by now.
+    /// Appends to @p grants the bytes that may be sent at @p now.
     void advance(Core::Instant now, std::vector<Grant> &grants);
-    /// When advance() will have something to do; empty if nothing waits.
+    /// Returns the time of the next call of advance() that can grant bytes; empty if nothing waits.
     std::optional<Core::Instant> nextWake() const;
 
 private:
     struct Flow
     {
         std::vector<LinkId> m_path;
-        std::size_t m_backlog = 0; ///< Bytes not granted yet, those of the quantum included.
-        std::size_t m_quantum = 0; ///< Bytes on their way through m_path; 0 if none.
-        std::size_t m_stage = 0; ///< Links of m_path that the quantum has passed.
+        std::size_t m_backlog = 0; ///< Bytes not granted yet, including the quantum.
+        std::size_t m_quantum = 0; ///< Size of the quantum that is passing m_path; 0 if none.
+        std::size_t m_stage = 0; ///< Number of links of m_path that the quantum has passed.
         bool m_isShort = false; ///< The backlog was short when the quantum was formed.
     };
 
     struct Link
     {
         TokenBucket m_bucket;
-        std::deque<FlowId> m_short;
-        std::deque<FlowId> m_bulk;
-        bool m_isScheduled = false; ///< m_wakes holds an entry for it.
+        std::deque<FlowId> m_short; ///< Waiting flows with a short backlog.
+        std::deque<FlowId> m_bulk; ///< Other waiting flows.
+        bool m_isScheduled = false; ///< m_wakes has an entry for this link.
     };
 
+    /// Time at which a link with waiting flows has tokens again.
     struct Wake
     {
         Core::Instant m_time;
@@ -79,11 +83,13 @@
         }
     };
 
-    /// Passes as many links and quanta as tokens allow, then waits at the link that has none.
+    /// Moves quanta of the flow through its links while there are tokens, then queues the flow at the link without tokens.
     void advanceFlow(FlowId id, Flow &flow, Core::Instant now, std::vector<Grant> &grants);
+    /// Returns true if the link has tokens and no other flow goes first.
     static bool canPass(Link &link, bool isShort, Core::Instant now);
+    /// Queues a flow at a link and schedules the link's wake-up.
     void enqueue(LinkId link, FlowId id, bool isShort);
-    /// Next flow of the link's queues that still exists.
+    /// Removes the next flow from the link's queues and returns it. Skips flows that have been removed.
     std::optional<FlowId> popWaiting(Link &link);
 
     std::vector<Link> m_links;
--- a/Libraries/LibStandInNetwork/TokenBucket.h
+++ b/Libraries/LibStandInNetwork/TokenBucket.h
@@ -1,4 +1,4 @@
-/// @file A link's rate: decision logic without clocks.
+/// @file Token bucket that limits the rate of a link. Takes the time as a parameter.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -8,8 +8,8 @@
 namespace StandIn {
 
 /**
- * Tokens are bytes. Whoever finds more than none may take any amount and leave a debt, so that a quantum larger than the
- * burst still passes and the rate is held exactly over time.
+ * Tokens are bytes. While there are tokens, any number may be taken, which can leave a debt. A quantum larger than the burst can thus
+ * pass, and the rate is exact over time.
  */
 class TokenBucket
 {
@@ -28,12 +28,13 @@
         return m_tokens > 0;
     }
 
+    /// Takes tokens; the caller has checked hasTokens().
     void take(double bytes)
     {
         m_tokens -= bytes;
     }
 
-    /// When hasTokens() becomes true, if nothing is taken before.
+    /// Returns the time at which hasTokens() becomes true if nothing is taken before.
     Core::Instant availableAt() const
     {
         if (m_tokens > 0) {
@@ -56,8 +57,8 @@
 
     double m_bytesPerSecond; ///< Positive.
     double m_burstBytes;
-    double m_tokens; ///< At most m_burstBytes; negative is a debt.
-    Core::Instant m_updated;
+    double m_tokens; ///< At most m_burstBytes; negative for a debt.
+    Core::Instant m_updated; ///< Time of the last refill.
 };
 
 }
--- a/Libraries/LibStandInNetwork/Topology.h
+++ b/Libraries/LibStandInNetwork/Topology.h
@@ -1,4 +1,4 @@
-/// @file Which links and which latency lie between two hosts.
+/// @file Links and latency between two hosts.
 #pragma once
 
 #include "LibStandInNetwork/GatewaySettings.h"
@@ -12,20 +12,20 @@
 
 namespace StandIn {
 
-/// The hosts of a site and the links between them. Not thread-safe.
+/// The hosts of the simulated network and the links between them. Not thread-safe.
 class Topology
 {
 public:
     /// Adds the links of every listed host to @p shaper.
     Topology(const GatewaySettings &settings, LinkShaper &shaper, Core::Instant now);
 
-    /// The limited links from one host to another, in the order in which bytes pass them. Empty within a host.
+    /// Returns the links with a limited rate from one host to another, in the order in which bytes pass them. Empty within a host.
     std::vector<LinkId> path(const std::string &from, const std::string &to) const;
-    /// One way.
+    /// Returns the one-way latency; 0 within a host and for hosts that are not listed.
     Core::Clock::duration latency(const std::string &from, const std::string &to) const;
-    /// Where the host stands; all fields but its name are empty if it is not listed.
+    /// Returns the location of a host; all fields except its name are empty if it is not listed.
     HostLocation location(const std::string &host) const;
-    /// True if @p selector names the host, its region or its failure domain.
+    /// Returns true if @p selector names the host, its region or its failure domain.
     bool matches(const std::string &selector, const std::string &host) const;
 
 private:
--- a/Tests/StandIns/TestGateway.cpp
+++ b/Tests/StandIns/TestGateway.cpp
@@ -1,4 +1,4 @@
-/// @file The gateway carries bytes unchanged, and each of its faults does what it says, over real sockets.
+/// @file Tests of the gateway over real sockets: forwarding, the journal and each fault.
 
 #include "LibJson/Json.h"
 #include "LibNetwork/Listener.h"
@@ -33,6 +33,7 @@
     return received;
 }
 
+/// Returns true if nothing can be read from the socket for 100 ms.
 bool receivesNothing(Poco::Net::StreamSocket &socket)
 {
     constexpr int waitMs = 100;
@@ -46,6 +47,7 @@
     Poco::Net::StreamSocket m_far;
 };
 
+/// A running gateway and a listener on the south host.
 struct GatewayFixture
 {
     Core::Address m_address = Network::freeLoopbackAddress();
@@ -64,7 +66,7 @@
         REQUIRE(m_gateway->start());
     }
 
-    /// The connection to the gateway with its answer read; the answer's first line is returned.
+    /// Connects from the north host through the gateway to the listener and returns the first line of the gateway's answer.
     std::string connect(Poco::Net::StreamSocket &socket) const
     {
         const Poco::Net::SocketAddress source(NorthHost, 0);
@@ -123,7 +125,7 @@
     return text;
 }
 
-/// Sends on a thread of its own, since neither end takes everything at once.
+/// Sends the bytes and returns true if they arrive unchanged. Sends on a separate thread, because the buffers do not hold all bytes.
 bool arrivesUnchanged(Poco::Net::StreamSocket &from, Poco::Net::StreamSocket &to, const std::string &bytes)
 {
     std::future<int> sent = std::async(std::launch::async, [&from, &bytes] { return from.sendBytes(bytes.data(), static_cast<int>(bytes.size())); });
@@ -137,7 +139,7 @@
 
 }
 
-TEST_CASE("bytes pass unchanged both ways, and the journal counts them by region and host")
+TEST_CASE("Bytes are forwarded unchanged in both directions, and the journal counts them by region and host")
 {
     GatewayFixture fixture(1);
     Tunnel tunnel = fixture.open();
@@ -155,7 +157,7 @@
     REQUIRE(journal->getArray("hosts")->getObject(0)->getValue<std::uint64_t>("up") >= bytes.size());
 }
 
-TEST_CASE("the end of one direction is passed on after its last byte, and the other goes on")
+TEST_CASE("The end of one direction is forwarded after its last byte, and the other direction stays open")
 {
     GatewayFixture fixture;
     Tunnel tunnel = fixture.open();
@@ -167,7 +169,7 @@
     REQUIRE(receiveAll(tunnel.m_near, 100) == "answer");
 }
 
-TEST_CASE("a target that refuses is a refusal, not a silent connection")
+TEST_CASE("The client gets an error answer if the target refuses the connection")
 {
     GatewayFixture fixture;
     const Core::Address unused = Network::freeLoopbackAddress();
@@ -178,9 +180,9 @@
     REQUIRE(receiveAll(socket, 12) == "HTTP/1.1 502");
 }
 
-TEST_CASE("a cut link refuses new connections and resets open ones")
+TEST_CASE("A cut link refuses new connections and resets open ones")
 {
-    // Two regions lose each other. Whoever has an open connection sees it reset, and dialing fails at once.
+    // Simulates a lost link between two regions: open connections are reset, and new ones fail at once.
     GatewayFixture fixture;
     Tunnel tunnel = fixture.open();
     fixture.setFaults(R"({"cut":[{"from":"south","to":"north"}]})");
@@ -193,10 +195,10 @@
     REQUIRE(arrivesUnchanged(again.m_near, again.m_far, "back"));
 }
 
-TEST_CASE("a silenced connection stays open and carries nothing, also no end, while a new one works")
+TEST_CASE("A silenced connection stays open and carries neither bytes nor its end, while a new one works")
 {
-    // Something between the two ends has lost track of the connection. Both sockets look established; the peer of a process
-    // that has gone away never learns of it, and waits for good unless it judges by heartbeats.
+    // Simulates a device between the two ends that has lost the state of the connection. Both sockets look established. If one
+    // process ends, its peer is not notified and waits forever unless it uses heartbeats.
     GatewayFixture fixture;
     Tunnel tunnel = fixture.open();
     REQUIRE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, "before"));
@@ -214,9 +216,9 @@
     REQUIRE(receivesNothing(tunnel.m_far));
 }
 
-TEST_CASE("a frozen host's bytes wait and arrive after the freeze")
+TEST_CASE("Bytes to a frozen host arrive after the freeze")
 {
-    // A machine is paused for a while. Nothing is lost and nothing is refused; everything just takes as long as the pause.
+    // Simulates a paused instance: nothing is lost or refused, but everything takes as long as the pause.
     GatewayFixture fixture;
     Tunnel tunnel = fixture.open();
     fixture.setFaults(R"({"freeze":["127.77.0.2"]})");
@@ -226,7 +228,7 @@
     REQUIRE(receiveAll(tunnel.m_far, 8) == "patience");
 }
 
-TEST_CASE("corruption changes bytes and keeps their number")
+TEST_CASE("Corruption changes bytes but not their number")
 {
     GatewayFixture fixture;
     Tunnel tunnel = fixture.open();
@@ -237,7 +239,7 @@
     REQUIRE(arrivesUnchanged(tunnel.m_near, tunnel.m_far, bytes));
 }
 
-TEST_CASE("a misspelt fault is refused and changes nothing")
+TEST_CASE("An unknown or malformed fault is refused and changes nothing")
 {
     GatewayFixture fixture;
     REQUIRE(fixture.ask("POST", "/faults", R"({"cutt":[]})").starts_with("400"));
--- a/Tests/StandIns/TestLinkShaper.cpp
+++ b/Tests/StandIns/TestLinkShaper.cpp
@@ -1,4 +1,4 @@
-/// @file Links hold their rate, share it evenly and let short flows pass, on a clock that the tests turn.
+/// @file Tests that links keep their rate, share it evenly and let short flows pass first, with a simulated clock.
 
 #include "LibStandInNetwork/LinkShaper.h"
 #include "LibStandInNetwork/Topology.h"
@@ -11,14 +11,14 @@
 constexpr double Rate = 1e6;
 constexpr std::size_t Plenty = 100 << 20;
 
-/// A shaper whose clock jumps from one wake to the next.
+/// A shaper with a simulated clock that advances from one wake-up to the next.
 struct Simulation
 {
     StandIn::LinkShaper m_shaper;
     Core::Instant m_start{};
     Core::Instant m_now{};
     std::map<StandIn::FlowId, std::size_t> m_granted;
-    std::map<StandIn::FlowId, double> m_lastGrant; ///< Seconds from the start.
+    std::map<StandIn::FlowId, double> m_lastGrant; ///< In seconds since the start of the simulation.
 
     void take(const std::vector<StandIn::Grant> &grants)
     {
@@ -57,7 +57,7 @@
 
 }
 
-TEST_CASE("a link carries its rate and no more")
+TEST_CASE("A link carries no more than its rate")
 {
     Simulation simulation;
     simulation.m_shaper.addFlow(1, {simulation.m_shaper.addLink(Rate, simulation.m_now)});
@@ -66,7 +66,7 @@
     REQUIRE(inSeconds(simulation.m_granted[1]) == Approx(10).margin(0.04));
 }
 
-TEST_CASE("an idle link saves up no more than a short burst")
+TEST_CASE("An idle link accumulates no more than a short burst")
 {
     Simulation simulation;
     simulation.m_shaper.addFlow(1, {simulation.m_shaper.addLink(Rate, simulation.m_now)});
@@ -76,7 +76,7 @@
     REQUIRE(inSeconds(simulation.m_granted[1]) == Approx(1).margin(0.04));
 }
 
-TEST_CASE("bulk flows share a link evenly, whenever they start")
+TEST_CASE("Bulk flows share a link evenly")
 {
     Simulation simulation;
     const StandIn::LinkId link = simulation.m_shaper.addLink(Rate, simulation.m_now);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("a bulk flow that comes later does not overtake those that wait")
+TEST_CASE("A bulk flow that starts later does not overtake waiting flows")
 {
     Simulation simulation;
     const StandIn::LinkId link = simulation.m_shaper.addLink(Rate, simulation.m_now);
@@ -107,10 +107,10 @@
     REQUIRE(simulation.m_granted[3] == 0);
 }
 
-TEST_CASE("a request does not wait behind transfers")
+TEST_CASE("A request does not wait behind transfers")
 {
-    // Fifty transfers fill a machine's link. A request that had to take its turn after all of them would wait for fifty quanta,
-    // most of a second here, and a caller would see live answers stall whenever new weights spread.
+    // Fifty transfers saturate an instance's link. If a request waited behind all of them, it would wait for fifty quanta, most of a
+    // second here, and answers to callers would stall whenever new weights are distributed.
     Simulation simulation;
     const StandIn::LinkId link = simulation.m_shaper.addLink(Rate, simulation.m_now);
     for (StandIn::FlowId flow = 1; flow <= 50; ++flow) {
@@ -125,10 +125,10 @@
     REQUIRE(simulation.m_lastGrant[99] - 5 <= 2 * inSeconds(StandIn::LinkShaper::QuantumBytes));
 }
 
-TEST_CASE("a flow over two busy links is not starved by flows over one")
+TEST_CASE("A flow over two busy links is not starved by flows over one of them")
 {
-    // A transfer between regions needs the machine's link and the pair's link at once. If it had to start over whenever the
-    // second was busy, transfers that need only one of them would always be there first.
+    // A transfer between regions needs the instance's link and the link of the region pair. If it started over whenever the second
+    // link is busy, transfers that need only one link would always go first.
     Simulation simulation;
     const StandIn::LinkId first = simulation.m_shaper.addLink(Rate, simulation.m_now);
     const StandIn::LinkId second = simulation.m_shaper.addLink(Rate, simulation.m_now);
@@ -143,7 +143,7 @@
     REQUIRE(inSeconds(simulation.m_granted[1] + simulation.m_granted[2] + simulation.m_granted[4]) == Approx(30).margin(0.1));
 }
 
-TEST_CASE("a removed flow leaves the link to the others")
+TEST_CASE("After a flow is removed, the other flows get its share of the link")
 {
     Simulation simulation;
     const StandIn::LinkId link = simulation.m_shaper.addLink(Rate, simulation.m_now);
@@ -158,7 +158,7 @@
     REQUIRE(inSeconds(simulation.m_granted[2] - before) == Approx(1).margin(0.04));
 }
 
-TEST_CASE("the path between two hosts has the links that the settings name")
+TEST_CASE("The path and latency between two hosts follow the settings")
 {
     StandIn::GatewaySettings settings;
     settings.m_instanceBytesPerSecond = Rate;
