--- a/Libraries/LibStandInLog/LaggingList.cpp
+++ b/Libraries/LibStandInLog/DelayedInstanceList.cpp
@@ -1,30 +1,30 @@
 /// @file Implementation of the lagging list.
 
-#include "LibStandInLog/LaggingList.h"
+#include "LibStandInLog/DelayedInstanceList.h"
 
 namespace StandIn {
 
-LaggingList::LaggingList(Core::Duration lag)
+DelayedInstanceList::DelayedInstanceList(Core::Duration lag)
     : m_lag(lag)
 {
 }
 
-void LaggingList::put(const std::string &id, const ListedInstance &instance, Core::Instant now)
+void DelayedInstanceList::put(const std::string &id, const ListedInstance &instance, Core::Instant now)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_changes.push_back(Change{now, id, instance, false});
 }
 
-void LaggingList::remove(const std::string &id, Core::Instant now)
+void DelayedInstanceList::remove(const std::string &id, Core::Instant now)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_changes.push_back(Change{now, id, {}, true});
 }
 
-std::map<std::string, ListedInstance> LaggingList::visible(Core::Instant now)
+std::map<std::string, ListedInstance> DelayedInstanceList::visible(Core::Instant now)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    while (!m_changes.empty() && m_changes.front().m_made + m_lag <= now) {
+    while (!m_changes.empty() && m_changes.front().m_changedAt + m_lag <= now) {
         const Change &change = m_changes.front();
         if (change.m_isRemoval) {
             m_visible.erase(change.m_id);
--- a/Libraries/LibStandInLog/LaggingList.h
+++ b/Libraries/LibStandInLog/DelayedInstanceList.h
@@ -24,10 +24,10 @@
 };
 
 /// Thread-safe. Each change becomes visible after the lag.
-class LaggingList
+class DelayedInstanceList
 {
 public:
-    explicit LaggingList(Core::Duration lag);
+    explicit DelayedInstanceList(Core::Duration lag);
 
     void put(const std::string &id, const ListedInstance &instance, Core::Instant now);
     void remove(const std::string &id, Core::Instant now);
@@ -37,7 +37,7 @@
 private:
     struct Change
     {
-        Core::Instant m_made;
+        Core::Instant m_changedAt;
         std::string m_id;
         ListedInstance m_instance;
         bool m_isRemoval = false;
--- a/Libraries/LibStandInLog/LogService.cpp
+++ b/Libraries/LibStandInLog/LogService.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t MaximumSmallBody = 64 << 10;
+constexpr std::size_t MaximumSmallBodyBytes = 64 << 10;
 constexpr std::size_t DefaultPageRecords = 256;
 
 constexpr int StatusOk = 200;
@@ -45,7 +45,7 @@
     }
 }
 
-std::uint64_t numberIn(const Poco::URI::QueryParameters &parameters, const std::string &name, std::uint64_t fallback)
+std::uint64_t numberParameter(const Poco::URI::QueryParameters &parameters, const std::string &name, std::uint64_t fallback)
 {
     for (const std::pair<std::string, std::string> &parameter : parameters) {
         if (parameter.first == name) {
@@ -76,7 +76,7 @@
     return instance;
 }
 
-Core::Result<LogServiceFaults> changedFaults(LogServiceFaults faults, const Poco::JSON::Object &object)
+Core::Result<LogServiceFaults> changeLogFaults(LogServiceFaults faults, const Poco::JSON::Object &object)
 {
     BOOST_OUTCOME_TRYV(Json::refuseUnknownFields(object, {"down", "slow_ms", "lose_answers", "drop_records_from", "expire_records_before", "list_down"}));
     if (object.has("down")) {
@@ -109,22 +109,22 @@
 LogServiceSettings readLogServiceSettings(Settings::Reader &reader)
 {
     constexpr std::int64_t maximumRecords = 10'000'000;
-    constexpr std::int64_t longestMilliseconds = 86'400'000;
+    constexpr std::int64_t maximumMilliseconds = 86'400'000;
     constexpr double maximumRate = 1'000'000;
     LogServiceSettings settings;
     settings.m_listen = reader.address("listen");
     settings.m_log.m_appendsPerSecond = reader.number("appends_per_second", 1, maximumRate, settings.m_log.m_appendsPerSecond);
     settings.m_log.m_retentionRecords =
         static_cast<std::size_t>(reader.integer("retention_records", 1, maximumRecords, static_cast<std::int64_t>(settings.m_log.m_retentionRecords)));
-    settings.m_log.m_retention = reader.milliseconds("retention_ms", 0, longestMilliseconds, 0);
-    settings.m_listLag = reader.milliseconds("list_lag_ms", 0, longestMilliseconds, settings.m_listLag.count());
+    settings.m_log.m_retention = reader.milliseconds("retention_ms", 0, maximumMilliseconds, 0);
+    settings.m_listLag = reader.milliseconds("list_lag_ms", 0, maximumMilliseconds, settings.m_listLag.count());
     return settings;
 }
 
 LogService::LogService(const LogServiceSettings &settings)
     : m_log(settings.m_log)
     , m_list(settings.m_listLag)
-    , m_faults(changedFaults)
+    , m_faults(changeLogFaults)
 {
 }
 
@@ -199,7 +199,7 @@
 void LogService::answerFaults(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
 {
     if (request.getMethod() == "POST") {
-        const Core::Result<std::string> body = readBody(request, MaximumSmallBody);
+        const Core::Result<std::string> body = readBody(request, MaximumSmallBodyBytes);
         const Core::Result<void> changed = body ? changeFaults(body.value()) : Core::Result<void>(body.error());
         if (!changed) {
             sendError(response, StatusBadRequest, changed.error());
@@ -233,10 +233,10 @@
     Poco::URI uri("/");
     uri.setRawQuery(query);
     const Poco::URI::QueryParameters parameters = uri.getQueryParameters();
-    const Platform::Offset from = numberIn(parameters, "from", 1);
+    const Platform::Offset from = numberParameter(parameters, "from", 1);
     Platform::ReadOptions options;
-    options.m_maximumRecords = numberIn(parameters, "max", DefaultPageRecords);
-    options.m_wait = Core::Duration(static_cast<std::int64_t>(numberIn(parameters, "wait_ms", 0)));
+    options.m_maximumRecords = numberParameter(parameters, "max", DefaultPageRecords);
+    options.m_wait = Core::Duration(static_cast<std::int64_t>(numberParameter(parameters, "wait_ms", 0)));
     const Core::Result<Platform::LogPage> page = m_log.read(stream, from, options);
     if (!page) {
         sendError(response, statusOf(page.error().m_code), page.error());
@@ -251,7 +251,7 @@
 
 void LogService::putInstance(const std::string &id, Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response)
 {
-    const Core::Result<std::string> body = readBody(request, MaximumSmallBody);
+    const Core::Result<std::string> body = readBody(request, MaximumSmallBodyBytes);
     const Core::Result<ListedInstance> instance = body ? parseInstance(body.value()) : Core::Result<ListedInstance>(body.error());
     if (!instance) {
         sendError(response, StatusBadRequest, instance.error());
--- a/Libraries/LibStandInLog/LogService.h
+++ b/Libraries/LibStandInLog/LogService.h
@@ -4,7 +4,7 @@
 #include "LibSettings/Reader.h"
 #include "LibStandIn/Faults.h"
 #include "LibStandIn/HttpServer.h"
-#include "LibStandInLog/LaggingList.h"
+#include "LibStandInLog/DelayedInstanceList.h"
 #include "LibStandInLog/LogStore.h"
 
 namespace StandIn {
@@ -49,7 +49,7 @@
     void listInstances(Poco::Net::HTTPServerResponse &response);
 
     LogStore m_log;
-    LaggingList m_list;
+    DelayedInstanceList m_list;
     FaultState<LogServiceFaults> m_faults;
 };
 
--- a/Libraries/LibStandInLog/LogStore.cpp
+++ b/Libraries/LibStandInLog/LogStore.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::size_t MaximumStreams = 1024;
 constexpr std::size_t MaximumPageBytes = 32 << 20;
-constexpr Core::Duration LongestWait{30000};
+constexpr Core::Duration MaximumWait{30000};
 
-Core::Error isDown(const std::string &step)
+Core::Error downError(const std::string &step)
 {
     return Core::makeError(Core::ErrorCode::Unavailable, step, "log", "the log is down");
 }
@@ -23,7 +23,7 @@
 LogStore::LogStore(LogSettings settings)
     : m_settings(settings)
     , m_tokens(settings.m_appendsPerSecond)
-    , m_tokensAt(Core::Clock::now())
+    , m_refilledAt(Core::Clock::now())
 {
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-bool LogStore::takeToken(Core::Instant now)
+bool LogStore::tryTakeToken(Core::Instant now)
 {
-    m_tokens = std::min(m_settings.m_appendsPerSecond, m_tokens + m_settings.m_appendsPerSecond * Core::secondsBetween(m_tokensAt, now));
-    m_tokensAt = now;
+    m_tokens = std::min(m_settings.m_appendsPerSecond, m_tokens + m_settings.m_appendsPerSecond * Core::secondsBetween(m_refilledAt, now));
+    m_refilledAt = now;
     if (m_tokens < 1) {
         return false;
     }
@@ -67,17 +67,17 @@
     const Core::Instant now = Core::Clock::now();
     const std::lock_guard<std::mutex> lock(m_mutex);
     if (m_faults.m_down) {
-        return isDown(step);
+        return downError(step);
     }
     if (body.size() > Platform::MaximumRecordBytes) {
         return Core::makeError(Core::ErrorCode::InvalidInput, step, "log", "the record is too long");
     }
     const bool isKnown = m_streams.contains(stream);
-    if ((!isKnown && m_streams.size() >= MaximumStreams) || !takeToken(now)) {
+    if ((!isKnown && m_streams.size() >= MaximumStreams) || !tryTakeToken(now)) {
         return Core::makeError(Core::ErrorCode::Overloaded, step, "log", "over the log's append rate");
     }
     Stream &appended = m_streams[stream];
-    appended.m_records.push_back(Stored{body, now});
+    appended.m_records.push_back(StoredRecord{body, now});
     const Platform::Offset offset = appended.next() - 1;
     expire(appended, now);
     m_changed.notify_all();
@@ -106,16 +106,16 @@
 Core::Result<Platform::LogPage> LogStore::read(const std::string &stream, Platform::Offset from, const Platform::ReadOptions &options)
 {
     delay();
-    const Core::Instant deadline = Core::Clock::now() + std::min(options.m_wait, LongestWait);
+    const Core::Instant deadline = Core::Clock::now() + std::min(options.m_wait, MaximumWait);
     std::unique_lock<std::mutex> lock(m_mutex);
     while (true) {
         if (m_faults.m_down) {
-            return isDown("read log");
+            return downError("read log");
         }
         const Core::Instant now = Core::Clock::now();
-        Stream nothing;
-        const std::map<std::string, Stream>::iterator known = m_streams.find(stream);
-        Stream &source = known == m_streams.end() ? nothing : known->second;
+        Stream empty;
+        const std::map<std::string, Stream>::iterator found = m_streams.find(stream);
+        Stream &source = found == m_streams.end() ? empty : found->second;
         const bool hasExpired = from < source.m_first;
         if (from < source.next() || hasExpired || now >= deadline || m_stopping) {
             return page(source, from, options.m_maximumRecords, now);
--- a/Libraries/LibStandInLog/LogStore.h
+++ b/Libraries/LibStandInLog/LogStore.h
@@ -52,7 +52,7 @@
     void stop();
 
 private:
-    struct Stored
+    struct StoredRecord
     {
         std::string m_body;
         Core::Instant m_appended;
@@ -61,7 +61,7 @@
     struct Stream
     {
         Platform::Offset m_first = 1; ///< Offset of m_records.front(), or of the next append if that is empty.
-        std::deque<Stored> m_records;
+        std::deque<StoredRecord> m_records;
 
         Platform::Offset next() const
         {
@@ -70,7 +70,7 @@
     };
 
     void expire(Stream &stream, Core::Instant now) const;
-    bool takeToken(Core::Instant now);
+    bool tryTakeToken(Core::Instant now);
     Platform::LogPage page(Stream &stream, Platform::Offset from, std::size_t maximum, Core::Instant now) const;
     void delay() const;
 
@@ -80,7 +80,7 @@
     std::map<std::string, Stream> m_streams; ///< At most MaximumStreams.
     LogFaults m_faults;
     double m_tokens; ///< Appends that may be taken now; at most a second's worth.
-    Core::Instant m_tokensAt;
+    Core::Instant m_refilledAt;
     bool m_stopping = false;
 };
 
