--- a/Libraries/LibStandInLog/DelayedInstanceList.cpp
+++ b/Libraries/LibStandInLog/DelayedInstanceList.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the lagging list.
+/// @file Implementation of the delayed instance list.
 
 #include "LibStandInLog/DelayedInstanceList.h"
 
--- a/Libraries/LibStandInLog/DelayedInstanceList.h
+++ b/Libraries/LibStandInLog/DelayedInstanceList.h
@@ -1,4 +1,4 @@
-/// @file The instance list of the log stand-in, shown as it was some time ago.
+/// @file Instance list of the log stand-in, whose changes become visible with a delay.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -10,7 +10,7 @@
 
 namespace StandIn {
 
-/// One instance, as the test bench put it.
+/// An instance in the list, as set by the test.
 struct ListedInstance
 {
     std::string m_address;
@@ -23,18 +23,20 @@
     bool operator==(const ListedInstance &) const = default;
 };
 
-/// Thread-safe. Each change becomes visible after the lag.
+/// Instance list in which each change becomes visible after the lag. Thread-safe.
 class DelayedInstanceList
 {
 public:
     explicit DelayedInstanceList(Core::Duration lag);
 
+    /// Adds or replaces an instance.
     void put(const std::string &id, const ListedInstance &instance, Core::Instant now);
     void remove(const std::string &id, Core::Instant now);
-    /// The list as of the lag ago, by id.
+    /// Returns the instances as of @p now minus the lag, by id.
     std::map<std::string, ListedInstance> visible(Core::Instant now);
 
 private:
+    /// A change that is not visible yet.
     struct Change
     {
         Core::Instant m_changedAt;
@@ -46,7 +48,7 @@
     const Core::Duration m_lag;
     std::mutex m_mutex;
     std::map<std::string, ListedInstance> m_visible;
-    std::deque<Change> m_changes; ///< Not visible yet, oldest first.
+    std::deque<Change> m_changes; ///< Changes that are not visible yet, oldest first.
 };
 
 }
--- a/Libraries/LibStandInLog/LogService.cpp
+++ b/Libraries/LibStandInLog/LogService.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the log stand-in's HTTP side.
+/// @file Implementation of the log stand-in's HTTP interface.
 
 #include "LibStandInLog/LogService.h"
 #include "LibJson/Json.h"
@@ -23,7 +23,7 @@
 constexpr int StatusTooMany = 429;
 constexpr int StatusUnavailable = 503;
 
-/// A page as it is sent.
+/// Encoding of a page in the answer to a read.
 struct EncodedPage
 {
     Platform::Offset m_first = 0;
@@ -45,6 +45,7 @@
     }
 }
 
+/// Returns the numeric query parameter @p name, or @p fallback if it is missing or not a number.
 std::uint64_t numberParameter(const Poco::URI::QueryParameters &parameters, const std::string &name, std::uint64_t fallback)
 {
     for (const std::pair<std::string, std::string> &parameter : parameters) {
--- a/Libraries/LibStandInLog/LogService.h
+++ b/Libraries/LibStandInLog/LogService.h
@@ -1,4 +1,4 @@
-/// @file The HTTP side of the log stand-in; docs/STANDINS.md gives the protocol.
+/// @file HTTP interface of the log stand-in. The protocol is described in docs/STANDINS.md.
 #pragma once
 
 #include "LibSettings/Reader.h"
@@ -9,34 +9,35 @@
 
 namespace StandIn {
 
+/// Settings of standin-log.
 struct LogServiceSettings
 {
     Core::Address m_listen;
     LogSettings m_log;
-    Core::Duration m_listLag{2000};
+    Core::Duration m_listLag{2000}; ///< Time after which changes of the instance list become visible.
 
     bool operator==(const LogServiceSettings &) const = default;
 };
 
 LogServiceSettings readLogServiceSettings(Settings::Reader &reader);
 
-/// Fault switches as they are sent over HTTP.
+/// Fault switches of the service, set over HTTP.
 struct LogServiceFaults
 {
     LogFaults m_log;
-    bool m_listDown = false;
+    bool m_listDown = false; ///< GET /instances answers 503.
 
     bool operator==(const LogServiceFaults &) const = default;
 };
 
-/// Thread-safe; handle() runs on the threads of an HttpServer.
+/// The log and the instance list behind an HTTP server. Thread-safe; handle() runs on the threads of an HttpServer.
 class LogService
 {
 public:
     explicit LogService(const LogServiceSettings &settings);
 
     void handle(Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response);
-    /// Ends everything that waits, before its server is stopped.
+    /// Wakes and ends all waiting reads. Must be called before the server is stopped.
     void stop();
 
 private:
--- a/Libraries/LibStandInLog/LogStore.h
+++ b/Libraries/LibStandInLog/LogStore.h
@@ -1,4 +1,4 @@
-/// @file The records of the log stand-in: streams in memory with a rate, a retention and faults.
+/// @file Records of the log stand-in: in-memory streams with a rate limit, a retention and faults.
 #pragma once
 
 #include "LibCore/Clock.h"
@@ -12,10 +12,11 @@
 
 namespace StandIn {
 
+/// Settings of the log.
 struct LogSettings
 {
-    double m_appendsPerSecond = 500;
-    std::size_t m_retentionRecords = 10000; ///< Of each stream.
+    double m_appendsPerSecond = 500; ///< Rate limit over all streams.
+    std::size_t m_retentionRecords = 10000; ///< Maximum number of records kept in each stream.
     Core::Duration m_retention{0}; ///< Age at which records expire; 0 means never.
 
     bool operator==(const LogSettings &) const = default;
@@ -24,15 +25,16 @@
 /// Fault switches of the log.
 struct LogFaults
 {
-    bool m_down = false;
+    bool m_down = false; ///< Appends and reads fail with Unavailable.
     Core::Duration m_slow{0}; ///< Added to each request.
-    bool m_loseAnswers = false; ///< Appends take effect and are not answered.
+    bool m_loseAnswers = false; ///< Appends take effect, but are not answered.
 
     bool operator==(const LogFaults &) const = default;
 };
 
 /**
- * Thread-safe. It is a Platform::Log too, so that tests in one process need no HTTP; a lost answer is Ambiguous then.
+ * The in-memory log. Thread-safe. It implements Platform::Log, so that tests in one process need no HTTP; a lost answer is then the
+ * error Ambiguous.
  */
 class LogStore : public Platform::Log
 {
@@ -44,14 +46,15 @@
 
     LogFaults faults() const;
     void setFaults(const LogFaults &faults);
-    /// Forgets every record at or after this offset, in each stream, as a log that returns with records missing.
+    /// Removes all records at or after this offset from each stream. Simulates a log that has lost its latest records in an outage.
     void dropRecordsFrom(Platform::Offset offset);
-    /// Forgets every record before this offset, as retention does.
+    /// Removes all records before this offset from each stream, as retention does.
     void expireRecordsBefore(Platform::Offset offset);
-    /// Ends every wait, and all later ones at once.
+    /// Ends all waiting reads; later reads do not wait.
     void stop();
 
 private:
+    /// A record and the time of its append.
     struct StoredRecord
     {
         std::string m_body;
@@ -69,9 +72,13 @@
         }
     };
 
+    /// Removes the records that exceed the retention.
     void expire(Stream &stream, Core::Instant now) const;
+    /// Returns false if the append rate is exceeded.
     bool tryTakeToken(Core::Instant now);
+    /// Returns the records from an offset on, at most @p maximum of them.
     Platform::LogPage page(Stream &stream, Platform::Offset from, std::size_t maximum, Core::Instant now) const;
+    /// Waits for the time set by the fault "slow_ms".
     void delay() const;
 
     const LogSettings m_settings;
@@ -79,8 +86,8 @@
     std::condition_variable m_changed;
     std::map<std::string, Stream> m_streams; ///< At most MaximumStreams.
     LogFaults m_faults;
-    double m_tokens; ///< Appends that may be taken now; at most a second's worth.
-    Core::Instant m_refilledAt;
+    double m_tokens; ///< Number of appends allowed now; at most those of one second.
+    Core::Instant m_refilledAt; ///< Time of the last refill of m_tokens.
     bool m_stopping = false;
 };
 
