--- a/Libraries/LibOriginStandIn/OriginServer.cpp
+++ b/Libraries/LibOriginStandIn/OriginServer.cpp
@@ -20,7 +20,7 @@
 
 constexpr int MaximumConnections = 4096;
 constexpr int IdleSeconds = 15;
-constexpr Core::Duration AcceptPause{20};
+constexpr Core::Duration AcceptPollInterval{20};
 constexpr std::size_t MaximumFaultsBytes = 64 << 10;
 constexpr std::size_t WriteBytes = 16 << 10;
 constexpr std::size_t DataPathSegments = 4;
@@ -130,7 +130,7 @@
     }
 
     /// True if the request has been dealt with.
-    bool refuse(const DataAnswer &answer, Poco::Net::HTTPServerResponse &response)
+    bool answerIfUnavailable(const DataAnswer &answer, Poco::Net::HTTPServerResponse &response)
     {
         if (answer.m_slowMs > 0) {
             std::this_thread::sleep_for(Core::Duration(answer.m_slowMs));
@@ -149,7 +149,7 @@
     void handleManifest(const std::string &model, const std::string &version, Poco::Net::HTTPServerResponse &response)
     {
         const DataAnswer answer = m_store.manifest(model, version);
-        if (!refuse(answer, response)) {
+        if (!answerIfUnavailable(answer, response)) {
             answerText(response, answer.m_object->m_encodedManifest, "application/msgpack");
         }
     }
@@ -157,7 +157,7 @@
     void handleData(const std::string &model, const std::string &version, const std::string &rangeHeader, Poco::Net::HTTPServerResponse &response)
     {
         const DataAnswer answer = m_store.data(model, version);
-        if (refuse(answer, response)) {
+        if (answerIfUnavailable(answer, response)) {
             return;
         }
         const std::string &content = answer.m_object->m_content;
@@ -190,7 +190,7 @@
     {
         while (!bytes.empty() && stream.good()) {
             const std::string_view part = bytes.substr(0, WriteBytes);
-            const Core::Duration wait = m_store.bookSent(part.size(), Core::Clock::now());
+            const Core::Duration wait = m_store.recordSent(part.size(), Core::Clock::now());
             if (wait.count() > 0) {
                 std::this_thread::sleep_for(wait);
             }
@@ -234,7 +234,7 @@
         m_acceptor.join();
     }
     while (m_connections > 0) {
-        std::this_thread::sleep_for(AcceptPause);
+        std::this_thread::sleep_for(AcceptPollInterval);
     }
 }
 
@@ -259,7 +259,7 @@
     settings->setMaxKeepAliveRequests(0);
     settings->setKeepAliveTimeout(Poco::Timespan(IdleSeconds, 0));
     while (m_running) {
-        if (!m_listener->poll(toTimespan(AcceptPause), Poco::Net::Socket::SELECT_READ)) {
+        if (!m_listener->poll(toTimespan(AcceptPollInterval), Poco::Net::Socket::SELECT_READ)) {
             continue;
         }
         const Poco::Net::StreamSocket socket = m_listener->acceptConnection();
--- a/Libraries/LibOriginStandIn/OriginStore.cpp
+++ b/Libraries/LibOriginStandIn/OriginStore.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t MaximumObjectBytes = std::int64_t{1} << 32;
-constexpr std::int64_t MaximumRate = std::int64_t{1} << 40;
+constexpr std::int64_t MaximumBytesPerSecond = std::int64_t{1} << 40;
 constexpr std::size_t MaximumObjects = 64;
 constexpr std::int64_t MaximumSeed = std::int64_t{1} << 53;
 constexpr std::uint64_t Percent = 100;
@@ -37,7 +37,7 @@
     settings.m_listen = reader.address("listen");
     settings.m_chunkBytes =
         static_cast<std::uint32_t>(reader.integer("chunk_bytes", Weights::MinimumChunkBytes, Weights::MaximumChunkBytes, settings.m_chunkBytes));
-    settings.m_bytesPerSecond = static_cast<std::uint64_t>(reader.integer("bytes_per_second", 0, MaximumRate, 0));
+    settings.m_bytesPerSecond = static_cast<std::uint64_t>(reader.integer("bytes_per_second", 0, MaximumBytesPerSecond, 0));
     reader.list("objects", MaximumObjects, [&settings](Settings::Reader &item) { settings.m_objects.push_back(readRecipe(item)); });
     return settings;
 }
@@ -56,7 +56,7 @@
     return Core::success();
 }
 
-DataAnswer OriginStore::decide(const std::string &model, const std::string &version)
+DataAnswer OriginStore::resolve(const std::string &model, const std::string &version)
 {
     DataAnswer answer;
     answer.m_down = m_faults.m_down;
@@ -74,7 +74,7 @@
 DataAnswer OriginStore::data(const std::string &model, const std::string &version)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    DataAnswer answer = decide(model, version);
+    DataAnswer answer = resolve(model, version);
     ++m_requests;
     answer.m_truncate = m_random.below(Percent) < m_faults.m_truncatePercent;
     answer.m_corrupt = m_random.below(Percent) < m_faults.m_corruptPercent;
@@ -85,10 +85,10 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     ++m_manifestRequests;
-    return decide(model, version);
+    return resolve(model, version);
 }
 
-Core::Duration OriginStore::bookSent(std::uint64_t bytes, Core::Instant now)
+Core::Duration OriginStore::recordSent(std::uint64_t bytes, Core::Instant now)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_dataBytes += bytes;
@@ -96,11 +96,11 @@
         return Core::Duration(0);
     }
     const double seconds = static_cast<double>(bytes) / static_cast<double>(m_settings.m_bytesPerSecond);
-    m_linkFree = std::max(m_linkFree, now) + std::chrono::duration_cast<Core::Clock::duration>(std::chrono::duration<double>(seconds));
-    return std::chrono::duration_cast<Core::Duration>(m_linkFree - now);
+    m_linkFreeAt = std::max(m_linkFreeAt, now) + std::chrono::duration_cast<Core::Clock::duration>(std::chrono::duration<double>(seconds));
+    return std::chrono::duration_cast<Core::Duration>(m_linkFreeAt - now);
 }
 
-Core::Result<void> OriginStore::swapObject(const Poco::JSON::Object::Ptr &swap)
+Core::Result<void> OriginStore::replaceObject(const Poco::JSON::Object::Ptr &swap)
 {
     ObjectRecipe recipe;
     recipe.m_model = swap->getValue<std::string>("model");
@@ -127,7 +127,7 @@
         parser.setDepth(MaximumJsonDepth);
         const Poco::JSON::Object::Ptr object = parser.parse(json).extract<Poco::JSON::Object::Ptr>();
         if (object->isObject("swap")) {
-            BOOST_OUTCOME_TRYV(swapObject(object->getObject("swap")));
+            BOOST_OUTCOME_TRYV(replaceObject(object->getObject("swap")));
         }
         const std::lock_guard<std::mutex> lock(m_mutex);
         m_faults.m_down = object->optValue("down", m_faults.m_down);
--- a/Libraries/LibOriginStandIn/OriginStore.h
+++ b/Libraries/LibOriginStandIn/OriginStore.h
@@ -61,7 +61,7 @@
     /// The same for a manifest.
     DataAnswer manifest(const std::string &model, const std::string &version);
     /// Books bytes that were sent, and says how long to wait so that the rate holds.
-    Core::Duration bookSent(std::uint64_t bytes, Core::Instant now);
+    Core::Duration recordSent(std::uint64_t bytes, Core::Instant now);
 
     /// Applies a JSON object of fault switches; those that it does not name stay.
     Core::Result<void> setFaults(const std::string &json);
@@ -74,8 +74,8 @@
     }
 
 private:
-    DataAnswer decide(const std::string &model, const std::string &version);
-    Core::Result<void> swapObject(const Poco::JSON::Object::Ptr &swap);
+    DataAnswer resolve(const std::string &model, const std::string &version);
+    Core::Result<void> replaceObject(const Poco::JSON::Object::Ptr &swap);
 
     struct ObjectName
     {
@@ -93,7 +93,7 @@
     std::uint64_t m_dataBytes = 0;
     std::uint64_t m_requests = 0;
     std::uint64_t m_manifestRequests = 0;
-    Core::Instant m_linkFree; ///< When everything booked so far has left the link.
+    Core::Instant m_linkFreeAt; ///< When everything booked so far has left the link.
 };
 
 }
