--- a/Services/StandIns/Engine/Main.cpp
+++ b/Services/StandIns/Engine/Main.cpp
@@ -9,11 +9,12 @@
 {
     std::vector<std::unique_ptr<StandIn::Engine>> engines;
     StandIn::HttpServer server(settings.m_maximumThreads);
-    for (const StandIn::EngineSettings &one : settings.m_engines) {
-        engines.push_back(std::make_unique<StandIn::Engine>(one));
+    for (const StandIn::EngineSettings &engineSettings : settings.m_engines) {
+        engines.push_back(std::make_unique<StandIn::Engine>(engineSettings));
         StandIn::Engine &engine = *engines.back();
-        BOOST_OUTCOME_TRYV(server.listen(
-            one.m_listen, [&engine](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) { engine.handle(request, response); }));
+        BOOST_OUTCOME_TRYV(server.listen(engineSettings.m_listen, [&engine](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
+            engine.handle(request, response);
+        }));
     }
     wait();
     for (const std::unique_ptr<StandIn::Engine> &engine : engines) {
--- a/Services/StandIns/Origin/Main.cpp
+++ b/Services/StandIns/Origin/Main.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Blocks the signals that end the process, so that only waitForEnd() sees them.
-sigset_t blockEndSignals()
+sigset_t blockTerminationSignals()
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -31,7 +31,7 @@
     if (!problems.empty()) {
         return 2;
     }
-    const sigset_t signals = blockEndSignals();
+    const sigset_t signals = blockTerminationSignals();
     StandIn::OriginStore store(settings);
     const Core::Result<void> generated = store.generate();
     if (!generated) {
--- a/Services/StandIns/PlainService/Main.cpp
+++ b/Services/StandIns/PlainService/Main.cpp
@@ -9,11 +9,12 @@
 {
     std::vector<std::unique_ptr<StandIn::PlainService>> services;
     StandIn::HttpServer server(settings.m_maximumThreads);
-    for (const StandIn::ServiceSettings &one : settings.m_services) {
-        services.push_back(std::make_unique<StandIn::PlainService>(one));
+    for (const StandIn::ServiceSettings &serviceSettings : settings.m_services) {
+        services.push_back(std::make_unique<StandIn::PlainService>(serviceSettings));
         StandIn::PlainService &service = *services.back();
-        BOOST_OUTCOME_TRYV(server.listen(
-            one.m_listen, [&service](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) { service.handle(request, response); }));
+        BOOST_OUTCOME_TRYV(server.listen(serviceSettings.m_listen, [&service](Poco::Net::HTTPServerRequest &request, Poco::Net::HTTPServerResponse &response) {
+            service.handle(request, response);
+        }));
     }
     wait();
     for (const std::unique_ptr<StandIn::PlainService> &service : services) {
