--- a/Libraries/LibOriginStandIn/OriginServer.cpp
+++ b/Libraries/LibOriginStandIn/OriginServer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation on POCO's HTTP server: one thread for each open connection.
+/// @file Implementation of the origin's HTTP server on POCO's HTTP classes, with one thread per connection.
 
 #include "LibOriginStandIn/OriginServer.h"
 
@@ -46,7 +46,7 @@
     return value;
 }
 
-/// "bytes=A-B" within an object of the given size; anything else is empty.
+/// Parses "bytes=A-B". Returns empty for any other form and for a range that exceeds the size of the object.
 std::optional<ByteRange> parseRange(std::string_view header, std::uint64_t size)
 {
     constexpr std::string_view prefix = "bytes=";
@@ -129,7 +129,8 @@
         answerText(response, m_store.faultsJson(), "application/json");
     }
 
-    /// True if the request has been dealt with.
+    /// Applies the fault "slow_ms" and answers 503 if the origin is down, or 404 if the object does not exist. Returns true if the
+    /// request was answered.
     bool answerIfUnavailable(const DataAnswer &answer, Poco::Net::HTTPServerResponse &response)
     {
         if (answer.m_slowMs > 0) {
@@ -172,7 +173,7 @@
         response.setContentType("application/octet-stream");
         response.set("Content-Range", "bytes " + std::to_string(range->m_first) + "-" + std::to_string(range->m_last) + "/" + std::to_string(content.size()));
         if (answer.m_truncate) {
-            // Less than announced, then the connection ends.
+            // Sends half of the announced bytes and then closes the connection.
             bytes = bytes.substr(0, bytes.size() / 2);
             response.setKeepAlive(false);
         }
@@ -186,6 +187,7 @@
         write(stream, damaged);
     }
 
+    /// Writes the bytes at the configured rate.
     void write(std::ostream &stream, std::string_view bytes)
     {
         while (!bytes.empty() && stream.good()) {
@@ -272,7 +274,7 @@
                 Poco::Net::HTTPServerConnection connection(socket, settings, factory);
                 connection.run();
             } catch (const Poco::Exception &) {
-                // The peer went away.
+                // The peer closed the connection.
             }
             --m_connections;
         }).detach();
--- a/Libraries/LibOriginStandIn/OriginServer.h
+++ b/Libraries/LibOriginStandIn/OriginServer.h
@@ -1,4 +1,4 @@
-/// @file The HTTP side of the stand-in for the origin.
+/// @file HTTP server of the origin stand-in.
 #pragma once
 
 #include "LibOriginStandIn/OriginStore.h"
@@ -11,10 +11,10 @@
 namespace StandIn {
 
 /**
- * Answers requests until it is destroyed, on one thread for each connection.
+ * Serves an OriginStore until it is destroyed, with one thread per connection.
  *
- * POCO's own server hands a new connection to a pool in which it can wait behind idle persistent ones; a draw would then seem
- * slow though the origin is not.
+ * POCO's own server hands each new connection to a thread pool, where it can wait behind idle persistent connections. A download
+ * would then seem slow although the origin is not.
  */
 class OriginServer
 {
@@ -22,6 +22,7 @@
     explicit OriginServer(OriginStore &store);
     ~OriginServer();
 
+    /// Starts to listen. Fails with Unavailable if the address is in use.
     Core::Result<void> start();
 
 private:
@@ -30,7 +31,7 @@
     OriginStore &m_store;
     std::optional<Poco::Net::ServerSocket> m_listener;
     std::atomic<bool> m_running = false;
-    std::atomic<int> m_connections = 0; ///< Each has a thread that uses m_store.
+    std::atomic<int> m_connections = 0; ///< Number of open connections; each has a thread that uses m_store.
     std::thread m_acceptor;
 };
 
--- a/Libraries/LibOriginStandIn/OriginStore.cpp
+++ b/Libraries/LibOriginStandIn/OriginStore.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the origin's store.
+/// @file Implementation of the origin's objects, faults and journal.
 
 #include "LibOriginStandIn/OriginStore.h"
 
--- a/Libraries/LibOriginStandIn/OriginStore.h
+++ b/Libraries/LibOriginStandIn/OriginStore.h
@@ -1,4 +1,4 @@
-/// @file State of the stand-in for the origin: objects, faults and the journal.
+/// @file State of the origin stand-in: objects, faults and the journal.
 #pragma once
 
 #include "LibCore/Address.h"
@@ -15,57 +15,61 @@
 
 namespace StandIn {
 
+/// Settings of standin-origin.
 struct OriginSettings
 {
     Core::Address m_listen;
-    std::uint32_t m_chunkBytes = 64 << 10;
-    std::uint64_t m_bytesPerSecond = 0; ///< Rate over all requests together; 0 means no limit.
+    std::uint32_t m_chunkBytes = 64 << 10; ///< Chunk size in the manifests.
+    std::uint64_t m_bytesPerSecond = 0; ///< Rate limit over all data requests together; 0 means no limit.
     std::vector<ObjectRecipe> m_objects;
 };
 
 OriginSettings readOriginSettings(Settings::Reader &reader);
 
-/// Fault switches; see docs/STANDINS.md.
+/// Fault switches of the origin, see docs/STANDINS.md.
 struct OriginFaults
 {
-    bool m_down = false;
-    std::int64_t m_slowMs = 0;
-    std::uint32_t m_truncatePercent = 0;
-    std::uint32_t m_corruptPercent = 0;
-    double m_downAfterCopies = 0; ///< 0 means never.
+    bool m_down = false; ///< Manifest and data requests are answered with 503.
+    std::int64_t m_slowMs = 0; ///< Added to each manifest and data request.
+    std::uint32_t m_truncatePercent = 0; ///< Percentage of data answers that end after half of their bytes.
+    std::uint32_t m_corruptPercent = 0; ///< Percentage of data answers with a changed bit.
+    double m_downAfterCopies = 0; ///< The origin is down once it has sent this many times the bytes of the object; 0 means never.
 
     bool operator==(const OriginFaults &) const = default;
 };
 
-/// What is to happen to one data request.
+/// The object for a request and the faults to apply to the answer.
 struct DataAnswer
 {
-    std::shared_ptr<const StoredObject> m_object; ///< Null if there is none.
+    std::shared_ptr<const StoredObject> m_object; ///< Null if the object does not exist.
     bool m_down = false;
     std::int64_t m_slowMs = 0;
     bool m_truncate = false;
     bool m_corrupt = false;
 };
 
-/// Thread-safe.
+/// Objects, faults and counters of the origin. Thread-safe.
 class OriginStore
 {
 public:
     explicit OriginStore(OriginSettings settings);
 
-    /// Makes up every object.
+    /// Generates all objects of the settings.
     Core::Result<void> generate();
 
-    /// Decides a data request and counts it.
+    /// Counts a data request and returns how to answer it.
     DataAnswer data(const std::string &model, const std::string &version);
-    /// The same for a manifest.
+    /// Counts a manifest request and returns how to answer it.
     DataAnswer manifest(const std::string &model, const std::string &version);
-    /// Books bytes that were sent, and says how long to wait so that the rate holds.
+    /// Counts sent data bytes and returns how long to wait so that the rate limit is kept.
     Core::Duration recordSent(std::uint64_t bytes, Core::Instant now);
 
-    /// Applies a JSON object of fault switches; those that it does not name stay.
+    /// Applies a JSON object of fault switches. Switches that are missing in it stay as they are. Fails with InvalidInput, or with NotFound
+    /// if "swap" names an unknown object.
     Core::Result<void> setFaults(const std::string &json);
+    /// Returns the fault switches as JSON.
     std::string faultsJson() const;
+    /// Returns the counters as JSON.
     std::string journalJson() const;
 
     const OriginSettings &settings() const
@@ -74,7 +78,9 @@
     }
 
 private:
+    /// Looks up the object and checks whether the origin is down. Called with m_mutex held.
     DataAnswer resolve(const std::string &model, const std::string &version);
+    /// Replaces the content of a version by one of the same size from another seed.
     Core::Result<void> replaceObject(const Poco::JSON::Object::Ptr &swap);
 
     struct ObjectName
@@ -93,7 +99,7 @@
     std::uint64_t m_dataBytes = 0;
     std::uint64_t m_requests = 0;
     std::uint64_t m_manifestRequests = 0;
-    Core::Instant m_linkFreeAt; ///< When everything booked so far has left the link.
+    Core::Instant m_linkFreeAt; ///< When all bytes recorded so far have been sent at the limited rate.
 };
 
 }
--- a/Libraries/LibOriginStandIn/StoredObject.cpp
+++ b/Libraries/LibOriginStandIn/StoredObject.cpp
@@ -1,4 +1,4 @@
-/// @file Making up weights from seeds.
+/// @file Generates weights from seeds.
 
 #include "LibOriginStandIn/StoredObject.h"
 
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t Percent = 100;
 
-/// Spreads the changed chunks evenly, so that their share is exact.
+/// Returns true if the chunk is a changed one. Changed chunks are spread evenly, so that their percentage is exact.
 bool isChanged(std::uint64_t chunk, std::uint32_t changedPercent)
 {
     return chunk * changedPercent / Percent != (chunk + 1) * changedPercent / Percent;
