--- a/Services/StandIns/Engine/Main.cpp
+++ b/Services/StandIns/Engine/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-engine: one or more model engines in one process.
+/// @file standin-engine: stand-in for one or more model engines in one process.
 
 #include "LibStandIn/Engine.h"
 #include "LibStandIn/Program.h"
--- a/Services/StandIns/Log/Main.cpp
+++ b/Services/StandIns/Log/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-log: takes the place of the platform's log service and instance list.
+/// @file standin-log: stand-in for the platform's log service and instance list.
 
 #include "LibStandIn/Program.h"
 #include "LibStandInLog/LogService.h"
--- a/Services/StandIns/Network/Main.cpp
+++ b/Services/StandIns/Network/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-network: the links between the instances of a test.
+/// @file standin-network: simulates the network links between the instances of a test.
 
 #include "LibStandIn/Program.h"
 #include "LibStandInNetwork/Gateway.h"
--- a/Services/StandIns/Origin/Main.cpp
+++ b/Services/StandIns/Origin/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-origin: takes the place of the platform's weight store and origin of weights in tests and measurements.
+/// @file standin-origin: stand-in for the platform's weight store and origin of weights in tests and measurements.
 
 #include "LibOriginStandIn/OriginServer.h"
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Blocks the signals that end the process, so that only waitForEnd() sees them.
+/// Blocks the termination signals in this thread and those started later, so that only sigwait() in run() receives them.
 sigset_t blockTerminationSignals()
 {
     sigset_t signals;
@@ -46,7 +46,7 @@
     }
     int received = 0;
     sigwait(&signals, &received);
-    // The stand-in keeps nothing, and its connections may wait for requests for a long time.
+    // Exits without cleanup: the stand-in stores nothing, and idle connections may stay open for a long time.
     std::_Exit(0);
 }
 
--- a/Services/StandIns/PlainService/Main.cpp
+++ b/Services/StandIns/PlainService/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-service: one or more plain services in one process.
+/// @file standin-service: stand-in for one or more plain services in one process.
 
 #include "LibStandIn/PlainService.h"
 #include "LibStandIn/Program.h"
