--- a/Libraries/LibOriginStandIn/OriginServer.cpp
+++ b/Libraries/LibOriginStandIn/OriginServer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation on POCO's HTTP server: one thread for each open connection.
+/// @file Implementation of the origin's HTTP server on POCO's HTTP classes, with one thread per connection.
 
 #include "LibOriginStandIn/OriginServer.h"
 
@@ -20,7 +20,7 @@
 
 constexpr int MaximumConnections = 4096;
 constexpr int IdleSeconds = 15;
-constexpr Core::Duration AcceptPause{20};
+constexpr Core::Duration AcceptPollInterval{20};
 constexpr std::size_t MaximumFaultsBytes = 64 << 10;
 constexpr std::size_t WriteBytes = 16 << 10;
 constexpr std::size_t DataPathSegments = 4;
@@ -46,7 +46,7 @@
     return value;
 }
 
-/// "bytes=A-B" within an object of the given size; anything else is empty.
+/// Parses "bytes=A-B". Returns empty for any other form and for a range that exceeds the size of the object.
 std::optional<ByteRange> parseRange(std::string_view header, std::uint64_t size)
 {
     constexpr std::string_view prefix = "bytes=";
@@ -129,8 +129,9 @@
         answerText(response, m_store.faultsJson(), "application/json");
     }
 
-    /// True if the request has been dealt with.
-    bool refuse(const DataAnswer &answer, Poco::Net::HTTPServerResponse &response)
+    /// Applies the fault "slow_ms" and answers 503 if the origin is down, or 404 if the object does not exist. Returns true if the
+    /// request was answered.
+    bool answerIfUnavailable(const DataAnswer &answer, Poco::Net::HTTPServerResponse &response)
     {
         if (answer.m_slowMs > 0) {
             std::this_thread::sleep_for(Core::Duration(answer.m_slowMs));
@@ -149,7 +150,7 @@
     void handleManifest(const std::string &model, const std::string &version, Poco::Net::HTTPServerResponse &response)
     {
         const DataAnswer answer = m_store.manifest(model, version);
-        if (!refuse(answer, response)) {
+        if (!answerIfUnavailable(answer, response)) {
             answerText(response, answer.m_object->m_encodedManifest, "application/msgpack");
         }
     }
@@ -157,7 +158,7 @@
     void handleData(const std::string &model, const std::string &version, const std::string &rangeHeader, Poco::Net::HTTPServerResponse &response)
     {
         const DataAnswer answer = m_store.data(model, version);
-        if (refuse(answer, response)) {
+        if (answerIfUnavailable(answer, response)) {
             return;
         }
         const std::string &content = answer.m_object->m_content;
@@ -172,7 +173,7 @@
         response.setContentType("application/octet-stream");
         response.set("Content-Range", "bytes " + std::to_string(range->m_first) + "-" + std::to_string(range->m_last) + "/" + std::to_string(content.size()));
         if (answer.m_truncate) {
-            // Less than announced, then the connection ends.
+            // Sends half of the announced bytes and then closes the connection.
             bytes = bytes.substr(0, bytes.size() / 2);
             response.setKeepAlive(false);
         }
@@ -186,11 +187,12 @@
         write(stream, damaged);
     }
 
+    /// Writes the bytes at the configured rate.
     void write(std::ostream &stream, std::string_view bytes)
     {
         while (!bytes.empty() && stream.good()) {
             const std::string_view part = bytes.substr(0, WriteBytes);
-            const Core::Duration wait = m_store.bookSent(part.size(), Core::Clock::now());
+            const Core::Duration wait = m_store.recordSent(part.size(), Core::Clock::now());
             if (wait.count() > 0) {
                 std::this_thread::sleep_for(wait);
             }
@@ -234,7 +236,7 @@
         m_acceptor.join();
     }
     while (m_connections > 0) {
-        std::this_thread::sleep_for(AcceptPause);
+        std::this_thread::sleep_for(AcceptPollInterval);
     }
 }
 
@@ -259,7 +261,7 @@
     settings->setMaxKeepAliveRequests(0);
     settings->setKeepAliveTimeout(Poco::Timespan(IdleSeconds, 0));
     while (m_running) {
-        if (!m_listener->poll(toTimespan(AcceptPause), Poco::Net::Socket::SELECT_READ)) {
+        if (!m_listener->poll(toTimespan(AcceptPollInterval), Poco::Net::Socket::SELECT_READ)) {
             continue;
         }
         const Poco::Net::StreamSocket socket = m_listener->acceptConnection();
@@ -272,7 +274,7 @@
                 Poco::Net::HTTPServerConnection connection(socket, settings, factory);
                 connection.run();
             } catch (const Poco::Exception &) {
-                // The peer went away.
+                // The peer closed the connection.
             }
             --m_connections;
         }).detach();
--- a/Libraries/LibStandIn/HttpServer.cpp
+++ b/Libraries/LibStandIn/HttpServer.cpp
@@ -1,4 +1,4 @@
-/// @file Implementation of the shared HTTP server on POCO's.
+/// @file Implementation of the stand-ins' HTTP server on POCO's.
 
 #include "LibStandIn/HttpServer.h"
 
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr int MinimumThreads = 2;
-constexpr int MaximumWaiting = 4096;
+constexpr int MaximumQueuedConnections = 4096;
 constexpr int ListenBacklog = 512;
 constexpr int ThreadIdleSeconds = 10;
-constexpr std::size_t StoppingThreads = 64;
+constexpr std::size_t MaximumStopThreads = 64;
 
 class FunctionHandler : public Poco::Net::HTTPRequestHandler
 {
@@ -36,7 +36,7 @@
         try {
             m_handler(request, response);
         } catch (const Poco::Exception &) {
-            // The client has gone away in the middle; its handler has noted that where it matters.
+            // The client closed the connection. Handlers that record this have done so already.
             response.setKeepAlive(false);
         }
     }
@@ -62,13 +62,13 @@
     HttpHandler m_handler;
 };
 
-/// Connections are not kept alive: an idle one would hold a thread of the pool.
+/// Disables keep-alive, because an idle connection would occupy a thread of the pool.
 Poco::Net::HTTPServerParams::Ptr makeParameters(int maximumThreads)
 {
     Poco::Net::HTTPServerParams::Ptr parameters = new Poco::Net::HTTPServerParams;
     parameters->setKeepAlive(false);
     parameters->setMaxThreads(maximumThreads);
-    parameters->setMaxQueued(MaximumWaiting);
+    parameters->setMaxQueued(MaximumQueuedConnections);
     return parameters;
 }
 
@@ -100,11 +100,11 @@
 
 void HttpServer::stop()
 {
-    // Each server waits for the next look of its accepting thread, so that hundreds would take half a minute one after another.
+    // Each server waits until its accepting thread polls again. Stopping hundreds of servers one by one would take half a minute.
     std::vector<std::thread> stoppers;
-    for (std::size_t first = 0; first < std::min(m_servers.size(), StoppingThreads); ++first) {
+    for (std::size_t first = 0; first < std::min(m_servers.size(), MaximumStopThreads); ++first) {
         stoppers.emplace_back([this, first] {
-            for (std::size_t index = first; index < m_servers.size(); index += StoppingThreads) {
+            for (std::size_t index = first; index < m_servers.size(); index += MaximumStopThreads) {
                 m_servers[index]->stopAll(true);
             }
         });
@@ -158,7 +158,7 @@
     try {
         implementation->socket().shutdown();
     } catch (const Poco::Exception &) {
-        // It is closed already.
+        // The connection is closed already.
     }
 }
 
--- a/Libraries/LibStandIn/Program.cpp
+++ b/Libraries/LibStandIn/Program.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Blocked in every thread, so that waitForSignal is the one place that receives them.
+/// Returns the signals that end the program. They are blocked in every thread, so that only waitForSignal() receives them.
 sigset_t terminationSignals()
 {
     sigset_t signals;
@@ -63,9 +63,9 @@
     std::signal(SIGPIPE, SIG_IGN);
     const sigset_t signals = terminationSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    const Core::Result<void> ended = serve(waitForSignal);
-    if (!ended) {
-        std::cerr << name << ": " << ended.error() << '\n';
+    const Core::Result<void> result = serve(waitForSignal);
+    if (!result) {
+        std::cerr << name << ": " << result.error() << '\n';
         return ExitFailed;
     }
     return ExitOk;
--- a/Services/StandIns/Origin/Main.cpp
+++ b/Services/StandIns/Origin/Main.cpp
@@ -1,4 +1,4 @@
-/// @file standin-origin: takes the place of the platform's weight store and origin of weights in tests and measurements.
+/// @file standin-origin: stand-in for the platform's weight store and origin of weights in tests and measurements.
 
 #include "LibOriginStandIn/OriginServer.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Blocks the signals that end the process, so that only waitForEnd() sees them.
-sigset_t blockEndSignals()
+/// Blocks the termination signals in this thread and those started later, so that only sigwait() in run() receives them.
+sigset_t blockTerminationSignals()
 {
     sigset_t signals;
     sigemptyset(&signals);
@@ -31,7 +31,7 @@
     if (!problems.empty()) {
         return 2;
     }
-    const sigset_t signals = blockEndSignals();
+    const sigset_t signals = blockTerminationSignals();
     StandIn::OriginStore store(settings);
     const Core::Result<void> generated = store.generate();
     if (!generated) {
@@ -46,7 +46,7 @@
     }
     int received = 0;
     sigwait(&signals, &received);
-    // The stand-in keeps nothing, and its connections may wait for requests for a long time.
+    // Exits without cleanup: the stand-in stores nothing, and idle connections may stay open for a long time.
     std::_Exit(0);
 }
 
--- a/Tests/StandIns/TestJournalChecker.cpp
+++ b/Tests/StandIns/TestJournalChecker.cpp
@@ -1,4 +1,4 @@
-/// @file Each promise that the checker judges is reported when it is broken, and only then.
+/// @file Tests that the journal checker reports each guarantee when it is violated, and only then.
 
 #include "LibStandIn/JournalChecker.h"
 #include "LibStandIn/Tokens.h"
@@ -9,7 +9,7 @@
 
 const std::set<std::string> KnownWeights{"d1", "d2"};
 
-/// A run in which everything went as it should.
+/// Returns the evidence of a run without a violation.
 StandIn::RunEvidence makeEvidence()
 {
     StandIn::RunEvidence evidence;
@@ -24,78 +24,78 @@
     return evidence;
 }
 
-std::vector<std::string> promisesBroken(const StandIn::RunEvidence &evidence)
+std::vector<std::string> violatedGuarantees(const StandIn::RunEvidence &evidence)
 {
-    std::vector<std::string> promises;
+    std::vector<std::string> guarantees;
     for (const StandIn::Violation &violation : StandIn::checkRun(evidence, KnownWeights)) {
-        promises.push_back(violation.m_promise);
+        guarantees.push_back(violation.m_guarantee);
     }
-    return promises;
+    return guarantees;
 }
 
-using Promises = std::vector<std::string>;
+using Guarantees = std::vector<std::string>;
 
 }
 
-TEST_CASE("a run that keeps every promise has no violation")
+TEST_CASE("A run in which every guarantee holds has no violation")
 {
-    REQUIRE(promisesBroken(makeEvidence()).empty());
+    REQUIRE(violatedGuarantees(makeEvidence()).empty());
 }
 
-TEST_CASE("weights of no version are reported")
+TEST_CASE("A run on weights of no known version is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[0].m_runs[0].m_digest = "half of d1";
-    REQUIRE(promisesBroken(evidence) == Promises{"whole weights only"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"whole weights only"});
 }
 
-TEST_CASE("an attempt that ran at two engines is reported")
+TEST_CASE("An attempt that ran on two engines is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_engines[1].m_runs[0].m_request = "r1";
-    REQUIRE(promisesBroken(evidence) == Promises{"an attempt runs once"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"an attempt runs once"});
 }
 
-TEST_CASE("a key with two effects is reported, also at two services")
+TEST_CASE("A key with two effects is reported, also if they are at two services")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k1", "t2", "a", "/x"});
-    REQUIRE(promisesBroken(evidence) == Promises{"at most once"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"at most once"});
     evidence.m_services[1].m_effects[0].m_key = "";
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("not run is a lie if anything ran")
+TEST_CASE("A request reported as not run is a violation if it ran")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[1].m_effects.push_back({1, "k2", "t2", "a", "/x"});
-    REQUIRE(promisesBroken(evidence) == Promises{"not run is true"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"not run is true"});
     evidence = makeEvidence();
     evidence.m_engines[1].m_runs.push_back({"r3", "a", "q3", "d1", 0, false});
-    REQUIRE(promisesBroken(evidence) == Promises{"not run is true"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"not run is true"});
     evidence.m_callers[2].m_brokenTries = 1;
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("an answer to what never ran is reported, unless a journal is incomplete")
+TEST_CASE("An answer to a request that did not run is reported, unless a journal is incomplete")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_services[0].m_effects.clear();
     evidence.m_engines[0].m_runs[0].m_completed = false;
-    REQUIRE(promisesBroken(evidence) == Promises{"an answer has run", "an answer has run"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"an answer has run", "an answer has run"});
     evidence.m_services[0].m_isComplete = false;
     evidence.m_engines[1].m_isComplete = false;
-    REQUIRE(promisesBroken(evidence).empty());
+    REQUIRE(violatedGuarantees(evidence).empty());
 }
 
-TEST_CASE("an answer that callers found wrong is reported")
+TEST_CASE("An answer that a caller found wrong is reported")
 {
     StandIn::RunEvidence evidence = makeEvidence();
     evidence.m_callers[1].m_outcome = "wrong";
-    REQUIRE(promisesBroken(evidence) == Promises{"each gets the whole answer to its own request"});
+    REQUIRE(violatedGuarantees(evidence) == Guarantees{"each gets the whole answer to its own request"});
 }
 
-TEST_CASE("journals and traces are read, and malformed ones refused")
+TEST_CASE("Valid journals and traces are parsed, and malformed ones are refused")
 {
     const std::string line = R"({"kind":"call","keyed":true,"account":"a","prompt":"p","expect":"not-run",)"
                              R"("observed":{"key":"k","digest":"","broken_tries":0}})";
