--- a/Libraries/LibPlacement/Admission.cpp
+++ b/Libraries/LibPlacement/Admission.cpp
@@ -14,7 +14,9 @@
 constexpr Core::Duration SamplingPauseAfterRefusal{3500}; ///< Within this time a refused caller has retried or given up.
 constexpr std::size_t MaximumSamples = 64; ///< Per route: about ten seconds of one process's traffic.
 constexpr std::size_t MinimumSamples = 20;
-constexpr std::size_t OutlierDivisor = 20; ///< One in this many callers may have spent time elsewhere, for example on a failed connection.
+/// Of the sampled timeouts, the shortest are ignored as outliers: one in this many. Their callers may have spent time elsewhere, for example on a failed
+/// connection.
+constexpr std::size_t OutlierDivisor = 20;
 constexpr std::int64_t DefaultSpreadDivisor =
     6; ///< Until there are enough samples, the spread of timeouts is assumed to be the longest timeout divided by this.
 constexpr std::int64_t MaximumSpreadDivisor = 4; ///< The learned spread is limited to the longest timeout divided by this.
--- a/Libraries/LibPlacement/Admission.h
+++ b/Libraries/LibPlacement/Admission.h
@@ -42,7 +42,7 @@
 
 struct AdmissionSettings
 {
-    double m_slotsPerRequest = 1; ///< Free slots that this process's share must hold to admit a request.
+    double m_slotsPerRequest = 1; ///< Slots that must be free in this process's share for a request to be admitted.
     /// Requests that may queue at an engine beyond its slots. Shares of slots are rounded, and an engine with an empty queue would idle between two reports.
     double m_queuedPerEngine = 0.75;
     Core::Duration m_minimumRetryAfter{150}; ///< One and a half times the interval at which a full engine finishes requests.
@@ -58,7 +58,7 @@
     double m_share = 1; ///< This process's share of their slots, over 0 and at most 1.
 };
 
-/// Returns the free slots that this process's share of all slots must hold to admit a request; may be negative.
+/// Returns how many slots must be free in this process's share of all slots for a request to be admitted; may be negative.
 double neededSlots(const AdmissionView &view, const AdmissionSettings &settings);
 
 /**
--- a/Libraries/LibPlacement/Choice.cpp
+++ b/Libraries/LibPlacement/Choice.cpp
@@ -15,13 +15,14 @@
  * engine finishes requests, so that differences in load still decide.
  */
 constexpr double RemoteCostMilliseconds = 10;
-/// Engines with free slots in the local failure domain that are needed to choose only among them. Comparing two samples balances few engines badly.
+/// Number of engines with free slots that the local failure domain must have for only local engines to be chosen. With fewer, comparing two samples balances
+/// the load badly.
 constexpr std::size_t MinimumNearEngines = 8;
 /// Minimum ratio of the share of local engines with free slots to the share of all engines with free slots. Below it local engines would be overloaded.
 constexpr double MinimumNearShareRatio = 0.75;
 /// Time for which an agent's report on its engine is used: four reporting intervals. After that the list of endpoints is the better source.
 constexpr Core::Duration ReportLifetime{2000};
-/// Assumed answer time of a plain service before one was measured.
+/// Assumed answer time of a plain service, which has no engines, until an answer time has been measured.
 constexpr double DefaultPlainAnswerMilliseconds = 30;
 
 struct Candidate
@@ -54,7 +55,7 @@
     return version && (!request.m_requiredVersion || *version >= *request.m_requiredVersion);
 }
 
-/// Removes candidates that do not meet the condition, unless none does.
+/// Removes the candidates that do not meet the condition; keeps all if none meets it.
 template <typename Condition>
 void prefer(std::vector<Candidate> &candidates, const Condition &isPreferred)
 {
--- a/Libraries/LibPlacement/Choice.h
+++ b/Libraries/LibPlacement/Choice.h
@@ -20,8 +20,8 @@
     std::optional<std::uint64_t> m_newestVersion; ///< Newest version declared for the model. Engines that have it will not load another one soon.
     RequestSize m_size;
     /**
-     * Free slots that this process's share must hold for the request to be admitted; empty if it is admitted in any case. An answer that begins within its
-     * latency objective is worth four late ones, and an overloaded engine that accepts every request answers all of them late.
+     * Number of slots that must be free in this process's share for the request to be admitted; empty if it is admitted in any case. An answer that begins
+     * within its latency objective is worth four late ones, and an overloaded engine that accepts every request answers all of them late.
      */
     std::optional<double> m_neededSlots;
     std::set<std::string> m_excluded; ///< Ids of the endpoints at which this request has failed.
--- a/Libraries/LibPlacement/RetryBudgets.cpp
+++ b/Libraries/LibPlacement/RetryBudgets.cpp
@@ -20,7 +20,7 @@
 {
     m_processCount = std::max<std::size_t>(sharers, 1);
     for (std::pair<const std::string, Routing::RetryBudget> &entry : m_budgets) {
-        // Keeps what was used: refilling the buckets at each change would allow unlimited retries while processes join and leave.
+        // Keeps the used part of the budget: refilling the buckets at each change would allow unlimited retries while processes join and leave.
         entry.second.limitBurst(burst());
     }
 }
--- a/Libraries/LibPlacement/VersionDeadlines.cpp
+++ b/Libraries/LibPlacement/VersionDeadlines.cpp
@@ -28,7 +28,7 @@
 
 void VersionDeadlines::removeOldest(const std::string &model)
 {
-    constexpr std::size_t keptVersions = 8; // Many more than can be within their bounds at the same time.
+    constexpr std::size_t keptVersions = 8; // Many more versions than can be before their deadlines at the same time.
     std::map<std::uint64_t, DeclarationTime> &versions = m_declared[model];
     while (versions.size() > keptVersions) {
         versions.erase(versions.begin());
--- a/Libraries/LibRelay/Dialect.h
+++ b/Libraries/LibRelay/Dialect.h
@@ -44,7 +44,7 @@
     };
 
     std::string m_attemptId; ///< Attempt id of the answered request; empty if it is missing.
-    bool m_isSealed = false; ///< The answer has the endpoint's seal. A success without it does not come from the endpoint itself.
+    bool m_isSealed = false; ///< The answer has the header field that marks an endpoint's own answers. A success without it does not come from the endpoint.
     bool m_didNotRun = false; ///< The endpoint guarantees that the request did not run and will not run.
     std::optional<Load> m_load;
 };
--- a/Libraries/LibRelay/EventFramer.h
+++ b/Libraries/LibRelay/EventFramer.h
@@ -12,7 +12,7 @@
  * Buffers the bytes of an event until it is complete, and drops events that were already forwarded.
  *
  * An engine can stop in the middle of an event. If the first part had been forwarded, no other engine could continue the caller's stream. The ids of the
- * events prevent that events which a second engine sends again reach the caller twice.
+ * events reveal which events a second engine sends again, so that the caller does not receive them twice.
  */
 class EventFramer
 {
--- a/Libraries/LibRelay/RelayedRequest.cpp
+++ b/Libraries/LibRelay/RelayedRequest.cpp
@@ -259,8 +259,8 @@
         facts.m_priority = m_account->m_priority ? *m_account->m_priority : m_route->m_priority;
     }
     if (m_isHeadForwarded) {
-        // The caller is already reading this stream. Queued behind requests that wait for their first event, it would pause for longer
-        // than its objective allows.
+        // The caller is already reading this stream. If the stream were queued behind requests that wait for their first event, it would
+        // pause for longer than its objective allows.
         facts.m_priority = HighestPriority;
     }
     const bool isBound = m_relay.m_parts.m_versionDeadlines.requiredVersion(m_facts.m_model, Core::Clock::now()).has_value();
--- a/Libraries/LibRelay/RelayedRequest.h
+++ b/Libraries/LibRelay/RelayedRequest.h
@@ -53,7 +53,7 @@
     const Fleet::Service *chooseService();
     void tryEndpoint();
     Placement::ChoiceResult chooseEndpoint() const;
-    /// Returns the free slots that this process's share must hold for the request; empty once it is admitted and on routes without an objective.
+    /// Returns how many slots must be free in this process's share to admit the request; empty once it is admitted and on routes without an objective.
     std::optional<double> neededSlots() const;
     /// Returns whether the engines have slots, but not enough free ones for the request. This check is cheaper than chooseEndpoint().
     bool lacksSlots() const;
@@ -128,11 +128,11 @@
     Core::Instant m_waitingSince;
     Core::Duration m_totalWait{0}; ///< Total time spent waiting for slots.
     bool m_isAdmitted = false; ///< An endpoint was chosen for the request before; later attempts need no admission.
-    double m_firstByteMilliseconds = 0; ///< From arrival to the head of the answer; 0 before.
+    double m_firstByteMilliseconds = 0; ///< From the request's arrival to the head of the answer; 0 until the head arrives.
     std::optional<Core::Instant> m_lastEventAt; ///< When events were last forwarded.
     Core::Duration m_longestPause{0}; ///< Longest pause between events of the stream so far.
     bool m_mayHaveRun = false; ///< Some attempt may have run. From then on no answer may state that the request did not run.
-    bool m_hasMetRestartedEngine = false; ///< An engine had restarted since it was listed. It holds no weights yet, and probably neither do others.
+    bool m_hasMetRestartedEngine = false; ///< An engine had restarted since it was listed. It holds no weights yet, and other engines probably hold none.
     bool m_isHeadForwarded = false;
     bool m_isEventStream = false;
     bool m_isFinished = false;
--- a/Libraries/LibRelay/WaitingRequests.h
+++ b/Libraries/LibRelay/WaitingRequests.h
@@ -47,7 +47,7 @@
     void remove(std::uint64_t ticket);
     /// Sends the requests for which slots are free, and rejects those for which no slot is expected in time.
     void dispatch();
-    /// Dispatches, because slots may have become free, unless that happened a moment ago.
+    /// Calls dispatch() because slots may have become free, unless the last dispatch was a moment ago.
     void onSlotsChanged();
 
 private:
--- a/Tests/LibPlacement/TestRequestQueue.cpp
+++ b/Tests/LibPlacement/TestRequestQueue.cpp
@@ -34,7 +34,7 @@
     int m_milliseconds = 12000;
     int m_withoutWeights = 0; ///< Milliseconds from the start during which no engine has weights.
     double m_arrivalsPerSecond = 0;
-    double m_slots = 176; ///< Slots of all engines: eleven engines with 16 slots.
+    double m_slots = 176; ///< Total slots of the simulated engines: eleven engines with 16 slots each.
     bool m_mayWait = true; ///< Otherwise a request that finds no free slot is refused at once.
 };
 
--- a/Tests/LibPlacement/TestVersionDeadlines.cpp
+++ b/Tests/LibPlacement/TestVersionDeadlines.cpp
@@ -11,7 +11,7 @@
 
 }
 
-TEST_CASE("a version is required once its bound has passed")
+TEST_CASE("a version is required once its deadline has passed")
 {
     Placement::VersionDeadlines deadlines(Bound);
     deadlines.recordDeclared("draft", 2, Core::Duration(0), Start);
@@ -20,7 +20,7 @@
     CHECK_FALSE(deadlines.requiredVersion("other", Start + Core::Duration(9000)));
 }
 
-TEST_CASE("the bounds of versions before the newest still count")
+TEST_CASE("the deadline of an older declared version applies until that of the newest version has passed")
 {
     // Two versions are declared three seconds apart, and a process starts after the second. If it knew only the newest version, it would let requests begin on
     // weights that two declarations have replaced.
--- a/Tests/LibRelay/TestRelay.cpp
+++ b/Tests/LibRelay/TestRelay.cpp
@@ -233,7 +233,8 @@
 
 TEST_CASE("a request that may run only once is not retried after it may have run")
 {
-    // The endpoint runs a booking, but its answer is lost. A retry would book twice, and after a "not run" answer the caller would book again itself.
+    // The endpoint runs a request that books something, but its answer is lost. A retry would book twice, and after an answer that the request did not run, the
+    // caller would book again itself.
     RelayFixture fixture;
     fixture.configure();
     fixture.addEndpoint([](const std::shared_ptr<ScriptedConnection> &connection) { connection->reset(); });
@@ -280,9 +281,9 @@
     }
 }
 
-TEST_CASE("answers to other requests, unsealed answers and encoded answers are not forwarded")
+TEST_CASE("answers to other requests, answers without the endpoint's seal and encoded answers are not forwarded")
 {
-    // A faulty endpoint sends the answer to an earlier request, or bytes that only look like an answer. The caller could receive another caller's draft.
+    // A faulty endpoint sends the answer to an earlier request, or bytes that only look like an answer. The caller could receive another caller's text.
     const std::string bad = GENERATE("HTTP/1.1 200 OK\r\nAttempt: 2\r\nSeal: s\r\nContent-Length: 4\r\n\r\nevil",
                                      "HTTP/1.1 200 OK\r\nAttempt: 1\r\nContent-Length: 4\r\n\r\nevil",
                                      "HTTP/1.1 200 OK\r\nAttempt: 1\r\nSeal: s\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\nevil",
@@ -428,7 +429,7 @@
 
 TEST_CASE("a request with too little time for any engine is refused at once, as not run")
 {
-    // Guards against keeping callers waiting whose answer could not end within their timeout.
+    // Guards against letting callers wait although their answers could not end within their timeouts.
     RelayFixture fixture;
     fixture.configureEngines();
     fixture.addEndpoint(answering(Good));
