--- a/Libraries/LibFleet/Configuration.h
+++ b/Libraries/LibFleet/Configuration.h
@@ -44,7 +44,7 @@
     std::uint32_t m_priority = 0; ///< 0 is the most urgent.
     std::uint32_t m_maximumAttempts = 1; ///< Maximum number of endpoints that one request is sent to.
     bool m_isPublic = false; ///< Callers need no key.
-    bool m_isSticky = false; ///< Requests name the parts of their prompts.
+    bool m_isSticky = false; ///< Requests state which parts their prompts consist of.
     bool m_isResumable = false; ///< Another endpoint can continue a stream after a given event.
 
     bool operator==(const Route &) const = default;
@@ -78,7 +78,7 @@
     double m_stepMillisecondsPerRequest = 0; ///< Added to a step for each running request.
     double m_stepMillisecondsPerThousandContext = 0; ///< Added to a step for each request and 1,000 tokens of its context.
     double m_promptTokensPerSecond = 0; ///< Rate at which prompts are read.
-    double m_millisecondsPerMillionPairs = 0; ///< Added to the time for reading a prompt for each million pairs of its tokens.
+    double m_millisecondsPerMillionPairs = 0; ///< Added to the time for reading a prompt of n tokens for each million of its n * n / 2 pairs of tokens.
     std::uint32_t m_usualPromptTokens = 0;
     std::uint32_t m_usualAnswerTokens = 0;
     std::uint32_t m_layers = 0;
--- a/Libraries/LibFleet/FleetState.h
+++ b/Libraries/LibFleet/FleetState.h
@@ -40,8 +40,8 @@
 
     bool operator==(const Declarations &) const = default;
 
-    /// Returns the offset after the configuration's record, or 0 if there is none. It increases with each newer configuration. The record's own offset would
-    /// not do, because the first record of a log has offset 0.
+    /// Returns the offset after the configuration's record, or 0 if there is none. It increases with each newer configuration. The record's own offset
+    /// cannot be used, because the first record of a log has offset 0.
     std::uint64_t configurationRevisionOffset() const
     {
         return m_configuration ? m_configurationOffset + 1 : 0;
@@ -70,7 +70,8 @@
     bool m_isSnapshot = false; ///< The changes hold the newest record of every endpoint. Endpoints that are not named have been removed.
     std::vector<EndpointChange> m_changes;
     Offset m_revisionOffset = 0; ///< From a peer: see FleetState::endpointsRevisionOffset().
-    /// From a peer: the time since it could read the list again after an outage, as long as entries of live endpoints may still be missing because of it.
+    /// From a peer: the time since the peer could read the list again after an outage. Empty once no entry of a live endpoint can be missing because of the
+    /// outage.
     std::optional<std::uint64_t> m_millisecondsSinceRecovery;
 
     bool operator==(const EndpointChanges &) const = default;
--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -19,10 +19,11 @@
     Core::Duration m_endpointsInterval{900}; ///< Between list reads; with the network delay, under half of the time in which a leaving endpoint must be known.
     Core::Duration m_initialRetryDelay{150};
     Core::Duration m_maximumRetryDelay{1200};
-    Core::Duration m_peerCheckInterval{200}; ///< Between checks whether peers may still be relied on; a fraction of the maximum list age.
+    Core::Duration m_peerCheckInterval{200}; ///< Interval between checks whether peers may still be relied on; a fraction of the maximum list age.
     /// For this long after an outage, the endpoint of a removed list entry may still be live; live endpoints return to the list within two seconds.
     Core::Duration m_outageGracePeriod{2500};
-    Core::Duration m_missingCheckInterval{200}; ///< Between checks for list entries that have not returned; the engine of such an entry may be leaving.
+    /// Interval between checks for endpoints whose list entries have disappeared and not returned. The engine of such an entry may be leaving.
+    Core::Duration m_missingCheckInterval{200};
 
     bool operator==(const FollowerSettings &) const = default;
 };
@@ -58,8 +59,8 @@
     /// Sets the query that is made before each read except the first. While it returns true, peers keep this process up to date and the log is not read.
     void setRelyOnPeersQuery(std::function<bool()> mayRelyOnPeers);
     /**
-     * Returns the time since which the endpoint list may lack live endpoints because their entries expired: when the list became reachable again, or when
-     * this process started, if that is recent; the current time while the list is unreachable; empty otherwise.
+     * Returns a time if the endpoint list may lack live endpoints because their entries expired, and empty otherwise. While the list is unreachable, this is
+     * the current time. Otherwise it is the time when the list became reachable again, or when this process started, if that is recent.
      */
     std::optional<Core::Instant> uncertainSince() const;
 
--- a/Libraries/LibGossip/GossipService.cpp
+++ b/Libraries/LibGossip/GossipService.cpp
@@ -11,9 +11,12 @@
 namespace {
 
 constexpr std::size_t MinimumKnownMembers = 3; ///< With fewer live members, a process is still discovering the fleet.
-constexpr Core::Duration RecentVersionWindow{30000}; ///< Heartbeats list all versions declared within it; a few times the version bound.
+/// Heartbeats list all versions declared within this time. It is a few times the time after which no request may start on an older version.
+constexpr Core::Duration RecentVersionWindow{30000};
 constexpr Core::Duration NewcomerAnswerInterval{200}; ///< Minimum time between large samples sent to one newcomer.
-constexpr std::size_t AnnouncementFanOut = 8; ///< Targets of each role for new declarations: the announcements of all entries reach each member several times.
+/// Number of members of each role, chosen at random, to which a process announces new declarations. Together the announcements of all entries reach each member
+/// several times.
+constexpr std::size_t AnnouncementFanOut = 8;
 
 }
 
@@ -228,7 +231,8 @@
         return static_cast<double>(heartbeat.m_knownMemberCount) < static_cast<double>(known) * newcomerRatio;
     };
     const Core::Instant now = Core::Clock::now();
-    // countAlive() visits every member, and nearly every datagram comes from a process that knows as many. The cheaper check is therefore first.
+    // countAlive() visits every member, and nearly every datagram comes from a process that knows about as many members as this one. The cheaper check is
+    // therefore first.
     if (!knowsFarFewer(m_members.countKnown()) || !knowsFarFewer(m_members.countAlive(now))) {
         return;
     }
--- a/Libraries/LibGossip/GossipService.h
+++ b/Libraries/LibGossip/GossipService.h
@@ -25,10 +25,10 @@
     std::vector<std::string> m_seedHosts; ///< Hosts to contact first; their processes listen on the same port as this one. May be out of date.
     Core::Duration m_interval{500}; ///< Time between heartbeats.
     Core::Duration m_discoveryInterval{150}; ///< Time between heartbeats while few members are known.
-    /// Heartbeat targets of each role in the sender's own failure domain: callers are directed to these entries first, and the traffic stays on the
-    /// domain's own links.
+    /// Number of members of each role in the sender's own failure domain to which each heartbeat is sent. Callers are directed to the entries of their own
+    /// failure domain first, and these heartbeats stay on the domain's own links.
     std::size_t m_ownDomainFanOut = 2;
-    std::size_t m_fleetFanOut = 1; ///< Heartbeat targets of each role among all members.
+    std::size_t m_fleetFanOut = 1; ///< Number of members of each role in the whole fleet to which each heartbeat is sent.
     std::size_t m_sampledMembers = 6; ///< Members that a heartbeat describes in full; with the other fields they fill half a datagram.
     std::size_t m_sampledDigests = 40; ///< Members that a heartbeat lists as digests; as many as fit beside the full descriptions.
     std::size_t m_sampledForNewcomers = 11; ///< Members described in full to a process that knows few; as many as fit into a datagram of 1,400 bytes.
--- a/Libraries/LibGossip/Membership.h
+++ b/Libraries/LibGossip/Membership.h
@@ -20,7 +20,7 @@
     Agent = 1, ///< Runs beside an engine.
 };
 
-/// Description of one process by itself, with a heartbeat count that grows while the process is alive.
+/// Description that a process gives of itself, with a heartbeat count that grows while the process is alive.
 struct Member
 {
     std::string m_id; ///< Name of the instance.
@@ -72,15 +72,16 @@
 /// Times without a heartbeat after which a member is replaced, counted as dead or removed.
 struct MembershipSettings
 {
-    Core::Duration m_heartbeatTimeout{4000}; ///< After it a member counts as dead. Eight heartbeat intervals; some are lost or arrive only through others.
+    /// A member silent for this long counts as dead. Eight heartbeat intervals, because some heartbeats are lost or arrive only through others.
+    Core::Duration m_heartbeatTimeout{4000};
     /**
      * Multiplied by the number of members of the role; used if the product exceeds m_heartbeatTimeout. A heartbeat carries digests of 40 members, and an
      * entry receives six heartbeats a second: with 150 entries it hears of each one 1.6 times a second, and misses one for 10 s in one of ten million
      * windows of that length.
      */
     Core::Duration m_heartbeatTimeoutPerMember{70};
-    Core::Duration m_removalTimeout{20000}; ///< After it the member is removed from the table.
-    Core::Duration m_replacementTimeout{1500}; ///< After it an incarnation may be replaced by a different one that others report.
+    Core::Duration m_removalTimeout{20000}; ///< A member silent for this long is removed from the table.
+    Core::Duration m_replacementTimeout{1500}; ///< An incarnation silent for this long may be replaced by a different one that others report.
 
     bool operator==(const MembershipSettings &) const = default;
 };
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -13,7 +13,7 @@
 constexpr Core::Duration TickInterval{200}; ///< Between log flushes and updates of the request rate.
 constexpr std::size_t PageConnections = 256;
 constexpr std::size_t AdminConnections = 16;
-/// Fraction of the leaving time during which requests are still accepted, because callers keep an answer of the directory for some seconds.
+/// Fraction of the leaving time during which requests are still accepted, because callers use a received list of entry addresses for some seconds.
 constexpr double AcceptingShare = 0.4;
 /// Fraction of the leaving time after which idle connections are closed. By then callers have had time to learn of other entries.
 constexpr double IdleCloseShare = 0.3;
--- a/Libraries/LibServing/ReaderSelection.h
+++ b/Libraries/LibServing/ReaderSelection.h
@@ -13,8 +13,8 @@
 {
     std::size_t m_readersPerDomain = 2; ///< With two, one may be dead or cut off from the log without interrupting the updates.
     /**
-     * An entry reads the endpoint list itself if the list has not been confirmed for this long. This is three intervals between reads of the readers, so that
-     * two confirmations may be lost, and with a read of its own it is well within the two seconds in which a leaving endpoint must be known.
+     * An entry reads the endpoint list itself if the list has not been confirmed for this long. This is three times the interval at which the readers read it,
+     * so that two confirmations may be lost. Together with the entry's own read it is well within the two seconds in which a leaving endpoint must be known.
      */
     Core::Duration m_maximumListAge{1300};
 
--- a/Tests/LibFollow/TestFollower.cpp
+++ b/Tests/LibFollow/TestFollower.cpp
@@ -101,7 +101,7 @@
     CHECK_FALSE(fixture.m_versions.requiredVersion("draft", Core::Clock::now()) == 2);
 }
 
-TEST_CASE("A follower that may rely on peers does not read, and reads again once it may not")
+TEST_CASE("A follower does not read the log while it may rely on peers, and reads it again when it may no longer do so")
 {
     // The readers of a failure domain die. Processes that keep relying on them would never learn of a change again.
     FollowerFixture fixture;
--- a/Tests/LibGossip/TestReportFanOut.cpp
+++ b/Tests/LibGossip/TestReportFanOut.cpp
@@ -50,10 +50,10 @@
     CHECK(used.size() == 3 * fanOut.m_relaysPerDomain);
 }
 
-TEST_CASE("In large failure domains a prompt report is sent only within the engine's own domain")
+TEST_CASE("In large failure domains a report of urgency Prompt is sent only within the engine's own domain")
 {
-    // Full engines send prompt reports between two heartbeats. Sent to all failure domains, their number would grow with the product of engines, entries and
-    // how often engines are full.
+    // The reports of full engines have the urgency Prompt and are sent between two heartbeats. If they were sent to all failure domains, their number would
+    // grow with the product of engines, entries and how often engines are full.
     Core::Random random(4);
     const Gossip::ReportFanOut fanOut;
     const std::vector<Gossip::Member> all = entries(5, 30);
--- a/Tests/LibServing/TestReaderSelection.cpp
+++ b/Tests/LibServing/TestReaderSelection.cpp
@@ -36,7 +36,8 @@
 
 TEST_CASE("Two entries of each failure domain read the log, regardless of its size")
 {
-    // If every entry read the log, the calls would grow with the fleet: 76 entries made 7,000 calls a minute, more than any other item that the platform bills.
+    // If every entry read the log, the calls would grow with the fleet: 76 entries would make 7,000 calls a minute, more than any other item on the
+    // platform's bill.
     CHECK(countReaders(fleet(1)) == 2);
     CHECK(countReaders(fleet(19)) == 4);
 }
