--- a/Libraries/LibStaging/AgentSettings.cpp
+++ b/Libraries/LibStaging/AgentSettings.cpp
@@ -18,8 +18,8 @@
 /// answers.
 constexpr std::uint32_t ConcurrentPeerRequests = 5;
 /**
- * Requests queued at an uploader with one slot. Further requests are refused, and the requester asks another peer. At 46 ms a chunk, the last of twelve queued
- * requests would wait for half a second while other uploaders are idle.
+ * Maximum number of requests queued at an uploader with one slot. Further requests are refused, and the requester asks another peer. Sending a chunk takes
+ * 46 ms, so with twelve queued requests the last one would wait for half a second while other uploaders are idle.
  */
 constexpr std::uint32_t QueuedUploads = 4;
 
--- a/Libraries/LibStaging/ChunkIteration.h
+++ b/Libraries/LibStaging/ChunkIteration.h
@@ -14,8 +14,8 @@
 /**
  * Calls @p step for every chunk, with at most @p maximumConcurrent steps in progress, and calls @p finished after the last step has ended.
  *
- * Each call to an engine opens a connection, which takes longer than transferring the bytes. Processing 48 chunks sequentially takes 0.14 s, during which the
- * engine is unavailable.
+ * Steps run concurrently because each call to an engine opens a connection, which takes longer than transferring the bytes. One after the other, 48 chunks
+ * would take 0.14 s, during which the engine is unavailable.
  */
 void forEachChunk(std::vector<Weights::ChunkIndex> chunks, std::size_t maximumConcurrent, ChunkStep step, std::function<void()> finished);
 
--- a/Libraries/LibStaging/LoadSchedule.h
+++ b/Libraries/LibStaging/LoadSchedule.h
@@ -32,8 +32,8 @@
 /**
  * Returns the time from a version's acceptance until the load time of the agent at rank @p rank of @p count.
  *
- * @p lead: how much earlier the oldest version that the engine has not loaded either was accepted. The deadline of that version comes first, so the load times
- * move closer together.
+ * @p lead: how much earlier than this version the oldest version that the engine has not loaded was accepted. The deadline of that older version comes first,
+ * so the load times move closer together.
  */
 Core::Duration loadDelay(std::size_t rank, std::size_t count, Core::Duration lead, const LoadScheduleSettings &settings);
 
--- a/Libraries/LibTransfer/Coordinator.h
+++ b/Libraries/LibTransfer/Coordinator.h
@@ -1,4 +1,4 @@
-/// @file The worker that owns the state of every version, performs the actions of the exchanges and answers peers.
+/// @file The worker that owns the state of every version, sends the requests that the exchanges decide on and answers peers.
 #pragma once
 
 #include "LibTransfer/Events.h"
--- a/Libraries/LibTransfer/CoordinatorRequests.cpp
+++ b/Libraries/LibTransfer/CoordinatorRequests.cpp
@@ -28,7 +28,8 @@
     if (attempt > 0) {
         return replicas[m_random.below(replicas.size())].m_wire;
     }
-    // The replicas of each region form a tree, below a tree of the regions' roots. So few replicas ask the origin, and no replica has to answer many others.
+    // The replicas of each region form a tree, and the roots of these trees form a tree above them. This way only few replicas ask the origin, and no replica
+    // has to answer many others.
     std::vector<Candidate> allCandidates;
     std::vector<Candidate> regionCandidates;
     std::optional<Candidate> self;
--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -20,8 +20,9 @@
 constexpr Core::Duration LastResortDelay{60000};
 /**
  * A chunk that is due for this long and still held by at most one replica is also fetched by the second replica in rank, and after the same time again by the
- * third. The delay is longer than a chunk of a healthy downloader takes to spread, and short compared with the deadline of a version. Without this rule, three
- * of 27 instances whose links had a twelfth of the usual rate held back their chunks, and with them the whole fleet, for 6 s.
+ * third. The delay is longer than a chunk of a healthy downloader takes to spread, and short compared with the deadline of a version. Without this rule,
+ * instances with slow links hold back their chunks, and with them the whole fleet: for 6 s if the links of three of 27 instances have a twelfth of the usual
+ * rate.
  */
 constexpr Core::Duration LateChunkDelay{900};
 constexpr std::size_t LateTakeoverRanks = 2;
--- a/Libraries/LibTransfer/OriginWorker.cpp
+++ b/Libraries/LibTransfer/OriginWorker.cpp
@@ -8,9 +8,9 @@
 
 constexpr std::size_t MaximumWaiting = 256;
 /**
- * A connection without a job for this long is closed. The origin limits the connections of the whole fleet: when 99 agents each kept two connections to an
- * origin that accepts 78, the other agents were locked out permanently, and after a power failure no engine got its weights. Consecutive downloads are a few
- * tens of milliseconds apart.
+ * A connection without a job for this long is closed. The origin limits the connections of the whole fleet: if each of 99 agents kept two connections to an
+ * origin that accepts 78, the agents without a connection would be locked out permanently, and after a power failure no engine would get its weights.
+ * Consecutive downloads are a few tens of milliseconds apart.
  */
 constexpr Core::Duration IdleConnectionTimeout{200};
 
--- a/Tests/LibTransfer/TestFaults.cpp
+++ b/Tests/LibTransfer/TestFaults.cpp
@@ -73,7 +73,7 @@
     std::unique_ptr<Wire::Node> m_node;
 };
 
-/// Two correct replicas and a planned third one in whose place the misbehaving peer runs.
+/// Two correct replicas, and a misbehaving peer that runs in place of a third planned replica.
 struct MisbehavingPeerFixture
 {
     TransferTest::ReplicaCluster m_replicas{originSettings()};
@@ -176,7 +176,7 @@
     REQUIRE(replicas.countHolders(published.m_digest) == 0);
 }
 
-TEST_CASE("A version that is replaced while it is fetched is never mixed, and completes once the origin has it again")
+TEST_CASE("A version whose object is replaced during the download is never mixed with the replacement, and completes once the origin has it again")
 {
     TransferTest::ReplicaCluster replicas(originSettings());
     Transfer::TransferSettings settings = quickSettings();
