--- a/Tests/Benchmarks/Burst/BurstRun.cpp
+++ b/Tests/Benchmarks/Burst/BurstRun.cpp
@@ -29,7 +29,7 @@
 constexpr int ProbeThreads = 4;
 constexpr Core::Duration IdleCheckInterval{1000};
 constexpr int MaximumIdleChecks = 60;
-constexpr std::uint64_t IdleBytesPerAgent = 2048; ///< Bytes between regions, for each agent and second.
+constexpr std::uint64_t IdleBytesPerAgent = 2048; ///< The network counts as idle below this many bytes per agent and second between regions.
 
 Core::Result<Poco::JSON::Object::Ptr> parseObject(const std::string &text, const std::string &step)
 {
--- a/Tests/Benchmarks/Burst/BurstRun.h
+++ b/Tests/Benchmarks/Burst/BurstRun.h
@@ -25,7 +25,7 @@
     std::size_t m_expected = 0; ///< Replicas that should serve at the end.
     double m_boundSeconds = 0;
     double m_originCopies = 0;
-    double m_regionCopies = 0; ///< The largest value over all ordered pairs of regions; includes all traffic.
+    double m_regionCopies = 0; ///< Bytes sent from one region to another, in copies of the weights: the largest of all ordered pairs. Includes all traffic.
     double m_processorSeconds = 0; ///< Processor time of all agents during the burst.
     LoadFigures m_baselineLoad;
     LoadFigures m_burstLoad;
--- a/Tests/Benchmarks/Burst/Plot.h
+++ b/Tests/Benchmarks/Burst/Plot.h
@@ -1,4 +1,4 @@
-/// @file Plots the number of serving replicas over time against the bound.
+/// @file Plots the number of serving replicas over time, with a line at the time bound of the burst (Figures::m_boundSeconds).
 #pragma once
 
 #include "BurstRun.h"
--- a/Tests/Benchmarks/SwarmTrial/Main.cpp
+++ b/Tests/Benchmarks/SwarmTrial/Main.cpp
@@ -29,7 +29,8 @@
     Transfer::TransferSettings m_settings;
 };
 
-/// Applies the sizes and links of a typical fleet: 48 chunks, an origin with 15 Mbit/s and instances with 9.4 Mbit/s, with the agents' shares of the links.
+/// Applies the sizes and links of a typical fleet: 48 chunks, an origin with 15 Mbit/s and instances with 9.4 Mbit/s. Transfers are limited to the shares of
+/// the instances' links that agents use for them.
 void applyFleetShape(TrialOptions &trial)
 {
     constexpr std::uint32_t chunks = 48;
