--- a/Libraries/LibPlacement/VersionDeadlines.h
+++ b/Libraries/LibPlacement/VersionDeadlines.h
@@ -10,7 +10,7 @@
 
 namespace Placement {
 
-/// Time at which a declaration was accepted, as far as it is known. A process that learns of it directly does so at most a moment later.
+/// Time at which a declaration was accepted, as far as it is known. A process that learns of the declaration directly does so at most a moment after that time.
 struct DeclarationTime
 {
     Core::Instant m_acceptedAt;
@@ -27,8 +27,8 @@
     /// Records that a version was accepted @p age ago. If several ages are recorded for a version, the greatest counts.
     void recordDeclared(const std::string &model, std::uint64_t version, Core::Duration age, Core::Instant now);
     /**
-     * Records that a version is declared, with unknown age. Until an age is recorded, the bound counts as passed: a process that starts within the bound
-     * would otherwise let requests begin on old weights for longer than allowed.
+     * Records that a version is declared, with unknown age. Until an age is recorded, the version's deadline counts as passed. Otherwise a process
+     * that starts before the deadline would let requests begin on old weights for longer than allowed.
      */
     void recordFound(const std::string &model, std::uint64_t version, Core::Instant now);
     /// Returns the oldest version that requests may begin on; empty while any version may answer.
--- a/Libraries/LibRelay/WaitingRequests.cpp
+++ b/Libraries/LibRelay/WaitingRequests.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Core::Duration DispatchInterval{25}; ///< A fraction of the interval at which a full engine finishes requests.
-constexpr Core::Duration MinimumDispatchPause{10}; ///< Between dispatches caused by reports: hundreds of engines report many times in this interval.
+constexpr Core::Duration MinimumDispatchPause{10}; ///< Minimum time between dispatches caused by reports. Hundreds of engines report many times within it.
 
 }
 
