--- a/Libraries/LibFollow/Follower.h
+++ b/Libraries/LibFollow/Follower.h
@@ -16,7 +16,8 @@
 {
     bool m_followsEndpoints = true; ///< False for agents, which do not use the endpoint list.
     Core::Duration m_declarationsWaitLimit{12000}; ///< Maximum wait of one read, and so the time until a hung read is detected; peers deliver changes sooner.
-    Core::Duration m_endpointsInterval{900}; ///< Between list reads; with the network delay, under half of the time in which a leaving endpoint must be known.
+    /// Interval between reads of the endpoint list. Together with the network delay it is under half of the time in which a leaving endpoint must be known.
+    Core::Duration m_endpointsInterval{900};
     Core::Duration m_initialRetryDelay{150};
     Core::Duration m_maximumRetryDelay{1200};
     Core::Duration m_peerCheckInterval{200}; ///< Interval between checks whether peers may still be relied on; a fraction of the maximum list age.
--- a/Libraries/LibServing/EntryProcess.cpp
+++ b/Libraries/LibServing/EntryProcess.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Core::Duration TickInterval{200}; ///< Between log flushes and updates of the request rate.
+constexpr Core::Duration TickInterval{200}; ///< Interval between log flushes, and between updates of the request rate.
 constexpr std::size_t PageConnections = 256;
 constexpr std::size_t AdminConnections = 16;
 /// Fraction of the leaving time during which requests are still accepted, because callers use a received list of entry addresses for some seconds.
