--- a/Libraries/LibTransfer/Coordinator.cpp
+++ b/Libraries/LibTransfer/Coordinator.cpp
@@ -14,8 +14,9 @@
 constexpr std::size_t EventsPerIteration = 512;
 constexpr Core::Duration BusyWaitLimit{5};
 constexpr Core::Duration IdleWaitLimit{100};
-constexpr Core::Duration DecisionInterval{4}; ///< Between calls of makeDecisions(), which cost more than handling an event. Most events change no decision.
-/// Between updates to followers. Each hop of a chunk waits for this interval, so it is a fraction of a chunk's transfer time on a link.
+/// Minimum time between calls of makeDecisions(). A call costs more than handling an event, and most events change no decision.
+constexpr Core::Duration DecisionInterval{4};
+/// Minimum time between updates to followers. Each hop of a chunk waits for this interval, so it is a fraction of a chunk's transfer time on a link.
 constexpr Core::Duration AnnouncementInterval{5};
 constexpr Core::Duration HeartbeatInterval{500};
 constexpr std::uint64_t BytesPerMebibyte = 1 << 20;
--- a/Libraries/LibTransfer/Exchange.cpp
+++ b/Libraries/LibTransfer/Exchange.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t RankedPeers = 6;
 constexpr std::size_t FollowedPredecessors = 2; ///< Replicas ranked after this position follow none of their predecessors until the probe delay has passed.
 constexpr std::uint32_t TreeFanOut = 2;
-constexpr Core::Duration TakeoverGrace{400}; ///< Time for a chunk to become known that its first downloader passed on just before it died.
+constexpr Core::Duration TakeoverGrace{400}; ///< Time until a chunk that its first downloader passed on just before dying is known here.
 constexpr Core::Duration JoinGrace{3000}; ///< Replicas receive a plan at slightly different times.
 constexpr Core::Duration MinimumProbeDelay{4000};
 constexpr Core::Duration FollowRetryDelay{250};
--- a/Libraries/LibTransfer/Exchange.h
+++ b/Libraries/LibTransfer/Exchange.h
@@ -243,7 +243,7 @@
     std::uint32_t m_peerRequests = 0; ///< Open requests to peers.
     std::uint32_t m_originRequests = 0; ///< Open requests to the origin.
     std::uint32_t m_consecutiveOriginFailures = 0; ///< Failed downloads since the last successful one.
-    std::optional<Core::Instant> m_originRecoveredAt; ///< First success after so many failures that other replicas took over; empty if there were none.
+    std::optional<Core::Instant> m_originRecoveredAt; ///< First success after so many failures that other replicas took over; empty without such failures.
     Core::Instant m_nextOriginRequestAt; ///< No download from the origin starts before this time.
     Core::Instant m_nextSourceCheck; ///< When the followed sources of missing chunks are next reviewed.
     double m_smoothedRequestSeconds = 0; ///< Smoothed time from a request to a peer until the chunk is complete, in seconds; 0 while unknown.
--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::uint32_t RequestsPerPeer = 2;
 constexpr Core::Duration PeerSilenceLimit{2500}; ///< Peers send a heartbeat every half second.
-constexpr Core::Duration NeighbourAnswerLimit{150}; ///< Several round trips. For a new version the origin's link is needlessly idle during this time.
+/// Longest wait for the first answers of neighbours: several round trips. If the version is new, the origin's link is needlessly idle during this time.
+constexpr Core::Duration NeighbourAnswerLimit{150};
 constexpr Core::Duration SourceCheckInterval{100};
 constexpr int QueueToStallLimitRatio = 3; ///< Ratio of the time that an answer may take to begin to the time that it may stall afterwards.
 /// Replicas take over from others only this long after the origin's recovery: twice the longest retry delay, so that all replicas have reached the origin by
