--- a/Libraries/LibTransfer/ExchangeDecisions.cpp
+++ b/Libraries/LibTransfer/ExchangeDecisions.cpp
@@ -10,7 +10,8 @@
 
 constexpr std::uint32_t RequestsPerPeer = 2;
 constexpr Core::Duration PeerSilenceLimit{2500}; ///< Peers send a heartbeat every half second.
-constexpr Core::Duration NeighbourAnswerLimit{150}; ///< Several round trips. For a new version the origin's link is needlessly idle during this time.
+/// Longest wait for the first answers of neighbours: several round trips. If the version is new, the origin's link is needlessly idle during this time.
+constexpr Core::Duration NeighbourAnswerLimit{150};
 constexpr Core::Duration SourceCheckInterval{100};
 constexpr int QueueToStallLimitRatio = 3; ///< Ratio of the time that an answer may take to begin to the time that it may stall afterwards.
 /// Replicas take over from others only this long after the origin's recovery: twice the longest retry delay, so that all replicas have reached the origin by
@@ -20,8 +21,9 @@
 constexpr Core::Duration LastResortDelay{60000};
 /**
  * A chunk that is due for this long and still held by at most one replica is also fetched by the second replica in rank, and after the same time again by the
- * third. The delay is longer than a chunk of a healthy downloader takes to spread, and short compared with the deadline of a version. Without this rule, three
- * of 27 instances whose links had a twelfth of the usual rate held back their chunks, and with them the whole fleet, for 6 s.
+ * third. The delay is longer than a chunk of a healthy downloader takes to spread, and short compared with the deadline of a version. Without this rule,
+ * instances with slow links hold back their chunks, and with them the whole fleet: for 6 s if the links of three of 27 instances have a twelfth of the usual
+ * rate.
  */
 constexpr Core::Duration LateChunkDelay{900};
 constexpr std::size_t LateTakeoverRanks = 2;
