--- a/Libraries/LibHttp/ClientCall.cpp
+++ b/Libraries/LibHttp/ClientCall.cpp
@@ -130,7 +130,7 @@
     setStreamOptions(m_state->m_socket);
     m_wasSent = true;
     Asio::async_write(m_state->m_socket, Asio::buffer(m_state->m_outgoing), [self = shared_from_this()](const boost::system::error_code &, std::size_t) {
-        // A failed write also fails the read, and an answer that the peer sent early can still be read.
+        // Errors are ignored here: a failed write also fails the read, and an answer that the peer sent early can still be read.
     });
     startTimer(m_limits.m_headTimeout, "await answer");
     readHead();
@@ -189,7 +189,7 @@
     }
     if (m_isPaused) {
         m_awaitsResume = true;
-        boost::system::error_code ignored; // While reading is paused, a lack of data does not mean that the peer has stalled.
+        boost::system::error_code ignored; // Stops the idle timer: while reading is paused, a lack of data does not mean that the peer has stalled.
         m_state->m_timer.cancel(ignored);
         return;
     }
--- a/Libraries/LibHttp/ServerConnection.cpp
+++ b/Libraries/LibHttp/ServerConnection.cpp
@@ -48,8 +48,8 @@
 }
 
 /**
- * Returns whether the framing of a head is unambiguous. The parser itself rejects differing lengths and a length together with chunks. A request
- * with a coding other than chunks it would treat as one without a body, and the bytes of the body would then be read as the next request.
+ * Returns whether the framing of a head is unambiguous. The parser itself rejects differing lengths and a length together with chunks. But it
+ * treats a request with a coding other than chunks as one without a body, and the bytes of the body would then be read as the next request.
  */
 bool hasUnambiguousFraming(const HeaderFields &fields)
 {
@@ -381,7 +381,7 @@
     }
     m_state->m_outgoing.push_back(std::move(bytes));
     if (m_state->m_outgoing.size() == 1) {
-        // Posted, so that a head and the body that follows it at once are sent in one write.
+        // The write is posted, so that a head and the body that follows it at once are sent in one write.
         Asio::post(m_state->m_socket.get_executor(), [self = shared_from_this()] { self->writeNext(); });
     }
 }
--- a/Libraries/LibWire/Connection.h
+++ b/Libraries/LibWire/Connection.h
@@ -25,7 +25,7 @@
     std::size_t m_maximumMessageBytes = 8 << 20; ///< Maximum size of one message in bytes.
     std::size_t m_maximumBacklogBytes = 16 << 20; ///< Maximum number of bytes queued on one stream.
     std::uint32_t m_maximumStreams = 4096; ///< Maximum number of concurrent incoming calls.
-    Core::Duration m_dialTimeout{2000}; ///< Until the connection is open, including the gateway's answer.
+    Core::Duration m_dialTimeout{2000}; ///< Until the connection is open. If it goes through a network gateway, this includes the gateway's answer.
     Core::Duration m_heartbeatInterval{1000}; ///< A ping is sent when nothing has arrived for this long.
     Core::Duration m_silenceTimeout{3500}; ///< A connection on which nothing has arrived for this long is dead.
 };
--- a/Libraries/LibWire/StreamOutput.h
+++ b/Libraries/LibWire/StreamOutput.h
@@ -44,7 +44,7 @@
     mutable std::mutex m_mutex;
     std::deque<std::string> m_frames;
     std::size_t m_firstFrameOffset = 0; ///< Bytes of the first frame that have been taken; less than its size.
-    std::size_t m_backlog = 0; ///< Sum of the frames' sizes less m_headOffset.
+    std::size_t m_backlog = 0; ///< Sum of the frames' sizes less m_firstFrameOffset.
     bool m_finished = false; ///< The last frame is queued or taken.
     bool m_closed = false; ///< The stream has ended; m_frames is empty.
 };
