--- a/Libraries/LibClaims/CallStateMachine.h
+++ b/Libraries/LibClaims/CallStateMachine.h
@@ -1,4 +1,4 @@
-/// @file Pure state machine of one keyed call, which must not run twice: which action comes next, and which verdict the caller gets.
+/// @file Pure state machine of one keyed call, which must not run twice: it determines the next action and the caller's result.
 #pragma once
 
 #include "LibClaims/ClaimTable.h"
@@ -52,7 +52,7 @@
 
     bool operator==(const WriteTombstone &) const = default;
 };
-/// End the call and report the verdict to the caller.
+/// End the call and report its final result to the caller.
 struct ReportVerdict
 {
     CallVerdict m_verdict = CallVerdict::NotRun;
@@ -69,7 +69,8 @@
 {
     ClaimResult m_result;
 };
-/// The claim got no result because the writer or the log is unreachable. It may still be appended, but has no effect without a dispatch.
+/// The claim got no result because the writer or the log is unreachable. It may still be appended to the log, but the call ends without sending the attempt,
+/// so nothing runs.
 struct ClaimFailed
 {
 };
@@ -133,7 +134,7 @@
 {
     CallPhase m_phase = CallPhase::Claiming;
     std::string m_attempt; ///< The call's own current attempt.
-    bool m_dispatched = false; ///< m_attempt was handed to the network, and it has not been proved since that it did not run.
+    bool m_dispatched = false; ///< m_attempt was passed to the network and may have run or may still run. Reset once it is certain that it never runs.
     Claim m_holder; ///< Claim of the other attempt that holds the key, if any.
     std::uint32_t m_reclaims = 0; ///< At most MaximumReclaims.
 
--- a/Libraries/LibClaims/ClaimTable.h
+++ b/Libraries/LibClaims/ClaimTable.h
@@ -63,7 +63,7 @@
     /**
      * Restarts at offset @p first of a log that has lost records.
      *
-     * Existing claims are kept. Keys issued before expire when the next generation starts, since claims on them that were never read may be lost.
+     * Existing claims are kept. Keys issued before the restart expire when the next generation starts, since claims on them that were never read may be lost.
      */
     void restartAt(Offset first);
 
--- a/Libraries/LibClaims/ClaimWriter.h
+++ b/Libraries/LibClaims/ClaimWriter.h
@@ -108,8 +108,8 @@
     bool m_reading = false; ///< As requested by setReading().
     bool m_readingStarted = false; ///< The offset of the oldest record is known, and m_table starts there.
     bool m_caughtUp = false; ///< The stream has been read to its end, and the last read succeeded.
-    /// m_caughtUp has been true since this writer started reading. Epochs only increase, so the last one remains valid for callers while the log is down.
-    /// Without an epoch they could not form the key of the call that is then refused as not run.
+    /// m_caughtUp has been true at some time since this writer started reading. Epochs only increase, so the last one remains valid while the log is down.
+    /// Callers need it even then to form a key; a call with that key is refused as not run.
     bool m_hasCaughtUp = false;
     bool m_startNewGeneration = false; ///< The next batch starts a new generation.
     std::unordered_map<std::string, OpenBatch> m_openBatches; ///< By batch id.
--- a/Libraries/LibClaims/ClaimWriterSelection.h
+++ b/Libraries/LibClaims/ClaimWriterSelection.h
@@ -15,7 +15,7 @@
 /// Entries that read the claims stream: the writers and as many standbys, so that an entry that becomes a writer already knows the claims.
 inline constexpr std::size_t ReaderCount = 2 * WriterCount;
 
-/// True if the entry should read the claims stream. For the other entries reading it would be a cost without a use.
+/// True if the entry should read the claims stream. The other entries don't need its claims and save the cost of reading it.
 bool isClaimReader(std::span<const Protocol::Member> members, const std::string &entry);
 
 /**
--- a/Libraries/LibEntry/CallerRequest.h
+++ b/Libraries/LibEntry/CallerRequest.h
@@ -49,7 +49,8 @@
 
 /// Parses the body and headers of a generate request. Fails with InvalidInput.
 Core::Result<GenerateRequest> parseGenerate(const std::string &body, const RequestHeaders &headers, const CallerLimits &limits);
-/// Parses a call; @p path is the request's path without the query. Fails with InvalidInput, or with Unavailable if the key has an empty epoch.
+/// Parses a call; @p path is the request's path without the query. Fails with InvalidInput, or with Unavailable if the idempotency key has an empty epoch,
+/// which callers are given while no entry can read the claims.
 Core::Result<CallRequest> parseCall(const std::string &path, std::string body, const RequestHeaders &headers);
 /// Returns the request's timeout from its header, or the default. Fails with InvalidInput.
 Core::Result<Core::Duration> parseTimeout(const RequestHeaders &headers, const CallerLimits &limits);
--- a/Libraries/LibEntry/CallerServer.cpp
+++ b/Libraries/LibEntry/CallerServer.cpp
@@ -24,7 +24,8 @@
 
 namespace {
 
-/// Retry time for a caller without a key epoch. An entry reads the claims stream to its end within a second after the log is back.
+/// Retry time for a call whose idempotency key has an empty epoch because no entry could read the claims in the log. Once the log is back, an entry reads
+/// all claims within a second, and callers get an epoch again.
 constexpr Core::Duration MissingEpochRetryAfter{1000};
 
 constexpr const char *JsonType = "application/json";
--- a/Libraries/LibRouting/Endpoint.h
+++ b/Libraries/LibRouting/Endpoint.h
@@ -37,7 +37,7 @@
 /// True if the endpoint attests that it serves this version. Always true for an empty digest, which stands for a plain service without versions.
 bool attests(const EndpointView &endpoint, const std::string &digest);
 
-/// True if the endpoint is available and attests the version. Requests are sent to eligible endpoints only.
+/// True if the endpoint is available and attests that it serves the version. Requests are sent to eligible endpoints only.
 bool isEligible(const EndpointView &endpoint, const std::string &digest, Core::Instant now);
 
 /// Estimates the requests at the endpoint now: the reported ones, corrected by the calls that this entry has started or ended since the report.
--- a/Libraries/LibRouting/EndpointSelection.cpp
+++ b/Libraries/LibRouting/EndpointSelection.cpp
@@ -11,7 +11,7 @@
 
 /// Random samples before all members of the group are scanned.
 constexpr int MaximumSamples = 6;
-/// Excess over the mean load, relative to it, up to which a request still goes to its prefix's endpoint.
+/// A request goes to its prefix's endpoint while the endpoint's load exceeds the mean load by at most this fraction of the mean.
 constexpr double AffinitySlack = 0.25;
 /// An endpoint whose mean call time exceeds the group's mean by this factor gets no requests by prefix affinity.
 constexpr double SlowFactor = 2;
--- a/Tests/Entry/EntryCluster.h
+++ b/Tests/Entry/EntryCluster.h
@@ -286,7 +286,7 @@
         REQUIRE(send(m_address, "POST", "/faults", json).m_status < 300);
     }
 
-    /// Publishes a template in which the account "sao-mai" uses the digest.
+    /// Publishes a template (settings of a service's client accounts) that assigns the version with this digest to the account "sao-mai".
     void publishTemplate(Control::Offset basedOn = 0, const std::string &digest = Digest)
     {
         Control::PublishTemplate change;
@@ -377,7 +377,7 @@
         return send(member().m_callers, "GET", "/v1/addresses", "").m_body;
     }
 
-    /// Returns a new key. Waits until this entry issues epochs.
+    /// Returns a new idempotency key. Waits until this entry returns the epoch that the key must contain.
     std::string newKey(const std::string &text) const
     {
         std::string epoch;
--- a/Tests/Entry/TestLeaving.cpp
+++ b/Tests/Entry/TestLeaving.cpp
@@ -30,7 +30,7 @@
 
 }
 
-TEST_CASE("a leaving entry returns only other entries' addresses, serves for one more address lifetime, then refuses requests and completes running ones")
+TEST_CASE("a leaving entry returns only other entries' addresses, accepts requests for one address lifetime, then only completes running ones")
 {
     // An entry is restarted while callers still use its address and one of them is receiving a long answer.
     LeavingCluster cluster;
--- a/Tests/Support/Explorer.h
+++ b/Tests/Support/Explorer.h
@@ -13,7 +13,7 @@
 struct Exploration
 {
     std::size_t m_states = 0; ///< Distinct states visited.
-    std::size_t m_steps = 0; ///< Possible steps taken.
+    std::size_t m_steps = 0; ///< Steps applied, including those that led to a state visited before.
     std::string m_violation; ///< Description of the violated invariant; empty if it held in every state.
     std::vector<std::string> m_trace; ///< Steps that lead from the initial state to the violation.
 };
@@ -29,7 +29,7 @@
 /**
  * A model: its steps, an invariant that returns a description of the violation (or an empty text), and a key that is equal for equal states.
  *
- * A state that was visited before is not explored again, so the cost depends on the number of states and not on the number of orders.
+ * A state that was visited before is not explored again, so the cost depends on the number of states and not on the number of orders of steps.
  */
 template <typename State>
 struct Model
