--- a/Libraries/LibEndpoint/Agent.cpp
+++ b/Libraries/LibEndpoint/Agent.cpp
@@ -12,7 +12,7 @@
 constexpr Core::Duration FenceTimeout{700};
 constexpr std::size_t MaximumQueriedEntries = 3;
 constexpr Core::Duration DrainPollInterval{20};
-/// Delay before shutdown so that the connections can still deliver the last answers, which have already left the process.
+/// Delay before shutdown closes the connections. The last answers have been passed to the sockets but may still be in transmission.
 constexpr Core::Duration FlushDelay{200};
 
 Wire::NodeSettings nodeSettings(const AgentSettings &settings)
--- a/Libraries/LibEndpoint/AgentSettings.h
+++ b/Libraries/LibEndpoint/AgentSettings.h
@@ -16,8 +16,8 @@
 {
     Core::Duration m_statusInterval{500}; ///< Interval between two status requests to the endpoint.
     Core::Duration m_reportInterval{1000}; ///< Interval between two reports while nothing changes.
-    std::uint64_t m_reportBytesPerSecond = 4096; ///< Limit on the traffic of such reports; with many watchers the interval grows.
-    Core::Duration m_maximumFenceAge{2000}; ///< Maximum age of the confirmation of the newest plan when an order is sent.
+    std::uint64_t m_reportBytesPerSecond = 4096; ///< Limit on the traffic of reports without a change; with many watchers the interval grows.
+    Core::Duration m_maximumFenceAge{2000}; ///< An order needs an entry's confirmation that no newer plan exists, requested at most this long ago.
     Core::Duration m_orderRetryDelay{2000}; ///< Delay before the retry of a failed order; doubles with each further failure.
     Core::Duration m_retirementGrace{5000}; ///< How long weights that are no longer in the plan stay loaded.
     Core::Duration m_withdrawNotice{300}; ///< Time between the report that withdraws weights and the order to unload them.
--- a/Libraries/LibEndpoint/AttemptTracker.h
+++ b/Libraries/LibEndpoint/AttemptTracker.h
@@ -45,7 +45,7 @@
  * State machine of attempts at calls that must not be repeated.
  *
  * An attempt can arrive twice, after its cancellation, or after the entry has requested its outcome and passed it to the caller.
- * The caller could then see a booking made twice, or a booking that was made although it was reported as not run. Therefore the state of an
+ * The caller could then see, for example, a booking made twice, or a booking that was made although it was reported as not run. Therefore the state of an
  * attempt only moves forward: admitted, begun at most once, closed. A request for the outcome of an attempt that has not arrived leaves a
  * tombstone, so that the attempt never runs.
  *
--- a/Libraries/LibEndpoint/OrderDecision.h
+++ b/Libraries/LibEndpoint/OrderDecision.h
@@ -29,7 +29,7 @@
     bool operator==(const Order &) const = default;
 };
 
-/// By content digest: since when a set of weights in the engine is no longer needed.
+/// The time since which each set of weights in the engine has not been needed, by content digest.
 using RetirementTimes = std::map<std::string, Core::Instant>;
 
 /// All input of the decision about the next order.
--- a/Libraries/LibEndpoint/ReportWorker.h
+++ b/Libraries/LibEndpoint/ReportWorker.h
@@ -17,7 +17,7 @@
 {
     Core::Duration m_interval{1000}; ///< Interval between two reports while nothing changes.
     Core::Duration m_maximumInterval{
-        2000}; ///< Maximum of that interval with many watchers; well below the time without reports after which an entry avoids an endpoint.
+        2000}; ///< Maximum interval between two such reports with many watchers; well below the time without reports after which an entry avoids an endpoint.
     std::uint64_t m_bytesPerSecond = 4096; ///< Limit on the traffic of reports without a change, unless m_maximumInterval requires more.
     std::size_t m_maximumWatchers = 64;
 };
--- a/Libraries/LibEndpoint/StatusWorker.cpp
+++ b/Libraries/LibEndpoint/StatusWorker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Number of consecutive lost answers after which the endpoint still counts as reachable. A refused connection makes it unreachable at once.
+/// Number of consecutive lost answers up to which the endpoint still counts as reachable. A refused connection makes it unreachable at once.
 constexpr int ToleratedFailures = 1;
 
 }
--- a/Tests/Agent/TestModelAgent.cpp
+++ b/Tests/Agent/TestModelAgent.cpp
@@ -9,7 +9,7 @@
 using AgentFixture::Version;
 using AgentFixture::waitUntil;
 
-/// Token count of a draft that takes much longer than an agent needs to stop.
+/// Token count of an answer that takes much longer than an agent needs to stop.
 constexpr int LongDraftTokens = 3000;
 
 StandIn::EngineSettings engineSettings()
@@ -106,7 +106,7 @@
 
 TEST_CASE("weights that are still being transferred are neither loaded nor attested")
 {
-    // The origin stalls in the middle of a version. If the engine loaded the part held so far, callers would get drafts from partial weights.
+    // The origin stalls in the middle of a version. If the engine loaded the part held so far, callers would get answers generated with partial weights.
     ModelFixture fixture;
     fixture.serve(fixture.m_old);
     fixture.m_origin.m_withheldFrom = 10'000;
@@ -155,7 +155,7 @@
 
 TEST_CASE("an answer that the engine cuts off is not complete")
 {
-    // The engine's connection breaks in the middle of a draft. The caller must not take the first half for the complete draft.
+    // The engine's connection breaks in the middle of an answer. The caller must not take the first half for the complete answer.
     ModelFixture fixture;
     fixture.serve(fixture.m_old);
     fixture.m_engine.setFaults(R"({"cut_answers_after_tokens":2})");
@@ -164,9 +164,9 @@
     REQUIRE_FALSE(call->isComplete());
 }
 
-TEST_CASE("a cancelled draft stops at the engine")
+TEST_CASE("the engine stops generating a cancelled answer")
 {
-    // The caller no longer wants the draft. If the engine continued it, other requests would be slower.
+    // The caller no longer wants the answer. If the engine continued it, other requests would be slower.
     ModelFixture fixture;
     fixture.serve(fixture.m_old);
     const std::shared_ptr<EntryClient::Call> call = fixture.m_client->call(AgentFixture::draftRequest("a1", fixture.m_old, 100'000));
@@ -203,7 +203,7 @@
 
 TEST_CASE("a leaving agent reports that it is leaving, refuses new calls and finishes the running one")
 {
-    // The instance is replaced in the middle of a draft. Aborting the draft would lose all of it.
+    // The instance is replaced in the middle of an answer. Aborting the answer would lose all of it.
     ModelFixture fixture;
     fixture.serve(fixture.m_old);
     const std::shared_ptr<EntryClient::Call> call = fixture.m_client->call(AgentFixture::draftRequest("a1", fixture.m_old, LongDraftTokens));
@@ -233,10 +233,10 @@
     REQUIRE(fixture.loadedModels() == 1);
 }
 
-TEST_CASE("a draft stops at the engine if the connection to its entry is lost without being closed")
+TEST_CASE("the engine stops generating an answer if the agent's connection to the entry is lost without being closed")
 {
     // The network drops all traffic between entry and agent while both sockets stay open. An agent that only waited for its socket to close
-    // would keep the engine busy with a draft that nobody receives.
+    // would keep the engine busy with an answer that nobody receives.
     ModelFixture fixture;
     fixture.serve(fixture.m_old);
     AgentFixture::BlackholeProxy proxy(fixture.m_settings.m_instance.m_member.m_wire);
--- a/Tests/Agent/TestPlainAgent.cpp
+++ b/Tests/Agent/TestPlainAgent.cpp
@@ -1,4 +1,4 @@
-/// @file Tests of an agent with a plain service: calls that must not be repeated, under faults.
+/// @file Tests of an agent with a plain service: calls that must not be repeated, such as a booking, under faults.
 
 #include "AgentFixture.h"
 
--- a/Tests/Agent/TestProgram.cpp
+++ b/Tests/Agent/TestProgram.cpp
@@ -39,9 +39,9 @@
 
 }
 
-TEST_CASE("after SIGTERM in the middle of a draft the draft is completed and the process exits with status 0")
+TEST_CASE("after SIGTERM while an answer is being generated, the answer is completed and the process exits with status 0")
 {
-    // The platform replaces the instance while a draft is being generated.
+    // The platform replaces the instance while an answer is being generated.
     const Version version = AgentFixture::makeVersion("7", 20'000);
     AgentFixture::Origin origin({version});
     StandIn::EngineSettings engineSettings;
--- a/Tests/LibEndpoint/TestAttemptTracker.cpp
+++ b/Tests/LibEndpoint/TestAttemptTracker.cpp
@@ -32,7 +32,7 @@
 
 TEST_CASE("a finished attempt does not run again and its answer is stored")
 {
-    // The answer to a booking is lost in the network, and the call is sent again. A second run would book twice.
+    // The answer to a call that books a crew is lost in the network, and the call is sent again. A second run would book twice.
     AttemptTracker tracker(Incarnation, {});
     runToCompletion(tracker, tag("a", "key"), "booked");
     REQUIRE(tracker.admit(tag("a", "key")) == Admission::Duplicate);
@@ -74,7 +74,7 @@
 
 TEST_CASE("a restarted agent does not report an attempt of an earlier incarnation as never run")
 {
-    // The agent is replaced while a booking runs. Its successor has no record of the booking, which may have run.
+    // The agent is replaced while it runs a call that must not be repeated. The new agent has no record of the call, which may have run.
     AttemptTracker tracker("life-2", {});
     REQUIRE(tracker.outcome(tag("a")).m_outcome == Outcome::Unknown);
     REQUIRE(tracker.outcome(AttemptTag{"b", "", "", 0}).m_outcome == Outcome::Unknown);
