--- a/Libraries/LibEntry/Entry.h
+++ b/Libraries/LibEntry/Entry.h
@@ -29,7 +29,8 @@
     Core::Result<void> start();
     /// Announces that the entry is leaving. Its address is no longer given to callers, but requests are still served.
     void startLeaving();
-    /// Serves for one more address lifetime, then refuses new requests and waits for running ones. Returns false if the drain limit is reached first.
+    /// Serves for one address lifetime, during which callers may still use the address, then refuses new requests and waits for running ones.
+    /// Returns false if the drain limit is reached first.
     bool awaitDrained();
     void stop();
 
