--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -23,7 +23,7 @@
     std::string m_record; ///< Id of the record.
     Offset m_offset = 0; ///< Number of the record, counted as ControlState::m_applied.
     bool m_accepted = false;
-    Offset m_winner = 0; ///< Revision in force that made the record stale, if it was refused for that.
+    Offset m_winner = 0; ///< If the record was refused as stale: the revision in force that made it stale.
     std::string m_winnerAuthor; ///< Author of that revision.
     std::string m_detail; ///< Reason for the refusal; empty if the record was accepted.
 
@@ -49,7 +49,7 @@
 };
 
 /**
- * All accepted templates and plans as of one record.
+ * All accepted templates (the configurations of services, see Template) and plans, as they are after one record of the control stream.
  *
  * There are two numbers, because a log can return from an outage with records missing and then assigns their offsets again.
  * m_position is the log's own offset of the last record. m_applied is the number used for revisions and fencing: it grows
--- a/Libraries/LibControl/LogReconciliation.h
+++ b/Libraries/LibControl/LogReconciliation.h
@@ -25,7 +25,7 @@
  */
 Core::Result<LogContinuation> readContinuation(Platform::Log &log, const ControlState &state);
 
-/// How to reconcile a state with a stream that does not continue it. At most one of the two is set.
+/// How to reconcile a state with a stream that does not continue it. At most one of the two members is set.
 struct Reconciliation
 {
     std::optional<ControlState> m_stateToAdopt; ///< State of the stream, which covers the current state and replaces it.
@@ -34,8 +34,8 @@
 };
 
 /**
- * Reads the complete stream and compares it with the current state. Neither member is set if neither of the two contains
- * state.
+ * Reads the complete stream and compares it with the current state. Neither member of the result
+ * is set if neither the stream nor this process has a state.
  *
  * The current state is only ever replaced by one that covers it. If the stream's state does not, the two are merged, and
  * the result is appended in a Restore record. The first Restore record whose writer had read every record before it is
--- a/Libraries/LibControl/MemberTable.h
+++ b/Libraries/LibControl/MemberTable.h
@@ -65,9 +65,9 @@
 
 /// Number of ended incarnations that a table keeps.
 inline constexpr std::size_t MaximumEndedIncarnations = 1024;
-/// Time without an announcement after which an instance that the list does not show is removed, where it announces itself.
+/// An instance that announced itself to this process, and that the list does not show, is removed after this time without an announcement.
 inline constexpr Core::Duration UnlistedTimeout{30000};
-/// The same where the instance is known only from other processes, which would report its end.
+/// The same limit for an instance that this process knows only from other processes. Those processes would report its end.
 inline constexpr Core::Duration IndirectTimeout{600000};
 
 }
--- a/Libraries/LibControl/Model.h
+++ b/Libraries/LibControl/Model.h
@@ -46,7 +46,7 @@
                        MSGPACK_NVP("weight", m_weight));
 };
 
-/// A template with the parameters of its client accounts, as one published unit.
+/// A template: the configuration of a service with the parameters of its client accounts, published as one unit.
 struct Template
 {
     std::string m_name;
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -109,7 +109,8 @@
     }
 }
 
-/// Closes all feeds after an update or the end of a stream was dropped. Feeds that are opened again start from the state in force here.
+/// Closes all feeds because the full inbox has dropped an event: a feed may lack an update, or a stream that has ended may look open. Feeds that are opened
+/// again start from the state in force in this process, so no update stays missing.
 void StateSubscriber::closeAllFeeds()
 {
     m_overruns.add();
--- a/Libraries/LibProtocol/Report.h
+++ b/Libraries/LibProtocol/Report.h
@@ -71,8 +71,8 @@
 /**
  * Replaces a full report in which only the load differs from an earlier one.
  *
- * Sending full reports each second made up most of an entry's control traffic. A watcher that missed a full report must not treat a load report
- * as confirmation of its stale data, so each load report names the full report that it builds on.
+ * A full report each second would make up most of an entry's control traffic. A watcher that missed a full report must not treat a load report
+ * as confirmation of its stale data, so each load report names the last full report that was sent before it.
  */
 struct LoadReport
 {
@@ -92,8 +92,8 @@
 /**
  * Updates @p held with a frame of the stream.
  *
- * Fails with Corrupt on a malformed frame. Fails with Conflict, leaving @p held unchanged, on a load report that builds on a full report that
- * was missed; the next full report resolves the conflict.
+ * Fails with Corrupt on a malformed frame. Fails with Conflict, leaving @p held unchanged, if a load report names a full report that
+ * was not received; the next full report resolves the conflict.
  */
 Core::Result<void> applyWatchFrame(const std::string &frame, const std::string &peer, AgentReport &held);
 
--- a/Libraries/LibProtocol/StateFeed.h
+++ b/Libraries/LibProtocol/StateFeed.h
@@ -40,7 +40,7 @@
     std::uint64_t m_membersVersion = 0; ///< 0 if there are no members in this update.
     std::vector<Member> m_members; ///< Every known member, not a delta.
     std::vector<std::string> m_endedIncarnations; ///< Incarnations that ended most recently.
-    bool m_wantsState = false; ///< The entry is behind the subscriber and asks for its state (control.offer).
+    bool m_wantsState = false; ///< The entry is behind the subscriber and asks for the subscriber's state (control.offer).
 
     MSGPACK_DEFINE_MAP(MSGPACK_NVP("snapshot_offset", m_snapshotOffset),
                        MSGPACK_NVP("snapshot", m_snapshot),
--- a/Tests/LibProtocol/TestReport.cpp
+++ b/Tests/LibProtocol/TestReport.cpp
@@ -28,7 +28,7 @@
     REQUIRE(held == expected);
 }
 
-TEST_CASE("A load report that builds on a missed full report is rejected and does not refresh the held report")
+TEST_CASE("A load report that names a missed full report is rejected, and the last received report stays unchanged")
 {
     // An entry falls behind and misses the report in which an engine unloads a version. If the load reports that follow were applied to the old report, the
     // entry would keep sending requests for that version. If they are ignored, the old report expires until the next full one arrives.
