--- a/Libraries/LibDaemon/Program.h
+++ b/Libraries/LibDaemon/Program.h
@@ -82,8 +82,8 @@
 /**
  * Runs a process that handles signals on its own event loop: checks all settings before anything starts.
  *
- * @p Process is constructed from the settings and an adapter and has run() and onReload(). The callback that is passed to onReload() reads the settings
- * file again. It returns nothing if the file has mistakes, and reports them on standard error.
+ * @p Process is constructed from the settings and @p adapter, which connects the process to the platform. It has run() and onReload(). The callback that is
+ * passed to onReload() reads the settings file again. If the file has mistakes, the callback reports them on standard error and returns nothing.
  */
 template <typename Process, typename ProcessSettings, typename Adapter>
 int runLoopProgram(int argc, char **argv, const ProgramDescription &description, ProcessSettings (*readSettings)(Settings::Reader &), const Adapter &adapter)
--- a/Libraries/LibNetwork/Listener.cpp
+++ b/Libraries/LibNetwork/Listener.cpp
@@ -25,8 +25,8 @@
 
 Poco::Net::ServerSocket listenOn(const Core::Address &address, int backlog)
 {
-    // Connections that linger keep a released address bound, and reuse allows to listen on it nevertheless. A free port has no such connections, and is
-    // exclusive to the caller only without reuse.
+    // Connections that are still closing keep an address in use after its listener is closed. With address reuse, the next listener can bind it at once. A port
+    // that the kernel selects has no such connections, and it is exclusive to the caller only if address reuse is off.
     const bool reusesAddress = address.m_port != 0;
     Poco::Net::ServerSocket socket;
     socket.bind(Poco::Net::SocketAddress(address.m_host, address.m_port), reusesAddress, false);
--- a/Libraries/LibSettings/Reader.h
+++ b/Libraries/LibSettings/Reader.h
@@ -35,7 +35,7 @@
 {
     std::size_t m_maximumBytes = 1 << 20;
     int m_maximumDepth = 16;
-    std::uint64_t m_maximumNodes = 1 << 19; ///< With aliases expanded. More than a document of the maximum size can have without aliases.
+    std::uint64_t m_maximumNodes = 1 << 19; ///< Counted with aliases expanded. Only a document with aliases can exceed it.
 };
 
 /**
