--- a/Libraries/LibBench/Topology.h
+++ b/Libraries/LibBench/Topology.h
@@ -77,13 +77,13 @@
     bool operator==(const Topology &) const = default;
 };
 
-/// The failure domains and services of Sao Mai at their current size, with small weights.
+/// The failure domains and services of the user Sao Mai at their current size, with small weights.
 Topology saoMaiTopology();
-/// The failure domains and services of Accrochage at their current size, with small weights.
+/// The failure domains and services of the user Accrochage at their current size, with small weights.
 Topology accrochageTopology();
 /// Two regions, three entries and a few endpoints, for scenarios.
 Topology smallTopology();
-/// One model service with @p endpoints endpoints in the failure domains of Sao Mai, for measuring bursts.
+/// One model service with @p endpoints endpoints in the failure domains of saoMaiTopology(), for measuring bursts of transfers of new weights.
 Topology burstTopology(int endpoints);
 
 }
--- a/Libraries/LibLoad/AnswerCheck.h
+++ b/Libraries/LibLoad/AnswerCheck.h
@@ -39,7 +39,7 @@
     std::uint64_t m_tokens = 0;
     std::string m_version;
     std::string m_digest;
-    std::string m_weights; ///< Second part of all tokens received so far; it identifies the weights.
+    std::string m_weights; ///< Identifies the weights: the part after the slash, which is the same in each token received so far.
     Outcome m_failure = Outcome::Ok; ///< The first failure; any value other than Ok ends the check.
     std::string m_code;
     std::string m_detail;
--- a/Libraries/LibScenario/RandomScript.cpp
+++ b/Libraries/LibScenario/RandomScript.cpp
@@ -164,7 +164,8 @@
         case 6:
             return add(Fault{"origin", R"({"corrupt_percent": 20})"}, "origin corrupts");
         default:
-            // Publishing fails while the log withholds its answers for long, so version 2 is published at most once and before such faults matter.
+            // A publication fails if the log gives no answers for a long time. Therefore version 2 is published at most once, and before such a fault can make
+            // the publication fail.
             return m_version == "1" ? addPublish("2") : addFreeze();
         }
     }
--- a/Libraries/LibScenario/Script.h
+++ b/Libraries/LibScenario/Script.h
@@ -12,7 +12,7 @@
 
 namespace Scenario {
 
-/// Publishes a template for one client account with the command line of the operators.
+/// Publishes a template, the configuration of a service, with parameters for one client account. Uses the operators' command-line tool.
 struct Publish
 {
     std::string m_template;
--- a/Tests/LibLoad/TestAnswerCheck.cpp
+++ b/Tests/LibLoad/TestAnswerCheck.cpp
@@ -62,7 +62,7 @@
 
 TEST_CASE("Tokens of another request, missing tokens and duplicate tokens are wrong")
 {
-    // Guards against answers swapped on a shared connection: each looks complete, and a user reads the draft of somebody else.
+    // Guards against answers swapped on a shared connection: each looks complete, and a user reads the answer to the request of another user.
     REQUIRE(checkLines({Head, token("frames", 0), token("frames", 1), End}) == "wrong crossed");
     REQUIRE(checkLines({Head, token("fabrics", 1), End}) == "wrong crossed");
     REQUIRE(checkLines({Head, token("fabrics", 0), token("fabrics", 0), End}) == "wrong crossed");
--- a/Utilities/measure-routing/Simulation.cpp
+++ b/Utilities/measure-routing/Simulation.cpp
@@ -22,7 +22,7 @@
     std::size_t m_entry = 0;
     double m_arrival = 0;
     double m_started = 0; ///< When an endpoint was granted.
-    double m_serviceTime = 0; ///< At an engine of normal speed without a cached prefix.
+    double m_serviceTime = 0; ///< Service time at an engine of normal speed without a cached prefix.
     Routing::Granted m_granted;
     bool m_done = false;
 };
--- a/Utilities/measure-routing/Simulation.h
+++ b/Utilities/measure-routing/Simulation.h
@@ -21,7 +21,7 @@
     std::uint32_t m_capacity = 8; ///< Number of concurrent requests of an engine.
     double m_meanServiceTime = 2; ///< Mean service time of a request without a cached prefix, at an engine of normal speed.
     double m_slowShare = 0.05; ///< Fraction of slow engines; at least one engine is slow.
-    double m_slowFactor = 4; ///< By how much slow engines are slower.
+    double m_slowFactor = 4; ///< Factor by which the service time is longer at a slow engine.
     double m_cacheGain = 0.3; ///< Fraction of the service time saved by a cached prefix.
     std::size_t m_cachedPrefixes = 16; ///< Number of prefixes cached by an engine.
     std::size_t m_prefixesPerAccount = 20;
--- a/Utilities/oriolerail/EntryStatus.h
+++ b/Utilities/oriolerail/EntryStatus.h
@@ -20,7 +20,7 @@
 struct RevisionProgress
 {
     std::size_t m_instances = 0; ///< Number of known live instances.
-    std::vector<std::string> m_instancesBehind; ///< Those of them on which the revision is not in force.
+    std::vector<std::string> m_instancesBehind; ///< Known live instances on which the revision is not in force.
     std::size_t m_unreachableEntries = 0; ///< Entries that did not answer.
 
     bool isComplete() const
