--- a/Libraries/LibStandIn/Engine.h
+++ b/Libraries/LibStandIn/Engine.h
@@ -37,7 +37,7 @@
 {
     std::string m_request;
     std::string m_account;
-    std::string m_question; ///< questionName() of account and prompt.
+    std::string m_question; ///< Identifier of the account and prompt in journals, see questionName().
     std::string m_digest;
     std::uint64_t m_tokens = 0;
     bool m_completed = false;
--- a/Libraries/LibStandIn/JournalChecker.h
+++ b/Libraries/LibStandIn/JournalChecker.h
@@ -36,7 +36,7 @@
 {
     bool m_isCall = false; ///< True for a call to a plain service, false for a generation.
     bool m_isKeyed = false; ///< The call carried an idempotency key.
-    std::string m_question; ///< questionName() of account and prompt.
+    std::string m_question; ///< Identifier of the account and prompt in journals, see questionName().
     std::string m_key; ///< Idempotency key of the last try.
     std::string m_outcome; ///< "ok", "not-run", "unknown", "failed" or "wrong".
     std::string m_digest; ///< Version named in the answer.
--- a/Libraries/LibStandIn/Tokens.h
+++ b/Libraries/LibStandIn/Tokens.h
@@ -16,7 +16,7 @@
  */
 std::string generateToken(std::string_view account, std::string_view prompt, std::uint64_t index, std::string_view weightsDigest);
 
-/// Returns the identifier of a question in journals, by which a caller's record is matched with the runs of engines.
+/// Returns the identifier of a question (an account and its prompt) in journals, by which a caller's record is matched with the runs of engines.
 std::string questionName(std::string_view account, std::string_view prompt);
 
 /// Returns the first part of a token, see generateToken().
--- a/Libraries/LibStandInLog/LogStore.h
+++ b/Libraries/LibStandInLog/LogStore.h
@@ -86,7 +86,7 @@
     std::condition_variable m_changed;
     std::map<std::string, Stream> m_streams; ///< At most MaximumStreams.
     LogFaults m_faults;
-    double m_tokens; ///< Number of appends allowed now; at most those of one second.
+    double m_tokens; ///< Number of appends that the rate limit allows now; at most the number that it allows per second.
     Core::Instant m_refilledAt; ///< Time of the last refill of m_tokens.
     bool m_stopping = false;
 };
--- a/Libraries/LibStandInNetwork/FlowBuffer.h
+++ b/Libraries/LibStandInNetwork/FlowBuffer.h
@@ -109,7 +109,7 @@
     std::string m_bytes;
     std::size_t m_begin = 0; ///< Index of the first byte of m_bytes that has not been written.
     std::size_t m_ungranted = 0; ///< Number of bytes at the end of m_bytes that the links have not granted.
-    std::deque<Segment> m_segments; ///< Granted bytes in order of m_due; size() - m_ungranted in total.
+    std::deque<Segment> m_segments; ///< Granted bytes in order of m_due. Their sum is size() of this buffer minus m_ungranted.
 };
 
 }
