--- a/Libraries/LibControl/ApplyRecord.h
+++ b/Libraries/LibControl/ApplyRecord.h
@@ -12,7 +12,7 @@
  */
 RecordOutcome applyRecord(ControlState &state, Offset position, std::string_view body);
 
-/// Largest origin budget of one burst, in copies of the weights. The origin's link carries about four.
+/// Largest origin budget of one burst, in copies of the weights. The origin's link carries about four copies within the burst window.
 inline constexpr double MaximumOriginCopies = 64;
 
 /// Returns why a template cannot be accepted; empty if it can. The command line and applyRecord() make the same checks.
--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -62,7 +62,7 @@
     std::uint64_t m_generation = 0; ///< Number of times that state was restored into a log that had lost records.
     Offset m_checkpoint = 0; ///< Newest position covered by a checkpoint on the stream; 0 if there is none.
     std::string m_chain; ///< Running digest over all applied records in order: equal chains mean equal states.
-    std::string m_lastDigest; ///< Digest of the record at m_position. It shows when the log has another record at that offset.
+    std::string m_lastDigest; ///< Digest of the record at m_position. It shows whether the log still has the same record at that offset.
     std::map<std::string, AcceptedTemplate> m_templates; ///< By name.
     std::map<std::string, Removal> m_removals; ///< Removed templates by name; the newest MaximumRemovals.
     std::map<std::string, Plan> m_plans; ///< By service.
--- a/Libraries/LibControl/Recovery.cpp
+++ b/Libraries/LibControl/Recovery.cpp
@@ -75,8 +75,8 @@
 /**
  * Returns the revision that a kept template, removal or plan gets in the merged state; 0 if the log has something newer.
  *
- * Where two histories assigned one revision to different things, both were in force somewhere. One has to be replaced, and
- * its readers must be able to notice. Therefore the other one gets the revision of the merge, as if it had been published
+ * If two histories assigned the same revision to different contents, each of these contents was in force on some process. One has to be replaced, and
+ * the processes that have it must be able to notice. Therefore the content that is kept gets the revision of the merge, as if it had been published
  * again.
  */
 Offset mergedRevision(Offset kept, Offset onLog, bool agree, Offset mergeRevision)
--- a/Libraries/LibControl/StateFeed.h
+++ b/Libraries/LibControl/StateFeed.h
@@ -10,11 +10,11 @@
 
 namespace Control {
 
-/// What is known about a subscriber.
+/// Status of a subscriber, as far as this entry knows it.
 struct SubscriberStatus
 {
     Protocol::Member m_member;
-    Offset m_applied = 0; ///< Revision in force there; 0 if none was reported.
+    Offset m_applied = 0; ///< Revision in force at the subscriber; 0 if none was reported.
     bool m_isSubscribed = false; ///< Its stream to this entry is open.
 
     bool operator==(const SubscriberStatus &) const = default;
@@ -45,7 +45,7 @@
         Wire::Responder m_responder;
         std::string m_chain; ///< Digest of the history that the subscriber has, or is being sent.
         std::string m_membersKey; ///< Key of the members update that was sent last.
-        Core::Instant m_membersSentAt; ///< Time when it was sent.
+        Core::Instant m_membersSentAt; ///< Time when the last members update was sent.
         Core::Instant m_announcedAt; ///< Time when the subscriber was last announced to the store.
         Core::Instant m_aheadSince; ///< Time since which the subscriber has been ahead of this entry; unset if it is not ahead.
     };
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -82,7 +82,8 @@
     return m_inbox->m_events.size() > 0 ? NoWait : m_settings.m_checkInterval;
 }
 
-/// Announces an entry to its own member table. No other process would keep it there while the list does not show it.
+/// Announces an entry to its own member table. Otherwise the table would not keep the entry while the list does not show it, since no other process announces
+/// the entry there.
 void StateSubscriber::announceSelf()
 {
     Protocol::Member self;
@@ -155,7 +156,7 @@
 }
 
 /**
- * Sends the state in force here to an entry that lacks something of it.
+ * Sends the state in force in this process to an entry that lacks a part of it.
  *
  * All entries can be replaced while the log loses records. Agents, which never read the log, are then the only processes
  * that still have what was accepted.
--- a/Libraries/LibControl/StatusPage.h
+++ b/Libraries/LibControl/StatusPage.h
@@ -18,7 +18,7 @@
     std::string m_role; ///< "entry" or "agent".
     std::string m_failureDomain;
     bool m_leaving = false;
-    Offset m_applied = 0; ///< Revision in force there, as far as the entry knows; 0 if unknown.
+    Offset m_applied = 0; ///< Revision in force at the process, as far as the entry knows; 0 if unknown.
 
     bool operator==(const InstanceStatus &) const = default;
 };
--- a/Tests/LibControl/TestInterleavings.cpp
+++ b/Tests/LibControl/TestInterleavings.cpp
@@ -55,7 +55,7 @@
 struct Reader
 {
     Control::ControlState m_state;
-    bool m_hasReverted = false; ///< It replaced its state by one that does not cover it.
+    bool m_hasReverted = false; ///< The reader replaced its state by one that does not cover the former state.
 };
 
 struct Operator
