--- a/Libraries/LibBench/Publication.h
+++ b/Libraries/LibBench/Publication.h
@@ -1,4 +1,4 @@
-/// @file Publishes templates in a test fleet with the command line of the operators.
+/// @file Publishes templates in a test fleet through the operators' command-line tool.
 #pragma once
 
 #include "LibBench/Fleet.h"
--- a/Utilities/control-benchmark/Main.cpp
+++ b/Utilities/control-benchmark/Main.cpp
@@ -1,4 +1,4 @@
-/// @file control-benchmark: measures the cost of control: applying records, planning, encoded sizes, and the time until a change is in force on many
+/// @file control-benchmark: measures the costs of the control state: applying records, planning, encoded sizes, and the time until a change is in force on many
 /// subscribers.
 
 #include "Propagation.h"
