--- a/Libraries/LibStandIn/JournalChecker.cpp
+++ b/Libraries/LibStandIn/JournalChecker.cpp
@@ -14,7 +14,7 @@
 
 using EffectsByKey = std::map<std::string, std::vector<std::string>>;
 
-/// Counts the runs of one question over all engines.
+/// Counts the runs of one question (an account and its prompt) over all engines.
 struct QuestionRuns
 {
     std::uint64_t m_runs = 0;
--- a/Libraries/LibStandInNetwork/LinkShaper.h
+++ b/Libraries/LibStandInNetwork/LinkShaper.h
@@ -28,8 +28,8 @@
  * A flow sends one quantum at a time, which passes the links of its path one after the other like a packet in a chain of queues.
  *
  * Each link serves its flows round-robin, so that bulk flows share it evenly. A quantum of a flow with a short backlog goes before
- * the quanta of bulk flows, so that a request or a heartbeat does not wait behind a transfer. A quantum that waits at a link keeps the
- * links that it has passed. If it started over at the first link, a flow over two busy links would starve. Not thread-safe.
+ * the quanta of bulk flows, so that a request or a heartbeat does not wait behind a transfer. A quantum that waits at a link does not
+ * have to pass the earlier links of its path again. If it started over at the first link, a flow over two busy links would starve. Not thread-safe.
  */
 class LinkShaper
 {
