--- a/Libraries/LibControl/MemberTable.h
+++ b/Libraries/LibControl/MemberTable.h
@@ -65,7 +65,7 @@
 
 /// Number of ended incarnations that a table keeps.
 inline constexpr std::size_t MaximumEndedIncarnations = 1024;
-/// An instance that announced itself to this process, and that the list does not show, is removed after this time without an announcement.
+/// An instance that announced itself to this process, and that the list does not show yet, is removed after this time without an announcement.
 inline constexpr Core::Duration UnlistedTimeout{30000};
 /// The same limit for an instance that this process knows only from other processes. Those processes would report its end.
 inline constexpr Core::Duration IndirectTimeout{600000};
