--- a/Libraries/LibControl/ControlState.h
+++ b/Libraries/LibControl/ControlState.h
@@ -23,7 +23,7 @@
     std::string m_record; ///< Id of the record.
     Offset m_offset = 0; ///< Number of the record, counted as ControlState::m_applied.
     bool m_accepted = false;
-    Offset m_winner = 0; ///< Revision in force that made the record stale, if it was refused for that.
+    Offset m_winner = 0; ///< If the record was refused as stale: the revision in force that made it stale.
     std::string m_winnerAuthor; ///< Author of that revision.
     std::string m_detail; ///< Reason for the refusal; empty if the record was accepted.
 
@@ -49,7 +49,7 @@
 };
 
 /**
- * All accepted templates and plans as of one record.
+ * All accepted templates (the configurations of services, see Template) and plans, as they are after one record of the control stream.
  *
  * There are two numbers, because a log can return from an outage with records missing and then assigns their offsets again.
  * m_position is the log's own offset of the last record. m_applied is the number used for revisions and fencing: it grows
@@ -62,7 +62,7 @@
     std::uint64_t m_generation = 0; ///< Number of times that state was restored into a log that had lost records.
     Offset m_checkpoint = 0; ///< Newest position covered by a checkpoint on the stream; 0 if there is none.
     std::string m_chain; ///< Running digest over all applied records in order: equal chains mean equal states.
-    std::string m_lastDigest; ///< Digest of the record at m_position. It shows when the log has another record at that offset.
+    std::string m_lastDigest; ///< Digest of the record at m_position. It shows whether the log still has the same record at that offset.
     std::map<std::string, AcceptedTemplate> m_templates; ///< By name.
     std::map<std::string, Removal> m_removals; ///< Removed templates by name; the newest MaximumRemovals.
     std::map<std::string, Plan> m_plans; ///< By service.
--- a/Libraries/LibControl/StateSubscriber.cpp
+++ b/Libraries/LibControl/StateSubscriber.cpp
@@ -82,7 +82,8 @@
     return m_inbox->m_events.size() > 0 ? NoWait : m_settings.m_checkInterval;
 }
 
-/// Announces an entry to its own member table. No other process would keep it there while the list does not show it.
+/// Announces an entry to its own member table. Otherwise the table would not keep the entry while the list does not show it, since no other process announces
+/// the entry there.
 void StateSubscriber::announceSelf()
 {
     Protocol::Member self;
@@ -109,7 +110,8 @@
     }
 }
 
-/// Closes all feeds after an update or the end of a stream was dropped. Feeds that are opened again start from the state in force here.
+/// Closes all feeds because the full inbox has dropped an event: a feed may lack an update, or a stream that has ended may look open. Feeds that are opened
+/// again start from the state in force in this process, so no update stays missing.
 void StateSubscriber::closeAllFeeds()
 {
     m_overruns.add();
@@ -154,7 +156,7 @@
 }
 
 /**
- * Sends the state in force here to an entry that lacks something of it.
+ * Sends the state in force in this process to an entry that lacks a part of it.
  *
  * All entries can be replaced while the log loses records. Agents, which never read the log, are then the only processes
  * that still have what was accepted.
